--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use mintstall::Controller;
-use mintstall::host::*;
+use mintstall::interface::*;
 
 /// Carries out nothing but the alarms.
 #[derive(Default)]
@@ -19,91 +19,95 @@
     seized: Vec<(CallId, ExchangeId)>,
 }
 
-impl Host for Desk {
+impl ControllerActions for Desk {
     fn seize(&mut self, call: CallId, to: ExchangeId, _: Duration) {
         self.seized.push((call, to));
     }
-    fn cancel(&mut self, _: CallId, _: SeizureNo) {}
+    fn cancel(&mut self, _: CallId, _: SeizureNumber) {}
     fn reject(&mut self, _: CallId, _: Duration) {}
     fn release(&mut self, _: CallId) {}
-    fn alarm(&mut self, after: Duration, alarm: AlarmId) {
-        self.alarms.push(Reverse((self.now + after, alarm.0)));
+    fn set_timer(&mut self, after: Duration, timer: TimerId) {
+        self.alarms.push(Reverse((self.now + after, timer.0)));
     }
-    fn tell(&mut self, _: Option<PeerNo>, _: &[u8]) {}
+    fn send_to_peers(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn subscribe(&mut self) {}
     fn log(&mut self, _: &str) {}
 }
 
 const EXCHANGES: u32 = 75;
 
-fn office() -> OfficeData {
-    let call_type = |revenue, target| CallTypeData {
+fn office() -> ControllerConfig {
+    let call_type = |revenue, target| CallTypeConfig {
         setup_target: Duration::from_millis(target),
         guard_time: Duration::from_secs(9),
         revenue,
         width: 1,
         mean_hold: Duration::from_secs(10),
-        repeats: Repeats::Freely,
+        repeats: RepeatPolicy::Freely,
         pools: Vec::new(),
     };
-    OfficeData {
-        own: Some(OfficeNo(0)),
+    ControllerConfig {
+        own: Some(ExchangeNumber(0)),
         call_types: vec![call_type(1.0, 2000), call_type(8.0, 800), call_type(3.0, 2000)],
         seizure_limit: 5,
         may_cancel: true,
-        longest_come_back: Duration::from_secs(2),
+        max_retry_after: Duration::from_secs(2),
         must_subscribe: false,
-        may_tell: false,
-        fall_multiple: 2.5,
+        may_message_peers: false,
+        overload_multiple: 2.5,
         cold_share: 0.3,
         warm_up: Duration::from_secs(15),
         release_wait: Duration::from_millis(200),
-        repeat_after: Duration::ZERO,
+        retransmit_after: Duration::ZERO,
     }
 }
 
 /// Microseconds a call over five simulated seconds, or two of real time.
 fn cost(rate: u64, free: f64) -> f64 {
     let (mut desk, mut controller) = (Desk::default(), Controller::new(&office(), 1));
-    let line = |no| RosterLine {
-        exchange: ExchangeId(no),
-        office: OfficeNo(no as u16),
+    let line = |no| ExchangeEntry {
+        id: ExchangeId(no),
+        number: ExchangeNumber(no as u16),
         zone: Zone((no % 3) as u8),
-        standing: Standing::Ready,
+        status: ExchangeStatus::Ready,
         started: Duration::ZERO,
     };
     let lines: Vec<_> = (0..EXCHANGES).map(line).collect();
-    controller.roster(Duration::ZERO, &mut desk, &lines);
-    let report = Report { free: Some(free), size: Some(100.0), ..Report::default() };
+    controller.on_membership(Duration::ZERO, &mut desk, &lines);
+    let report = CapacityReport { free: Some(free), size: Some(100.0), ..CapacityReport::default() };
     for no in 1..EXCHANGES {
-        controller.reported(Duration::ZERO, &mut desk, ExchangeId(no), &report);
+        controller.on_capacity_report(Duration::ZERO, &mut desk, ExchangeId(no), &report);
     }
     let (start, mut calls) = (Instant::now(), 0);
     for call in 0..rate * 5 {
         desk.now = Duration::from_secs_f64(call as f64 / rate as f64);
         while let Some(Reverse((at, alarm))) = desk.alarms.peek().copied().filter(|due| due.0.0 <= desk.now) {
             desk.alarms.pop();
-            controller.rings(at, &mut desk, AlarmId(alarm));
+            controller.on_timer(at, &mut desk, TimerId(alarm));
         }
-        let offer = Offer {
+        let offer = CallOffer {
             call: CallId(call),
             call_type: CallType((call % 3) as u8),
-            customer: CustomerNo(0),
-            dialled: Dialled(1 + call),
-            until: desk.now + Duration::from_secs(3),
-            dest: OfficeNo(1 + (call * 7 % u64::from(EXCHANGES - 1)) as u16),
+            customer: CustomerId(0),
+            dialled: DialledNumber(1 + call),
+            deadline: desk.now + Duration::from_secs(3),
+            dest: ExchangeNumber(1 + (call * 7 % u64::from(EXCHANGES - 1)) as u16),
             width: 1,
             advised: None,
             transit: false,
             cut: false,
             redial: false,
         };
-        controller.offered(desk.now, &mut desk, offer);
+        controller.on_offer(desk.now, &mut desk, offer);
         let now = desk.now;
         for (call, exchange) in std::mem::take(&mut desk.seized) {
-            let (seizure, after) = (SeizureNo(0), Duration::from_millis(20));
-            controller.stands(now, &mut desk, &Stood { call, seizure, exchange, after });
-            controller.reported(now, &mut desk, exchange, &report);
+            let (seizure, after) = (SeizureNumber(0), Duration::from_millis(20));
+            controller.on_seizure_answered(
+                now,
+                &mut desk,
+                &SeizureAnswered { call, seizure, exchange, elapsed: after },
+            );
+            controller.on_capacity_report(now, &mut desk, exchange, &report);
         }
         calls += 1;
         if call % 256 == 0 && start.elapsed() > Duration::from_secs(2) {
--- a/crates/benchlink/src/switchroom.rs
+++ b/crates/benchlink/src/switchroom.rs
@@ -6,9 +6,10 @@
 use std::time::Duration;
 
 use mintstall::Controller;
-use mintstall::host::{
-    AlarmId, CallId, CallType, Cause, CustomerNo, Dialled, Ended, ExchangeId, Host, Offer, OfficeNo, PeerNo,
-    Report, RosterLine, SeizureNo, Standing, Stood, Zone,
+use mintstall::interface::{
+    CallId, CallOffer, CallType, CapacityReport, Cause, ControllerActions, CustomerId, DialledNumber,
+    ExchangeEntry, ExchangeId, ExchangeNumber, ExchangeStatus, PeerId, SeizureAnswered, SeizureEnded,
+    SeizureNumber, TimerId, Zone,
 };
 
 use mintstall_settings::{ReportLayout, from_lines};
@@ -29,28 +30,28 @@
     }
 }
 
-impl Host for Line<'_> {
+impl ControllerActions for Line<'_> {
     fn seize(&mut self, call: CallId, to: ExchangeId, limit: Duration) {
         self.record(67).put(call.0.to_be_bytes()).put(to.0.to_be_bytes()).time(limit);
     }
 
-    fn cancel(&mut self, call: CallId, seizure: SeizureNo) {
+    fn cancel(&mut self, call: CallId, seizure: SeizureNumber) {
         self.record(64).put(call.0.to_be_bytes()).put([seizure.0]);
     }
 
-    fn reject(&mut self, call: CallId, come_back: Duration) {
-        self.record(70).put(call.0.to_be_bytes()).time(come_back);
+    fn reject(&mut self, call: CallId, retry_after: Duration) {
+        self.record(70).put(call.0.to_be_bytes()).time(retry_after);
     }
 
     fn release(&mut self, call: CallId) {
         self.record(71).put(call.0.to_be_bytes());
     }
 
-    fn alarm(&mut self, after: Duration, alarm: AlarmId) {
-        self.record(69).time(after).put(alarm.0.to_be_bytes());
+    fn set_timer(&mut self, after: Duration, timer: TimerId) {
+        self.record(69).time(after).put(timer.0.to_be_bytes());
     }
 
-    fn tell(&mut self, peer: Option<PeerNo>, message: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<PeerId>, message: &[u8]) {
         let to = peer.map_or(u32::MAX, |peer| peer.0.into());
         self.record(65).put(to.to_be_bytes()).counted(message);
     }
@@ -72,7 +73,7 @@
 #[derive(Default)]
 pub struct Switchroom {
     instances: HashMap<u16, Instance>,
-    rosters: HashMap<u16, Vec<RosterLine>>,
+    rosters: HashMap<u16, Vec<ExchangeEntry>>,
 }
 
 fn cause(code: u16, clear_code: u32) -> Read<Cause> {
@@ -93,7 +94,7 @@
     })
 }
 
-fn roster(fields: &mut Fields) -> Read<(u16, Vec<RosterLine>)> {
+fn roster(fields: &mut Fields) -> Read<(u16, Vec<ExchangeEntry>)> {
     let number = fields.u16()?;
     let count = fields.u32()?;
     let mut lines = Vec::new();
@@ -101,20 +102,26 @@
         let exchange = ExchangeId(fields.u32()?);
         let zone = Zone(fields.u8()?);
         let _kind = fields.u8()?;
-        let office = OfficeNo(fields.u16()?);
+        let office = ExchangeNumber(fields.u16()?);
         let standing = match fields.u8()? {
-            0 => Standing::Gone,
-            1 => Standing::Ready,
-            2 => Standing::Draining,
+            0 => ExchangeStatus::Gone,
+            1 => ExchangeStatus::Ready,
+            2 => ExchangeStatus::Draining,
             other => return bad(format!("ledger: unknown mode {other}")),
         };
         let _capacity_hint = fields.f32()?;
-        lines.push(RosterLine { exchange, office, zone, standing, started: fields.time()? });
+        lines.push(ExchangeEntry {
+            id: exchange,
+            number: office,
+            zone,
+            status: standing,
+            started: fields.time()?,
+        });
     }
     Ok((number, lines))
 }
 
-fn report(fields: &mut Fields, layout: &ReportLayout) -> Read<Report> {
+fn report(fields: &mut Fields, layout: &ReportLayout) -> Read<CapacityReport> {
     let mut values = [0.0; u8::MAX as usize];
     let count = usize::from(fields.u8()?);
     for value in &mut values[..count] {
@@ -128,26 +135,26 @@
     (value >= 0.0 && value <= f32::from(u16::MAX)).then_some(value as u16)
 }
 
-fn offer(fields: &mut Fields) -> Read<Offer> {
+fn offer(fields: &mut Fields) -> Read<CallOffer> {
     let call = CallId(fields.u64()?);
     let call_type = CallType(fields.u8()?);
-    let customer = CustomerNo(fields.u16()?);
-    let dialled = Dialled(fields.u64()?);
+    let customer = CustomerId(fields.u16()?);
+    let dialled = DialledNumber(fields.u64()?);
     let until = fields.time()?;
     let _predicted = fields.take(8)?;
     let Some(dest) = whole(fields.f32()?) else {
         return bad("work_item: dest is no number of an exchange");
     };
     let width = whole(fields.f32()?).unwrap_or(1).max(1);
-    let advised = whole(fields.f32()?).map(OfficeNo);
+    let advised = whole(fields.f32()?).map(ExchangeNumber);
     let marks = fields.u8()?;
-    Ok(Offer {
+    Ok(CallOffer {
         call,
         call_type,
         customer,
         dialled,
-        until,
-        dest: OfficeNo(dest),
+        deadline: until,
+        dest: ExchangeNumber(dest),
         width,
         advised,
         transit: marks & 8 != 0,
@@ -232,11 +239,11 @@
 fn tell(
     controller: &mut Controller,
     layout: &ReportLayout,
-    rosters: &HashMap<u16, Vec<RosterLine>>,
+    rosters: &HashMap<u16, Vec<ExchangeEntry>>,
     now: Duration,
     code: u8,
     f: &mut Fields,
-    host: &mut Line,
+    actions: &mut Line,
 ) -> Read<()> {
     match code {
         1 => {
@@ -244,40 +251,48 @@
             let how = f.u8()?;
             let list = f.u16()?;
             match (how, rosters.get(&list)) {
-                (1, _) => controller.roster_failed(now, host),
-                (0 | 2, Some(lines)) => controller.roster(now, host, lines),
-                (3, Some(lines)) => controller.roster_changes(now, host, lines),
+                (1, _) => controller.on_subscription_failed(now, actions),
+                (0 | 2, Some(lines)) => controller.on_membership(now, actions, lines),
+                (3, Some(lines)) => controller.on_membership_changes(now, actions, lines),
                 (0 | 2 | 3, None) => return bad(format!("targets: ledger {list} was never sent")),
                 _ => return bad(format!("targets: unknown kind {how}")),
             }
         }
-        2 => controller.offered(now, host, offer(f)?),
+        2 => controller.on_offer(now, actions, offer(f)?),
         3 => {
-            let (call, seizure) = (CallId(f.u64()?), SeizureNo(f.u8()?));
+            let (call, seizure) = (CallId(f.u64()?), SeizureNumber(f.u8()?));
             let exchange = ExchangeId(f.u32()?);
-            controller.stands(now, host, &Stood { call, seizure, exchange, after: f.time()? });
+            controller.on_seizure_answered(
+                now,
+                actions,
+                &SeizureAnswered { call, seizure, exchange, elapsed: f.time()? },
+            );
         }
         4 => {
-            let (call, seizure) = (CallId(f.u64()?), SeizureNo(f.u8()?));
+            let (call, seizure) = (CallId(f.u64()?), SeizureNumber(f.u8()?));
             let exchange = ExchangeId(f.u32()?);
             let code = f.u16()?;
             let after = f.time()?;
             let closed = f.u8()? != 0;
             let cause = cause(code, f.u32()?)?;
-            controller.reported(now, host, exchange, &report(f, layout)?);
-            controller.ended(now, host, &Ended { call, seizure, exchange, cause, after, closed });
+            controller.on_capacity_report(now, actions, exchange, &report(f, layout)?);
+            controller.on_seizure_ended(
+                now,
+                actions,
+                &SeizureEnded { call, seizure, exchange, cause, elapsed: after, closed },
+            );
         }
-        5 => controller.withdrawn(now, host, CallId(f.u64()?)),
-        6 => controller.rings(now, host, AlarmId(f.u64()?)),
+        5 => controller.on_caller_gone(now, actions, CallId(f.u64()?)),
+        6 => controller.on_timer(now, actions, TimerId(f.u64()?)),
         7 => {
             let exchange = ExchangeId(f.u32()?);
             let (_code, _after) = (f.u16()?, f.time()?);
-            controller.reported(now, host, exchange, &report(f, layout)?);
+            controller.on_capacity_report(now, actions, exchange, &report(f, layout)?);
         }
         8 => {
-            let peer = PeerNo(f.u16()?);
+            let peer = PeerId(f.u16()?);
             let length = usize::from(f.u16()?);
-            controller.heard(now, host, peer, f.take(length)?);
+            controller.on_peer_message(now, actions, peer, f.take(length)?);
         }
         _ => {}
     }
@@ -305,8 +320,8 @@
         let (mut reply, mut count) = (Vec::new(), 0);
         let mut line = Line { reply: &mut reply, count: &mut count, controller: 3 };
         line.seize(CallId(0x000d_f759_5d3a_91c4), ExchangeId(0x0312_4a07), Duration::from_millis(80));
-        line.alarm(Duration::from_millis(500), AlarmId(0x4d));
-        line.tell(None, b"hi 7");
+        line.set_timer(Duration::from_millis(500), TimerId(0x4d));
+        line.send_to_peers(None, b"hi 7");
         line.log("two servers known");
         let wanted = "43 00000016 0003 000df7595d3a91c4 03124a07 3fb47ae147ae147b
                       45 00000012 0003 3fe0000000000000 000000000000004d
@@ -326,15 +341,15 @@
         let offer = offer(&mut fields).unwrap();
         assert_eq!(
             (offer.call, offer.dest, offer.width),
-            (CallId(0x000d_f759_5d3a_91c4), OfficeNo(57), 1200)
+            (CallId(0x000d_f759_5d3a_91c4), ExchangeNumber(57), 1200)
         );
-        assert_eq!((offer.until, offer.transit), (Duration::from_micros(8_652_250), false));
+        assert_eq!((offer.deadline, offer.transit), (Duration::from_micros(8_652_250), false));
         let ledger = bytes(
             "0000 00000002 03124a07 00 00 0000 01 3f800000 0000000000000000
              2c9011f2 01 00 0000 01 3fc00000 4018666666666666",
         );
         let (number, lines) = roster(&mut Fields::new(&ledger, "ledger")).unwrap();
-        assert_eq!((number, lines.len(), lines[1].exchange), (0, 2, ExchangeId(0x2c90_11f2)));
+        assert_eq!((number, lines.len(), lines[1].id), (0, 2, ExchangeId(0x2c90_11f2)));
         assert_eq!(lines[1].started, Duration::from_millis(6100));
     }
 
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use mintstall::host::{CallTypeData, OfficeData, OfficeNo, Repeats};
+use mintstall::interface::{CallTypeConfig, ControllerConfig, ExchangeNumber, RepeatPolicy};
 use mintstall_isup::Cic;
 use mintstall_limits::{Limits, Patience, TokenFile, Tokens};
 use mintstall_office::{GroupPlan, NumberPlan, OfficePlan, Timers};
@@ -556,37 +556,37 @@
     /// What the office reads at start.
     pub fn plan(&self) -> OfficePlan {
         let ms = Duration::from_millis;
-        let call_type = |of: &CallType| CallTypeData {
+        let call_type = |of: &CallType| CallTypeConfig {
             setup_target: ms(of.setup_target_ms),
             guard_time: ms(of.guard_time_ms),
             revenue: of.revenue,
             width: of.width,
             mean_hold: ms(of.mean_hold_ms),
-            repeats: Repeats::Freely,
+            repeats: RepeatPolicy::Freely,
             pools: Vec::new(),
         };
         let (rules, t) = (&self.rules, &self.timers);
         OfficePlan {
-            own: OfficeNo(self.exchange),
-            data: OfficeData {
-                own: Some(OfficeNo(self.exchange)),
+            own: ExchangeNumber(self.exchange),
+            data: ControllerConfig {
+                own: Some(ExchangeNumber(self.exchange)),
                 call_types: self.call_types.iter().map(call_type).collect(),
                 seizure_limit: rules.seizures,
                 may_cancel: rules.may_cancel,
-                longest_come_back: ms(rules.longest_come_back_ms),
+                max_retry_after: ms(rules.longest_come_back_ms),
                 must_subscribe: false,
-                may_tell: rules.may_tell,
-                fall_multiple: rules.fall_multiple,
+                may_message_peers: rules.may_tell,
+                overload_multiple: rules.fall_multiple,
                 cold_share: rules.cold_share,
                 warm_up: ms(rules.warm_up_ms),
                 release_wait: ms(rules.release_wait_ms),
-                repeat_after: ms(rules.repeat_after_ms),
+                retransmit_after: ms(rules.repeat_after_ms),
             },
             groups: self
                 .signalling
                 .links
                 .iter()
-                .map(|link| GroupPlan { to: OfficeNo(link.to), circuits: link.circuits })
+                .map(|link| GroupPlan { to: ExchangeNumber(link.to), circuits: link.circuits })
                 .collect(),
             numbers: self.numbers.iter().map(|n| NumberPlan { dialled: n.number, lines: n.lines }).collect(),
             timers: Timers {
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -3,8 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use mintstall::host::{
-    CallId, CallType, CustomerNo, Dialled, ExchangeId, OfficeNo, RosterLine, Standing as HostStanding, Zone,
+use mintstall::interface::{
+    CallId, CallType, CustomerId, DialledNumber, ExchangeEntry, ExchangeId, ExchangeNumber, ExchangeStatus,
+    Zone,
 };
 use mintstall_callapi::{
     Answered, Asked, CallEvent, CallState, CallTrace, Done, EndedNote, Fault, Final, Happened, Hello, How,
@@ -34,8 +35,8 @@
 
 /// What an exchange acts through.
 pub trait Port {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]);
-    fn close_link(&mut self, to: OfficeNo, why: &str);
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]);
+    fn close_link(&mut self, to: ExchangeNumber, why: &str);
     /// A text for a subscriber line, its end not included.
     fn say(&mut self, line: LineNo, text: &str);
     fn close_line(&mut self, line: LineNo, why: &str);
@@ -83,7 +84,7 @@
 struct Asker {
     line: LineNo,
     session: SessionNo,
-    customer: CustomerNo,
+    customer: CustomerId,
     progress: Progress,
     call: u64,
     id: Option<Value>,
@@ -150,15 +151,15 @@
 }
 
 /// A roster's lines as the decisions read them.
-pub fn roster_lines(held: &[mintstall_roster::Held]) -> Vec<RosterLine> {
-    let line = |held: &mintstall_roster::Held| RosterLine {
-        exchange: ExchangeId(held.entry.exchange),
-        office: OfficeNo(held.entry.office),
+pub fn roster_lines(held: &[mintstall_roster::Held]) -> Vec<ExchangeEntry> {
+    let line = |held: &mintstall_roster::Held| ExchangeEntry {
+        id: ExchangeId(held.entry.exchange),
+        number: ExchangeNumber(held.entry.office),
         zone: Zone(held.entry.region),
-        standing: match held.entry.standing {
-            Standing::Ready => HostStanding::Ready,
-            Standing::Draining => HostStanding::Draining,
-            Standing::Gone => HostStanding::Gone,
+        status: match held.entry.standing {
+            Standing::Ready => ExchangeStatus::Ready,
+            Standing::Draining => ExchangeStatus::Draining,
+            Standing::Gone => ExchangeStatus::Gone,
         },
         started: held.started,
     };
@@ -173,10 +174,10 @@
 }
 
 impl Plant for Wire<'_> {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.port.send(to, octets);
     }
-    fn close(&mut self, to: OfficeNo, why: &str) {
+    fn close(&mut self, to: ExchangeNumber, why: &str) {
         self.port.close_link(to, why);
     }
     fn answer(&mut self, call: CallId, answer: Answer) {
@@ -194,7 +195,7 @@
     /// `now` must be well above zero: it is the clock on which processors that started earlier are told.
     pub fn new(now: Duration, config: &Config, incarnation: u64, seed: u64) -> Self {
         let seed = own_seed(config.exchange, seed);
-        let shares = (0..).map(CustomerNo).zip(config.customers.iter().map(|customer| customer.share));
+        let shares = (0..).map(CustomerId).zip(config.customers.iter().map(|customer| customer.share));
         Self {
             office: Office::new(now, &config.plan(), incarnation, seed),
             admission: Admission::new(now, config.limits.limits(), shares.collect(), seed),
@@ -290,16 +291,16 @@
         Some(asker)
     }
 
-    pub fn link_up(&mut self, now: Duration, port: &mut dyn Port, to: OfficeNo) {
+    pub fn link_up(&mut self, now: Duration, port: &mut dyn Port, to: ExchangeNumber) {
         self.with(now, port, |office, wire| office.link_up(now, wire, to));
     }
 
-    pub fn link_down(&mut self, now: Duration, port: &mut dyn Port, to: OfficeNo) {
+    pub fn link_down(&mut self, now: Duration, port: &mut dyn Port, to: ExchangeNumber) {
         self.with(now, port, |office, wire| office.link_down(now, wire, to));
         self.take_ready(now, port);
     }
 
-    pub fn link_octets(&mut self, now: Duration, port: &mut dyn Port, from: OfficeNo, octets: &[u8]) {
+    pub fn link_octets(&mut self, now: Duration, port: &mut dyn Port, from: ExchangeNumber, octets: &[u8]) {
         self.with(now, port, |office, wire| office.octets(now, wire, from, octets));
         self.take_ready(now, port);
     }
@@ -589,7 +590,7 @@
     /// An offer goes to the decisions, with the time that its caller has left.
     fn take(&mut self, now: Duration, port: &mut dyn Port, pending: Pending) {
         let Pending { line, session, id, offer, since } = pending;
-        let customer = CustomerNo(offer.customer);
+        let customer = CustomerId(offer.customer);
         let Some(held) = self.lines.get_mut(&line) else {
             // Its line closed as its turn came: its place goes on.
             let log = &mut |text: &str| port.note(text);
@@ -687,7 +688,7 @@
     ) -> Result<(), Fault> {
         let held = self.lines.get_mut(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed =
-            self.tokens.check(held.token.as_deref(), Scope::Offer, Some(CustomerNo(offer.customer)));
+            self.tokens.check(held.token.as_deref(), Scope::Offer, Some(CustomerId(offer.customer)));
         allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
         if let Repeat::Answered(answered) = self.repeats.offer(now, held.session, offer.call) {
             id.iter().for_each(|id| port.say(line, &result_text(id, answered)));
@@ -698,7 +699,7 @@
         }
         let session = held.session;
         let pending = Pending { line, session, id: id.clone(), offer: offer.clone(), since: now };
-        let (customer, left) = (CustomerNo(offer.customer), Duration::from_millis(offer.time_left_ms.into()));
+        let (customer, left) = (CustomerId(offer.customer), Duration::from_millis(offer.time_left_ms.into()));
         let log = &mut |text: &str| port.note(text);
         let (verdict, displaced) = self.admission.offer(now, session, customer, left, pending, log);
         match verdict {
@@ -776,7 +777,7 @@
         allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
         let sees = self.tokens.named(held.token.as_deref()).map_or(Sees::All, Grant::sees);
         let mut traces = self.traces(get.origin, get.exchange_call);
-        traces.retain(|trace| sees.includes(CustomerNo(trace.customer)));
+        traces.retain(|trace| sees.includes(CustomerId(trace.customer)));
         if traces.is_empty() {
             let why = format!("call {} is not among the last calls", get.exchange_call);
             return Err(Fault::new(code::UNKNOWN_CALL, why));
@@ -841,7 +842,9 @@
                 new
             }
             FeedNote::Circuits { to, in_service } => {
-                self.with(now, port, |office, wire| office.circuits(now, wire, OfficeNo(*to), *in_service));
+                self.with(now, port, |office, wire| {
+                    office.circuits(now, wire, ExchangeNumber(*to), *in_service)
+                });
                 false
             }
             FeedNote::Processor(note) => {
@@ -882,7 +885,7 @@
     /// What became here of a call that an exchange took; of one taken here, where none is named.
     pub fn traces(&self, origin: Option<u16>, call: u64) -> Vec<CallTrace> {
         match origin.filter(|origin| *origin != self.office.own().0) {
-            Some(origin) => self.office.traces_of(OfficeNo(origin), call).map(trace_json).collect(),
+            Some(origin) => self.office.traces_of(ExchangeNumber(origin), call).map(trace_json).collect(),
             None => self.office.trace(CallId(call)).into_iter().map(trace_json).collect(),
         }
     }
@@ -973,11 +976,11 @@
 pub fn order(offer: &Offer) -> Order {
     Order {
         call_type: CallType(offer.call_type),
-        customer: CustomerNo(offer.customer),
-        dest: OfficeNo(offer.dest),
-        dialled: Dialled(offer.number),
+        customer: CustomerId(offer.customer),
+        dest: ExchangeNumber(offer.dest),
+        dialled: DialledNumber(offer.number),
         left: Duration::from_millis(offer.time_left_ms.into()),
-        advised: offer.advised.map(OfficeNo),
+        advised: offer.advised.map(ExchangeNumber),
         cut: offer.cut,
         redial: offer.redial,
     }
@@ -986,7 +989,7 @@
 pub fn final_answer(answer: Answer) -> Final {
     match answer {
         Answer::Stands => Final::Stands,
-        Answer::Refused { come_back } => Final::Refused { come_back_ms: come_back.as_millis() as u32 },
+        Answer::Refused { retry_after } => Final::Refused { come_back_ms: retry_after.as_millis() as u32 },
         Answer::Fails => Final::Fails,
     }
 }
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use mintstall::host::OfficeNo;
+use mintstall::interface::ExchangeNumber;
 use mintstall_callapi::{Fault, LineCutter, code, fault_text, result_text};
 use mintstall_isup::{Deframer, Frame};
 use mintstall_limits::{Due, Patience, Vigil};
@@ -65,7 +65,7 @@
 enum Purpose {
     /// Dialled, not connected yet.
     Dialling(Dialled),
-    Link(OfficeNo),
+    Link(ExchangeNumber),
     /// Came in on the signalling port and has not said who it is.
     Stranger {
         deframer: Deframer,
@@ -87,7 +87,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Dialled {
-    Link(OfficeNo),
+    Link(ExchangeNumber),
     Directory,
 }
 
@@ -118,7 +118,7 @@
 struct Wires {
     poll: Poll,
     connections: BTreeMap<Token, Connection>,
-    links: BTreeMap<OfficeNo, Token>,
+    links: BTreeMap<ExchangeNumber, Token>,
     lines: BTreeMap<LineNo, Token>,
     directory: Option<Token>,
     /// Who has not said which exchange it is; clients over WebSocket.
@@ -242,10 +242,10 @@
 }
 
 impl Port for Wires {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.push(self.links.get(&to).copied(), &[octets]);
     }
-    fn close_link(&mut self, to: OfficeNo, why: &str) {
+    fn close_link(&mut self, to: ExchangeNumber, why: &str) {
         self.close(self.links.get(&to).copied(), why);
     }
     fn say(&mut self, line: LineNo, text: &str) {
@@ -346,7 +346,8 @@
         let now = Instant::now();
         let redial = |to| Redial { to, failures: 0, due: Some(now) };
         let links = config.signalling.links.iter();
-        let links = links.filter_map(|link| Some((Dialled::Link(OfficeNo(link.to)), redial(link.connect?))));
+        let links =
+            links.filter_map(|link| Some((Dialled::Link(ExchangeNumber(link.to)), redial(link.connect?))));
         let directory =
             config.directory.iter().map(|directory| (Dialled::Directory, redial(directory.connect)));
         // Milliseconds since 2020 as the number of this start: it grows, and fits for a century.
@@ -686,7 +687,7 @@
         }
     }
 
-    fn link_open(&mut self, token: Token, to: OfficeNo) {
+    fn link_open(&mut self, token: Token, to: ExchangeNumber) {
         let now = self.now();
         // The far end may come back before its old connection is known to be dead.
         if let Some(before) = self.wires.links.insert(to, token) {
@@ -777,7 +778,9 @@
                 deframer.push(octets);
                 let asp = match deframer.next().map(|frame| frame.map(Frame::read)) {
                     Ok(None) => return,
-                    Ok(Some(Ok(Frame::AspUp { asp: Some(asp) }))) => u16::try_from(asp).ok().map(OfficeNo),
+                    Ok(Some(Ok(Frame::AspUp { asp: Some(asp) }))) => {
+                        u16::try_from(asp).ok().map(ExchangeNumber)
+                    }
                     _ => None,
                 };
                 let held = std::mem::take(held);
--- a/crates/daemon/tests/admission.rs
+++ b/crates/daemon/tests/admission.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use mintstall::host::OfficeNo;
+use mintstall::interface::ExchangeNumber;
 use mintstall_callapi::{Asked, Final, Hangup, Heard, Offer, Request};
 use mintstall_daemon::config::LimitsPlan;
 use mintstall_daemon::exchange::{Exchange, LineNo, Port, own_seed};
@@ -22,10 +22,10 @@
 }
 
 impl Port for Wires {
-    fn send(&mut self, _: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, _: ExchangeNumber, octets: &[u8]) {
         self.sent.push(octets.to_vec());
     }
-    fn close_link(&mut self, _: OfficeNo, why: &str) {
+    fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
     fn say(&mut self, line: LineNo, text: &str) {
@@ -279,10 +279,10 @@
 }
 
 impl Port for Ear<'_> {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.wires.send(to, octets);
     }
-    fn close_link(&mut self, _: OfficeNo, why: &str) {
+    fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
     fn say(&mut self, _: LineNo, text: &str) {
@@ -520,7 +520,7 @@
 
 #[test]
 fn controllers_with_one_configured_seed_do_not_draw_alike() {
-    let draw = |exchange: u16| mintstall::chance::Chance::new(own_seed(exchange, 7)).below_one();
+    let draw = |exchange: u16| mintstall::random::MwcRng::new(own_seed(exchange, 7)).next_f64();
     let thousandths: BTreeSet<u32> = (1..=100).map(|exchange| (draw(exchange) * 1e3) as u32).collect();
     assert!(thousandths.len() >= 90, "{thousandths:?}");
 }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,13 +1,13 @@
 //! A controller of exchange 1 with one link, to an exchange 2 that the tests play.
 
-use mintstall::host::OfficeNo;
+use mintstall::interface::ExchangeNumber;
 use mintstall_daemon::Config;
 use mintstall_daemon::config::LimitsPlan;
 use mintstall_isup::{Body, Cic, Data, Deframer, Frame, Message, RangeStatus};
 use mintstall_roster::FeedNote;
 use serde_json::json;
 
-pub const FAR: OfficeNo = OfficeNo(2);
+pub const FAR: ExchangeNumber = ExchangeNumber(2);
 
 pub fn config(limits: LimitsPlan) -> Config {
     let config: Config = serde_json::from_value(json!({
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use mintstall::host::OfficeNo;
+use mintstall::interface::ExchangeNumber;
 use mintstall_callapi::{Final, Offer};
 use mintstall_client::{Event, Plan, Session};
 use mintstall_daemon::config::LimitsPlan;
@@ -26,10 +26,10 @@
 }
 
 impl Port for Wires {
-    fn send(&mut self, _: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, _: ExchangeNumber, octets: &[u8]) {
         self.sent.push(octets.to_vec());
     }
-    fn close_link(&mut self, _: OfficeNo, why: &str) {
+    fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
     fn say(&mut self, line: LineNo, text: &str) {
--- a/crates/lab/benches/ordinary_call.rs
+++ b/crates/lab/benches/ordinary_call.rs
@@ -431,10 +431,10 @@
         answers: usize,
     }
     impl Port for Far {
-        fn send(&mut self, _: mintstall::host::OfficeNo, octets: &[u8]) {
+        fn send(&mut self, _: mintstall::interface::ExchangeNumber, octets: &[u8]) {
             far_says(octets, &mut self.out);
         }
-        fn close_link(&mut self, _: mintstall::host::OfficeNo, why: &str) {
+        fn close_link(&mut self, _: mintstall::interface::ExchangeNumber, why: &str) {
             panic!("{why}");
         }
         fn say(&mut self, _: LineNo, _: &str) {
@@ -460,7 +460,7 @@
         age_ms: None,
     };
     let news = mintstall_roster::News { version: 1, since: None, entries: vec![entry(1), entry(2)] };
-    let far_no = mintstall::host::OfficeNo(2);
+    let far_no = mintstall::interface::ExchangeNumber(2);
     let mut far = Far { out: Vec::new(), answers: 0 };
     exchange.feed_note(now, &mut far, &mintstall_roster::FeedNote::Roster(news));
     exchange.line_open(now).expect("a line");
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use mintstall::host::{CallId, OfficeNo};
+use mintstall::interface::{CallId, ExchangeNumber};
 use mintstall_callapi::Final;
 use mintstall_daemon::exchange::{final_answer, how_ended, order, processor_report};
 use mintstall_daemon::roster_lines;
@@ -44,10 +44,10 @@
 }
 
 impl Plant for Notebook {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.did.push(Did::Octets(to.0, octets.to_vec()));
     }
-    fn close(&mut self, to: OfficeNo, _: &str) {
+    fn close(&mut self, to: ExchangeNumber, _: &str) {
         self.did.push(Did::Closed(to.0));
     }
     fn answer(&mut self, call: CallId, answer: Answer) {
@@ -214,14 +214,18 @@
                 }
             }
             Act::Up { office, to } => {
-                self.with(now, office, w, |seat, now, plant| seat.office.link_up(now, plant, OfficeNo(to)));
+                self.with(now, office, w, |seat, now, plant| {
+                    seat.office.link_up(now, plant, ExchangeNumber(to))
+                });
             }
             Act::Down { office, to } => {
-                self.with(now, office, w, |seat, now, plant| seat.office.link_down(now, plant, OfficeNo(to)));
+                self.with(now, office, w, |seat, now, plant| {
+                    seat.office.link_down(now, plant, ExchangeNumber(to))
+                });
             }
             Act::Octets { office, from, octets } => {
                 self.with(now, office, w, |seat, now, plant| {
-                    seat.office.octets(now, plant, OfficeNo(from), &octets)
+                    seat.office.octets(now, plant, ExchangeNumber(from), &octets)
                 });
             }
             Act::Offer { office, offer } => self.with(now, office, w, |seat, now, plant| {
@@ -259,7 +263,7 @@
             }
             Act::Circuits { office, to, in_service } => {
                 self.with(now, office, w, |seat, now, plant| {
-                    seat.office.circuits(now, plant, OfficeNo(to), in_service);
+                    seat.office.circuits(now, plant, ExchangeNumber(to), in_service);
                 });
             }
             Act::Report { office, rate } => {
--- a/crates/lab/tests/model/controllers.rs
+++ b/crates/lab/tests/model/controllers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use mintstall::Controller;
-use mintstall::host::*;
+use mintstall::interface::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -27,12 +27,12 @@
 #[derive(Clone, Copy, Debug)]
 enum Next {
     Offer,
-    Alarm(u16, u32, AlarmId),
+    Alarm(u16, u32, TimerId),
     Ends(Whose, u8, u32, Cause),
     Stands(Whose, u8, u32),
     HangsUp(Whose),
     Reports(u16, u32),
-    Lists(u16, RosterLine),
+    Lists(u16, ExchangeEntry),
     Trouble,
     Kill(u16),
     Start(u16),
@@ -117,7 +117,7 @@
     }
 }
 
-impl Host for Hand<'_> {
+impl ControllerActions for Hand<'_> {
     fn seize(&mut self, call: CallId, to: ExchangeId, limit: Duration) {
         let whose = self.whose(call);
         let w = &mut *self.world;
@@ -134,7 +134,7 @@
         };
         w.after(way.min(limit), next);
     }
-    fn cancel(&mut self, call: CallId, seizure: SeizureNo) {
+    fn cancel(&mut self, call: CallId, seizure: SeizureNumber) {
         let whose = self.whose(call);
         let Some(out) = self.world.out.get(&whose).copied().filter(|out| out.no == seizure.0) else { return };
         // The answer may be on its way already, and comes all the same.
@@ -151,29 +151,29 @@
         let whose = self.whose(call);
         self.world.close(whose, What::Answered(Answer::Fails));
     }
-    fn alarm(&mut self, after: Duration, alarm: AlarmId) {
+    fn set_timer(&mut self, after: Duration, timer: TimerId) {
         let (no, life) = self.who;
-        self.world.after(Duration::from_micros(after.as_micros() as u64), Next::Alarm(no, life, alarm));
+        self.world.after(Duration::from_micros(after.as_micros() as u64), Next::Alarm(no, life, timer));
     }
-    fn tell(&mut self, _: Option<PeerNo>, _: &[u8]) {}
+    fn send_to_peers(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn subscribe(&mut self) {}
     fn log(&mut self, _: &str) {}
 }
 
-fn data(own: u16) -> OfficeData {
+fn data(own: u16) -> ControllerConfig {
     let kinds = vec![
-        call_type(1.0, 1, Repeats::Freely),
-        call_type(8.0, 1, Repeats::Freely),
-        call_type(3.0, 3, Repeats::Never),
+        call_type(1.0, 1, RepeatPolicy::Freely),
+        call_type(8.0, 1, RepeatPolicy::Freely),
+        call_type(3.0, 3, RepeatPolicy::Never),
     ];
-    OfficeData { may_tell: own == 3, ..office_data(own, kinds) }
+    ControllerConfig { may_message_peers: own == 3, ..office_data(own, kinds) }
 }
 
 struct Table {
     world: World,
     controllers: Vec<Option<Controller>>,
     lives: Vec<u32>,
-    lists: Vec<BTreeMap<u32, RosterLine>>,
+    lists: Vec<BTreeMap<u32, ExchangeEntry>>,
     /// The machine that each office has now.
     machines: BTreeMap<u16, u32>,
     last_call: u64,
@@ -194,14 +194,15 @@
         hung: BTreeMap::new(),
         easy: run.crowd,
     };
-    let line = |office: u16| RosterLine {
-        exchange: ExchangeId(office.into()),
-        office: OfficeNo(office),
+    let line = |office: u16| ExchangeEntry {
+        id: ExchangeId(office.into()),
+        number: ExchangeNumber(office),
         zone: Zone((office % 2) as u8),
-        standing: Standing::Ready,
+        status: ExchangeStatus::Ready,
         started: Duration::ZERO,
     };
-    let list: BTreeMap<u32, RosterLine> = (1..=OFFICES).map(|office| (office.into(), line(office))).collect();
+    let list: BTreeMap<u32, ExchangeEntry> =
+        (1..=OFFICES).map(|office| (office.into(), line(office))).collect();
     let mut table = Table {
         world,
         controllers: (0..CONTROLLERS).map(|_| None).collect(),
@@ -247,13 +248,15 @@
         match next {
             Next::Offer => self.offer(),
             Next::Alarm(no, life, alarm) if self.lives((no, life, 0)) => {
-                self.with(no, |controller, now, hand| controller.rings(now, hand, alarm));
+                self.with(no, |controller, now, hand| controller.on_timer(now, hand, alarm));
             }
             Next::Ends(whose, no, to, cause) if self.lives(whose) => self.ends(whose, no, to, cause),
             Next::Stands(whose, no, to) if self.lives(whose) => self.stands(whose, no, to),
             Next::HangsUp(whose) if self.lives(whose) && !self.world.closed.contains(&whose) => {
                 self.world.close(whose, What::Withdrawn);
-                self.with(whose.0, |controller, now, hand| controller.withdrawn(now, hand, CallId(whose.2)));
+                self.with(whose.0, |controller, now, hand| {
+                    controller.on_caller_gone(now, hand, CallId(whose.2))
+                });
             }
             Next::Reports(no, to) => {
                 let easy = self.world.easy;
@@ -261,9 +264,9 @@
                     if easy { 500.0 } else { [0.0, 1.0, 3.0, 20.0][self.world.chance.random_range(0..4)] };
                 let tells = !easy && self.world.chance.random_bool(0.2);
                 let rate = tells.then(|| self.world.chance.random_range(5.0..80.0));
-                let report = Report { free: Some(free), size: Some(500.0), rate };
+                let report = CapacityReport { free: Some(free), size: Some(500.0), rate };
                 self.with(no, |controller, now, hand| {
-                    controller.reported(now, hand, ExchangeId(to), &report)
+                    controller.on_capacity_report(now, hand, ExchangeId(to), &report)
                 });
             }
             Next::Lists(no, line) => self.lists(no, line),
@@ -286,7 +289,7 @@
                 // With nothing but the last list.
                 let lines: Vec<_> = self.lists[at].values().copied().collect();
                 lines.iter().for_each(|line| self.note_told(no, line));
-                self.with(no, |controller, now, hand| controller.roster(now, hand, &lines));
+                self.with(no, |controller, now, hand| controller.on_membership(now, hand, &lines));
                 let ends: Vec<u32> = self.lists[at].keys().copied().collect();
                 ends.iter().for_each(|to| self.act(Next::Reports(no, *to)));
             }
@@ -314,25 +317,25 @@
             return;
         }
         let whose = (no, self.lives[at], self.last_call);
-        let offer = Offer {
+        let offer = CallOffer {
             call: CallId(self.last_call),
             call_type: CallType(call_type),
-            customer: CustomerNo(0),
-            dialled: Dialled(if self.run.crowd { 0 } else { dialled }),
-            until: w.now + ms(left),
-            dest: OfficeNo(dest),
+            customer: CustomerId(0),
+            dialled: DialledNumber(if self.run.crowd { 0 } else { dialled }),
+            deadline: w.now + ms(left),
+            dest: ExchangeNumber(dest),
             width: if call_type == 2 { 3 } else { 1 },
-            advised: w.chance.random_bool(0.3).then_some(OfficeNo(any)),
+            advised: w.chance.random_bool(0.3).then_some(ExchangeNumber(any)),
             transit,
             cut: false,
             redial: false,
         };
-        w.model.note(w.now, whose, What::Taken { until: offer.until });
+        w.model.note(w.now, whose, What::Taken { until: offer.deadline });
         if w.chance.random_bool(0.2) {
             let span = w.span(0, left - 10);
             w.after(span, Next::HangsUp(whose));
         }
-        self.with(no, |controller, now, hand| controller.offered(now, hand, offer));
+        self.with(no, |controller, now, hand| controller.on_offer(now, hand, offer));
     }
 
     fn ends(&mut self, whose: Whose, no: u8, to: u32, cause: Cause) {
@@ -348,9 +351,9 @@
         };
         w.model.note(w.now, whose, What::Ended { how });
         let (after, closed) = (w.now - out.at, w.closed.contains(&whose));
-        let (call, seizure, exchange) = (CallId(whose.2), SeizureNo(no), ExchangeId(to));
-        let end = Ended { call, seizure, exchange, cause, after, closed };
-        self.with(whose.0, |controller, now, hand| controller.ended(now, hand, &end));
+        let (call, seizure, exchange) = (CallId(whose.2), SeizureNumber(no), ExchangeId(to));
+        let end = SeizureEnded { call, seizure, exchange, cause, elapsed: after, closed };
+        self.with(whose.0, |controller, now, hand| controller.on_seizure_ended(now, hand, &end));
     }
 
     fn stands(&mut self, whose: Whose, no: u8, to: u32) {
@@ -364,36 +367,36 @@
             w.close(whose, What::Answered(Answer::Stands));
         }
         let after = w.now - out.at;
-        let (call, seizure, exchange) = (CallId(whose.2), SeizureNo(no), ExchangeId(to));
-        let stood = Stood { call, seizure, exchange, after };
-        self.with(whose.0, |controller, now, hand| controller.stands(now, hand, &stood));
+        let (call, seizure, exchange) = (CallId(whose.2), SeizureNumber(no), ExchangeId(to));
+        let stood = SeizureAnswered { call, seizure, exchange, elapsed: after };
+        self.with(whose.0, |controller, now, hand| controller.on_seizure_answered(now, hand, &stood));
         // And ends some time, which is told too.
         let cause = if self.world.chance.random_bool(0.2) { Cause::Cut } else { Cause::Done };
-        let end = Ended { call, seizure, exchange, cause, after, closed: true };
-        self.with(whose.0, |controller, now, hand| controller.ended(now, hand, &end));
+        let end = SeizureEnded { call, seizure, exchange, cause, elapsed: after, closed: true };
+        self.with(whose.0, |controller, now, hand| controller.on_seizure_ended(now, hand, &end));
     }
 
-    fn note_told(&mut self, no: u16, line: &RosterLine) {
+    fn note_told(&mut self, no: u16, line: &ExchangeEntry) {
         let who = (no, self.lives[usize::from(no) - 1], 0);
-        let what = What::Told { exchange: line.exchange.0, takes: line.standing == Standing::Ready };
+        let what = What::Told { exchange: line.id.0, takes: line.status == ExchangeStatus::Ready };
         self.world.model.note(self.world.now, who, what);
     }
 
-    fn lists(&mut self, no: u16, line: RosterLine) {
+    fn lists(&mut self, no: u16, line: ExchangeEntry) {
         let at = usize::from(no) - 1;
-        self.lists[at].insert(line.exchange.0, line);
-        if line.standing == Standing::Gone {
-            self.lists[at].remove(&line.exchange.0);
+        self.lists[at].insert(line.id.0, line);
+        if line.status == ExchangeStatus::Gone {
+            self.lists[at].remove(&line.id.0);
         }
         if self.controllers[at].is_some() {
             self.note_told(no, &line);
-            self.with(no, |controller, now, hand| controller.roster_changes(now, hand, &[line]));
-            self.act(Next::Reports(no, line.exchange.0));
+            self.with(no, |controller, now, hand| controller.on_membership_changes(now, hand, &[line]));
+            self.act(Next::Reports(no, line.id.0));
         }
     }
 
     /// Everyone is told, each in its own time.
-    fn tell_all(&mut self, from_ms: u64, line: RosterLine) {
+    fn tell_all(&mut self, from_ms: u64, line: ExchangeEntry) {
         for no in 1..=CONTROLLERS {
             let span = self.world.span(from_ms, from_ms + 400);
             self.world.after(span, Next::Lists(no, line));
@@ -409,11 +412,11 @@
         let office = if self.run.crowd { OFFICES } else { self.world.chance.random_range(1..=OFFICES) };
         let machine = self.machines[&office];
         let zone = Zone((office % 2) as u8);
-        let line = |exchange, standing, started| RosterLine {
-            exchange: ExchangeId(exchange),
-            office: OfficeNo(office),
+        let line = |exchange, standing, started| ExchangeEntry {
+            id: ExchangeId(exchange),
+            number: ExchangeNumber(office),
             zone,
-            standing,
+            status: standing,
             started,
         };
         // A crowd finds one machine that has just started.
@@ -422,12 +425,15 @@
             0..3 if !(self.run.crowd && replaced) => {
                 // Drained, gone, and replaced by a cold machine; or the replacement is told first.
                 let next = machine + MACHINE;
-                self.tell_all(0, line(machine, Standing::Draining, Duration::ZERO));
+                self.tell_all(0, line(machine, ExchangeStatus::Draining, Duration::ZERO));
                 let started = self.world.now;
                 self.world.model.note(started, (0, 0, 0), What::Started { exchange: next });
-                self.tell_all(self.run.lasts.as_millis() as u64 / 8, line(next, Standing::Ready, started));
+                self.tell_all(
+                    self.run.lasts.as_millis() as u64 / 8,
+                    line(next, ExchangeStatus::Ready, started),
+                );
                 let gone = self.world.span(0, 3000).as_millis() as u64;
-                self.tell_all(gone, line(machine, Standing::Gone, Duration::ZERO));
+                self.tell_all(gone, line(machine, ExchangeStatus::Gone, Duration::ZERO));
                 self.machines.insert(office, next);
             }
             3..6 if !self.run.crowd => {
--- a/crates/lab/tests/model/main.rs
+++ b/crates/lab/tests/model/main.rs
@@ -9,15 +9,15 @@
 
 use std::time::Duration;
 
-use mintstall::host::{CallTypeData, OfficeData, OfficeNo, Repeats};
+use mintstall::interface::{CallTypeConfig, ControllerConfig, ExchangeNumber, RepeatPolicy};
 use rules::{Ending, Figures, Model, What};
 
 fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-fn call_type(revenue: f64, width: u16, repeats: Repeats) -> CallTypeData {
-    CallTypeData {
+fn call_type(revenue: f64, width: u16, repeats: RepeatPolicy) -> CallTypeConfig {
+    CallTypeConfig {
         setup_target: ms(800),
         guard_time: ms(4000),
         revenue,
@@ -29,20 +29,20 @@
 }
 
 /// What the real code is told, with the figures of the rules; one exchange may not cancel.
-fn office_data(own: u16, call_types: Vec<CallTypeData>) -> OfficeData {
-    OfficeData {
-        own: Some(OfficeNo(own)),
+fn office_data(own: u16, call_types: Vec<CallTypeConfig>) -> ControllerConfig {
+    ControllerConfig {
+        own: Some(ExchangeNumber(own)),
         call_types,
         seizure_limit: 5,
         may_cancel: own != 2,
-        longest_come_back: ms(2000),
+        max_retry_after: ms(2000),
         must_subscribe: false,
-        may_tell: false,
-        fall_multiple: 2.5,
+        may_message_peers: false,
+        overload_multiple: 2.5,
         cold_share: 0.3,
         warm_up: ms(10_000),
         release_wait: ms(200),
-        repeat_after: Duration::ZERO,
+        retransmit_after: Duration::ZERO,
     }
 }
 
--- a/crates/lab/tests/model/offices.rs
+++ b/crates/lab/tests/model/offices.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use mintstall::host::*;
+use mintstall::interface::*;
 use mintstall_isup::{Body, Cic, Deframer, Frame, Iam, Message, Q850};
 use mintstall_office::{
     Answer as Final, CallEnd, GroupPlan, NumberPlan, Office, OfficePlan, Order, Plant, Tally, Timers,
@@ -58,10 +58,10 @@
 }
 
 impl Plant for Notebook {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push((to.0, octets.to_vec()));
     }
-    fn close(&mut self, to: OfficeNo, _: &str) {
+    fn close(&mut self, to: ExchangeNumber, _: &str) {
         self.closed.push(to.0);
     }
     fn answer(&mut self, call: CallId, answer: Final) {
@@ -99,7 +99,7 @@
     Ring(u16),
     Octets { from: u16, to: u16, link: u64, octets: Vec<u8> },
     Up(u16, u16),
-    Lists(u16, RosterLine),
+    Lists(u16, ExchangeEntry),
     Trouble,
     Stop(u16),
     Gone(u16),
@@ -121,7 +121,7 @@
     model: Model,
     seats: BTreeMap<u16, Seat>,
     lives: BTreeMap<u16, u32>,
-    lists: BTreeMap<u16, BTreeMap<u32, RosterLine>>,
+    lists: BTreeMap<u16, BTreeMap<u32, ExchangeEntry>>,
     machines: BTreeMap<u16, u32>,
     /// Each connection has a number; octets of one that is gone are lost. None: it is down.
     links: BTreeMap<(u16, u16), Option<u64>>,
@@ -159,15 +159,15 @@
 
 fn plan(own: u16, count: u16) -> OfficePlan {
     let kinds = vec![
-        call_type(1.0, 1, Repeats::Freely),
-        call_type(3.0, 3, Repeats::Freely),
-        call_type(8.0, 1, Repeats::Never),
+        call_type(1.0, 1, RepeatPolicy::Freely),
+        call_type(3.0, 3, RepeatPolicy::Freely),
+        call_type(8.0, 1, RepeatPolicy::Never),
     ];
     let others = (1..=count).filter(|other| *other != own);
     OfficePlan {
-        own: OfficeNo(own),
-        data: OfficeData { may_tell: true, ..office_data(own, kinds) },
-        groups: others.map(|to| GroupPlan { to: OfficeNo(to), circuits: CIRCUITS }).collect(),
+        own: ExchangeNumber(own),
+        data: ControllerConfig { may_message_peers: true, ..office_data(own, kinds) },
+        groups: others.map(|to| GroupPlan { to: ExchangeNumber(to), circuits: CIRCUITS }).collect(),
         numbers: vec![NumberPlan { dialled: 77, lines: 1 }],
         timers: timers(),
         most_calls: 1000,
@@ -197,14 +197,14 @@
 
 pub fn play(run: Run) -> Played {
     let count = run.offices;
-    let line = |office: u16| RosterLine {
-        exchange: ExchangeId(office.into()),
-        office: OfficeNo(office),
+    let line = |office: u16| ExchangeEntry {
+        id: ExchangeId(office.into()),
+        number: ExchangeNumber(office),
         zone: Zone(0),
-        standing: Standing::Ready,
+        status: ExchangeStatus::Ready,
         started: Duration::ZERO,
     };
-    let list: BTreeMap<u32, RosterLine> = (1..=count).map(|no| (no.into(), line(no))).collect();
+    let list: BTreeMap<u32, ExchangeEntry> = (1..=count).map(|no| (no.into(), line(no))).collect();
     let pairs = (1..=count).flat_map(|a| (a + 1..=count).map(move |b| (a, b)));
     let mut w = World {
         now: START,
@@ -298,7 +298,7 @@
                     return self.after(span, Next::Octets { from, to, link: carried, octets });
                 }
                 with_message(&octets, &mut |message| self.came(from, to, message));
-                self.with(to, |office, now, plant| office.octets(now, plant, OfficeNo(from), &octets));
+                self.with(to, |office, now, plant| office.octets(now, plant, ExchangeNumber(from), &octets));
             }
             Next::Up(a, b) => {
                 if self.links[&link(a, b)].is_some() {
@@ -309,16 +309,16 @@
                 }
                 self.last_link += 1;
                 self.links.insert(link(a, b), Some(self.last_link));
-                self.with(a, |office, now, plant| office.link_up(now, plant, OfficeNo(b)));
-                self.with(b, |office, now, plant| office.link_up(now, plant, OfficeNo(a)));
+                self.with(a, |office, now, plant| office.link_up(now, plant, ExchangeNumber(b)));
+                self.with(b, |office, now, plant| office.link_up(now, plant, ExchangeNumber(a)));
             }
             Next::Lists(no, line) => {
                 let list = self.lists.get_mut(&no).unwrap();
-                list.insert(line.exchange.0, line);
-                if line.standing == Standing::Gone {
-                    list.remove(&line.exchange.0);
+                list.insert(line.id.0, line);
+                if line.status == ExchangeStatus::Gone {
+                    list.remove(&line.id.0);
                 }
-                self.note_told(no, line.office.0);
+                self.note_told(no, line.number.0);
                 self.with(no, |office, now, plant| office.roster_changes(now, plant, &[line]));
             }
             Next::Trouble => self.trouble(),
@@ -338,7 +338,7 @@
                 let office = Office::new(self.now, &plan(no, self.run.offices), u64::from(life) << 11, seed);
                 self.seats.insert(no, Seat { office, life, stopping: None, let_go: None });
                 let lines: Vec<_> = self.lists[&no].values().copied().collect();
-                lines.iter().for_each(|line| self.note_told(no, line.office.0));
+                lines.iter().for_each(|line| self.note_told(no, line.number.0));
                 self.with(no, |office, now, plant| office.roster(now, plant, &lines));
                 self.others(no).into_iter().for_each(|other| self.after(ms(10), Next::Up(no, other)));
             }
@@ -348,7 +348,7 @@
 
     /// Whether any machine at an office takes new calls, as an office has been told.
     fn note_told(&mut self, no: u16, at: u16) {
-        let takes = |line: &RosterLine| line.office.0 == at && line.standing == Standing::Ready;
+        let takes = |line: &ExchangeEntry| line.number.0 == at && line.status == ExchangeStatus::Ready;
         let takes = self.lists[&no].values().any(takes);
         let who = (no, self.life(no), 0);
         self.model.note(self.now, who, What::Told { exchange: at.into(), takes });
@@ -611,9 +611,9 @@
         let dialled = if self.chance.random_bool(0.05) { 77 } else { self.chance.random_range(1000..1400) };
         let order = Order {
             call_type: CallType(self.chance.random_range(0..3)),
-            customer: CustomerNo(0),
-            dest: OfficeNo(dest),
-            dialled: Dialled(dialled),
+            customer: CustomerId(0),
+            dest: ExchangeNumber(dest),
+            dialled: DialledNumber(dialled),
             left: ms(left),
             advised: None,
             cut: false,
@@ -646,7 +646,7 @@
             while let Some(end) = next(self) {
                 self.lost(end, Ending::Reset, What::Withdrawn, Some(Line::Closing(end.2)));
             }
-            self.with(no, |office, now, plant| office.link_down(now, plant, OfficeNo(far)));
+            self.with(no, |office, now, plant| office.link_down(now, plant, ExchangeNumber(far)));
         }
         let span = self.span(50, 2000);
         self.after(span, Next::Up(a, b));
@@ -730,22 +730,25 @@
             6..7 => self.act(Next::Stop(no)),
             _ => {
                 let machine = self.machines[&no];
-                let line = |exchange, standing, started| RosterLine {
-                    exchange: ExchangeId(exchange),
-                    office: OfficeNo(no),
+                let line = |exchange, standing, started| ExchangeEntry {
+                    id: ExchangeId(exchange),
+                    number: ExchangeNumber(no),
                     zone: Zone(0),
-                    standing,
+                    status: standing,
                     started,
                 };
                 let (now, cold) = (self.now, machine + MACHINE);
                 self.machines.insert(no, cold);
                 for other in 1..=self.run.offices {
                     let (first, second) = (self.span(0, 500), self.span(600, 1500));
-                    self.after(first, Next::Lists(other, line(machine, Standing::Draining, Duration::ZERO)));
-                    self.after(second, Next::Lists(other, line(cold, Standing::Ready, now)));
+                    self.after(
+                        first,
+                        Next::Lists(other, line(machine, ExchangeStatus::Draining, Duration::ZERO)),
+                    );
+                    self.after(second, Next::Lists(other, line(cold, ExchangeStatus::Ready, now)));
                     self.after(
                         second + ms(100),
-                        Next::Lists(other, line(machine, Standing::Gone, Duration::ZERO)),
+                        Next::Lists(other, line(machine, ExchangeStatus::Gone, Duration::ZERO)),
                     );
                 }
                 self.model.note(now, (0, 0, 0), What::Started { exchange: no.into() });
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use mintstall::host::*;
+use mintstall::interface::*;
 use mintstall_callapi::{Asked, Final, Heard, Offer, Request};
 use mintstall_client::{Redial, RedialPlan};
 use mintstall_daemon::Config;
@@ -26,10 +26,10 @@
 }
 
 impl Port for Wires {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push_back((1, to.0, octets.to_vec()));
     }
-    fn close_link(&mut self, _: OfficeNo, why: &str) {
+    fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
     fn say(&mut self, _: LineNo, text: &str) {
@@ -46,10 +46,10 @@
 }
 
 impl Plant for Wires {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push_back((self.from, to.0, octets.to_vec()));
     }
-    fn close(&mut self, _: OfficeNo, why: &str) {
+    fn close(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
     fn answer(&mut self, _: CallId, _: Answer) {}
@@ -92,11 +92,11 @@
     fn new(far: Far, direct: u16) -> Self {
         let own = config(1, &[(DEST, direct), (TANDEMS[0], 310), (TANDEMS[1], 310)]);
         let lines: Vec<_> = (1..=4)
-            .map(|no| RosterLine {
-                exchange: ExchangeId(no),
-                office: OfficeNo(no as u16),
+            .map(|no| ExchangeEntry {
+                id: ExchangeId(no),
+                number: ExchangeNumber(no as u16),
                 zone: Zone(0),
-                standing: Standing::Ready,
+                status: ExchangeStatus::Ready,
                 started: Duration::ZERO,
             })
             .collect();
@@ -111,13 +111,13 @@
         let (tandems, set_ups) = (TANDEMS.map(|no| (no, tandem(no))).into(), BTreeMap::new());
         let mut net = Self { now: START, first, tandems, wires, far, line, set_ups };
         for to in [DEST, TANDEMS[0], TANDEMS[1]] {
-            net.first.link_up(START, &mut net.wires, OfficeNo(to));
+            net.first.link_up(START, &mut net.wires, ExchangeNumber(to));
         }
         for no in TANDEMS {
             net.wires.from = no;
             let office = net.tandems.get_mut(&no).unwrap();
             office.roster(START, &mut net.wires, &lines);
-            [1, DEST].iter().for_each(|to| office.link_up(START, &mut net.wires, OfficeNo(*to)));
+            [1, DEST].iter().for_each(|to| office.link_up(START, &mut net.wires, ExchangeNumber(*to)));
         }
         net.carry();
         net
@@ -173,7 +173,7 @@
 
     fn give(&mut self, from: u16, to: u16, octets: &[u8]) {
         self.wires.from = to;
-        let (now, far) = (self.now, OfficeNo(from));
+        let (now, far) = (self.now, ExchangeNumber(from));
         match to {
             1 => self.first.link_octets(now, &mut self.wires, far, octets),
             DEST => {
--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mintstall::host::CustomerNo;
+use mintstall::interface::CustomerId;
 
 use crate::gate::{Gate, Limits, Opening, Refusal, SessionNo};
 use crate::turns::Turns;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 struct Offered<T> {
     session: SessionNo,
-    customer: CustomerNo,
+    customer: CustomerId,
     item: T,
 }
 
@@ -47,7 +47,7 @@
 const COME_BACK: Duration = Duration::from_millis(500);
 
 impl<T> Admission<T> {
-    pub fn new(now: Duration, limits: Limits, shares: BTreeMap<CustomerNo, f64>, seed: u64) -> Self {
+    pub fn new(now: Duration, limits: Limits, shares: BTreeMap<CustomerId, f64>, seed: u64) -> Self {
         let turns = Turns::new(limits.waiting, shares);
         Self { gate: Gate::new(now, limits, seed), turns, unanswered: 0, mode: Mode::AtEase }
     }
@@ -69,7 +69,7 @@
         &mut self,
         now: Duration,
         session: SessionNo,
-        customer: CustomerNo,
+        customer: CustomerId,
         left: Duration,
         item: T,
         log: &mut dyn FnMut(&str),
@@ -105,7 +105,7 @@
         &mut self,
         now: Duration,
         session: SessionNo,
-        customer: CustomerNo,
+        customer: CustomerId,
         stands: bool,
         log: &mut dyn FnMut(&str),
     ) -> Vec<T> {
@@ -125,7 +125,7 @@
     }
 
     /// A standing call has ended.
-    pub fn over(&mut self, session: SessionNo, customer: CustomerNo) {
+    pub fn over(&mut self, session: SessionNo, customer: CustomerId) {
         self.gate.over(session, customer);
     }
 
@@ -193,8 +193,8 @@
 mod tests {
     use super::*;
 
-    const ONE: CustomerNo = CustomerNo(1);
-    const TWO: CustomerNo = CustomerNo(2);
+    const ONE: CustomerId = CustomerId(1);
+    const TWO: CustomerId = CustomerId(2);
     const LEFT: Duration = Duration::from_secs(4);
 
     struct Desk {
@@ -218,14 +218,14 @@
         fn offer(
             &mut self,
             session: SessionNo,
-            customer: CustomerNo,
+            customer: CustomerId,
             no: u64,
         ) -> (Verdict<u64>, Option<(u64, Refusal)>) {
             let log = &mut |line: &str| self.log.push(line.to_string());
             self.admission.offer(self.now, session, customer, LEFT, no, log)
         }
 
-        fn answered(&mut self, session: SessionNo, customer: CustomerNo, stands: bool) -> Vec<u64> {
+        fn answered(&mut self, session: SessionNo, customer: CustomerId, stands: bool) -> Vec<u64> {
             let log = &mut |line: &str| self.log.push(line.to_string());
             self.admission.answered(self.now, session, customer, stands, log)
         }
--- a/crates/limits/src/auth.rs
+++ b/crates/limits/src/auth.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use mintstall::host::CustomerNo;
+use mintstall::interface::CustomerId;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -63,11 +63,11 @@
     pub fn sees(&self) -> Sees {
         match &self.customers {
             None => Sees::All,
-            Some(customers) => Sees::Only(customers.iter().copied().map(CustomerNo).collect()),
+            Some(customers) => Sees::Only(customers.iter().copied().map(CustomerId).collect()),
         }
     }
 
-    pub fn calls_for(&self, customer: CustomerNo) -> bool {
+    pub fn calls_for(&self, customer: CustomerId) -> bool {
         self.customers.as_ref().is_none_or(|customers| customers.contains(&customer.0))
     }
 }
@@ -154,7 +154,7 @@
         &self,
         name: Option<&str>,
         scope: Scope,
-        customer: Option<CustomerNo>,
+        customer: Option<CustomerId>,
     ) -> Result<(), Denied> {
         let Some(held) = &self.held else { return Ok(()) };
         let name = name.ok_or(Denied::NoToken)?;
@@ -213,7 +213,7 @@
         let tokens = two();
         assert_eq!(tokens.present("secret-a").unwrap().name, "apps");
         assert_eq!(tokens.present("secret-"), Err(Denied::Unknown));
-        let check = |name, scope, customer: u16| tokens.check(name, scope, Some(CustomerNo(customer)));
+        let check = |name, scope, customer: u16| tokens.check(name, scope, Some(CustomerId(customer)));
         assert_eq!(check(Some("apps"), Scope::Offer, 1), Ok(()));
         assert_eq!(check(Some("apps"), Scope::Offer, 2), Err(Denied::Customer(2)));
         assert_eq!(check(Some("apps"), Scope::Admin, 1), Err(Denied::Scope));
--- a/crates/limits/src/comeback.rs
+++ b/crates/limits/src/comeback.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use mintstall::chance::Chance;
+use mintstall::random::MwcRng;
 
 /// A connection that is dialled anew.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct ComeBack {
     plan: ComeBackPlan,
-    chance: Chance,
+    chance: MwcRng,
     failures: u32,
     opened: Option<Duration>,
     /// When what was open last was lost.
@@ -40,7 +40,7 @@
 
 impl ComeBack {
     pub fn new(plan: ComeBackPlan, seed: u64) -> Self {
-        Self { plan, chance: Chance::new(seed), failures: 0, opened: None, lost: None }
+        Self { plan, chance: MwcRng::new(seed), failures: 0, opened: None, lost: None }
     }
 
     /// The connection is open.
@@ -60,7 +60,7 @@
         self.failures = self.failures.saturating_add(1);
         // Guards against coming back to a session that is over: while it is kept there are some tries to take it up.
         let grown = if now < lost + kept { grown.min(kept / 4) } else { grown };
-        let drawn = grown.mul_f64(0.5 + 0.5 * self.chance.below_one());
+        let drawn = grown.mul_f64(0.5 + 0.5 * self.chance.next_f64());
         // All that were told the same wait would return together: they spread behind it.
         now + told.map_or(drawn, |told| told + drawn)
     }
@@ -110,13 +110,13 @@
 #[derive(Debug)]
 pub struct Redial {
     plan: RedialPlan,
-    chance: Chance,
+    chance: MwcRng,
     saved: f64,
 }
 
 impl Redial {
     pub fn new(plan: RedialPlan, seed: u64) -> Self {
-        Self { plan, chance: Chance::new(seed), saved: plan.most_saved.min(SAVED_AT_START) }
+        Self { plan, chance: MwcRng::new(seed), saved: plan.most_saved.min(SAVED_AT_START) }
     }
 
     /// A call is offered for the first time.
@@ -137,7 +137,7 @@
             return Err(NotAgain::Offers(offers));
         }
         let grown = self.plan.first.saturating_mul(1 << u32::from(offers.saturating_sub(1)).min(16));
-        let drawn = grown.mul_f64(0.5 + 0.5 * self.chance.below_one());
+        let drawn = grown.mul_f64(0.5 + 0.5 * self.chance.next_f64());
         // All callers are told alike: they spread behind what they were told.
         let at = now + told.map_or(drawn, |told| told + drawn);
         if at + self.plan.least_left > until {
--- a/crates/limits/src/gate.rs
+++ b/crates/limits/src/gate.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mintstall::chance::Chance;
-use mintstall::host::CustomerNo;
+use mintstall::interface::CustomerId;
+use mintstall::random::MwcRng;
 use thiserror::Error;
 
 use crate::bucket::Bucket;
@@ -84,20 +84,20 @@
     offers: Bucket,
     requests: Bucket,
     /// Calls in hand by customer. Emptied as calls end.
-    calls: BTreeMap<CustomerNo, usize>,
+    calls: BTreeMap<CustomerId, usize>,
 }
 
 /// Who is there and what they have in hand.
 #[derive(Debug)]
 pub struct Gate {
     limits: Limits,
-    chance: Chance,
+    chance: MwcRng,
     opens: Bucket,
     next: u64,
     /// Emptied as sessions close; at most `limits.sessions`.
     sessions: BTreeMap<SessionNo, Session>,
     /// Calls in hand. Emptied as calls end.
-    customers: BTreeMap<CustomerNo, usize>,
+    customers: BTreeMap<CustomerId, usize>,
 }
 
 /// Those told to come back do so within this share more than the least.
@@ -108,7 +108,7 @@
         Self {
             opens: Bucket::new(now, limits.opens_per_s, limits.opens_at_once),
             limits,
-            chance: Chance::new(seed),
+            chance: MwcRng::new(seed),
             next: 0,
             sessions: BTreeMap::new(),
             customers: BTreeMap::new(),
@@ -123,7 +123,7 @@
         self.sessions.len()
     }
 
-    pub fn calls(&self, customer: CustomerNo) -> usize {
+    pub fn calls(&self, customer: CustomerId) -> usize {
         self.customers.get(&customer).copied().unwrap_or(0)
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// An offer: taken in hand, or refused. What is taken is given back by [`Gate::over`].
-    pub fn offer(&mut self, now: Duration, session: SessionNo, customer: CustomerNo) -> Result<(), Refusal> {
+    pub fn offer(&mut self, now: Duration, session: SessionNo, customer: CustomerId) -> Result<(), Refusal> {
         let (in_session, in_all) = (self.limits.calls_a_session, self.limits.calls_a_customer);
         let of_customer = self.calls(customer);
         let held = self.sessions.get_mut(&session).ok_or(Refusal::NoSession)?;
@@ -168,7 +168,7 @@
     }
 
     /// A call that was taken in hand is over.
-    pub fn over(&mut self, session: SessionNo, customer: CustomerNo) {
+    pub fn over(&mut self, session: SessionNo, customer: CustomerId) {
         let Some(held) = self.sessions.get_mut(&session) else { return };
         if less(&mut held.calls, customer, 1) {
             less(&mut self.customers, customer, 1);
@@ -176,13 +176,13 @@
     }
 
     /// What a session has in hand, by customer, for a look from outside.
-    pub fn in_hand(&self, session: SessionNo) -> impl Iterator<Item = (CustomerNo, usize)> {
+    pub fn in_hand(&self, session: SessionNo) -> impl Iterator<Item = (CustomerId, usize)> {
         let calls = self.sessions.get(&session).map(|held| &held.calls);
         calls.into_iter().flatten().map(|(customer, count)| (*customer, *count))
     }
 
     /// Customers by how much they have in hand, most first: who presses.
-    pub fn greediest(&self, most: usize) -> Vec<(CustomerNo, usize)> {
+    pub fn greediest(&self, most: usize) -> Vec<(CustomerId, usize)> {
         let mut all: Vec<_> = self.customers.iter().map(|(customer, count)| (*customer, *count)).collect();
         all.sort_by_key(|(customer, count)| (std::cmp::Reverse(*count), *customer));
         all.truncate(most);
@@ -197,13 +197,13 @@
 
     /// A time to come back, spread over what follows it.
     pub fn spread(&mut self, least: Duration) -> Duration {
-        Duration::try_from_secs_f64(least.as_secs_f64() * (1.0 + SPREAD * self.chance.below_one()))
+        Duration::try_from_secs_f64(least.as_secs_f64() * (1.0 + SPREAD * self.chance.next_f64()))
             .unwrap_or(least)
     }
 }
 
 /// Takes off a count, and the entry with the last of it. `false`: there was none.
-fn less(counts: &mut BTreeMap<CustomerNo, usize>, customer: CustomerNo, by: usize) -> bool {
+fn less(counts: &mut BTreeMap<CustomerId, usize>, customer: CustomerId, by: usize) -> bool {
     let Some(count) = counts.get_mut(&customer) else { return false };
     *count = count.saturating_sub(by);
     if *count == 0 {
@@ -217,7 +217,7 @@
     use super::*;
 
     const NOW: Duration = Duration::from_secs(5);
-    const ONE: CustomerNo = CustomerNo(1);
+    const ONE: CustomerId = CustomerId(1);
 
     fn gate(change: impl FnOnce(&mut Limits)) -> Gate {
         let mut limits = Limits::default();
@@ -272,7 +272,7 @@
             (vec![(ONE, 2)], vec![(ONE, 5)])
         );
         gate.over(other, ONE);
-        gate.over(other, CustomerNo(9));
+        gate.over(other, CustomerId(9));
         gate.close(one);
         assert_eq!((gate.calls(ONE), gate.sessions()), (1, 1));
         assert_eq!(gate.offer(NOW, one, ONE), Err(Refusal::NoSession));
--- a/crates/limits/src/news.rs
+++ b/crates/limits/src/news.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use mintstall::host::CustomerNo;
+use mintstall::interface::CustomerId;
 use thiserror::Error;
 
 use crate::gate::SessionNo;
@@ -15,11 +15,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Sees {
     All,
-    Only(BTreeSet<CustomerNo>),
+    Only(BTreeSet<CustomerId>),
 }
 
 impl Sees {
-    pub fn includes(&self, customer: CustomerNo) -> bool {
+    pub fn includes(&self, customer: CustomerId) -> bool {
         match self {
             Self::All => true,
             Self::Only(customers) => customers.contains(&customer),
@@ -56,7 +56,7 @@
     most: usize,
     /// The number of the first that is kept.
     first: u64,
-    kept: VecDeque<(CustomerNo, E)>,
+    kept: VecDeque<(CustomerId, E)>,
     watchers: BTreeMap<SessionNo, Watcher>,
 }
 
@@ -75,7 +75,7 @@
     }
 
     /// Something happened to a call.
-    pub fn push(&mut self, customer: CustomerNo, event: E) {
+    pub fn push(&mut self, customer: CustomerId, event: E) {
         if self.kept.len() >= self.most {
             self.kept.pop_front();
             self.first += 1;
@@ -136,7 +136,7 @@
 
     fn news(most: usize, events: u64) -> News<u64> {
         let mut news = News::new(most);
-        (1..=events).for_each(|event| news.push(CustomerNo(event as u16 % 2), event));
+        (1..=events).for_each(|event| news.push(CustomerId(event as u16 % 2), event));
         news
     }
 
@@ -152,7 +152,7 @@
         assert_eq!(news.behind(), [ONE]);
         assert_eq!(numbers(&news.tell(ONE, 100)), [7, 8, 9, 10]);
         assert_eq!((news.behind(), news.watch(SessionNo(2), None, Sees::All)), (vec![], Ok(11)));
-        news.push(CustomerNo(0), 11);
+        news.push(CustomerId(0), 11);
         assert_eq!((numbers(&news.tell(ONE, 9)), numbers(&news.tell(SessionNo(2), 9))), (vec![11], vec![11]));
     }
 
@@ -162,7 +162,7 @@
         assert_eq!(news.watch(ONE, Some(5), Sees::All), Err(CursorError::Gap { oldest: 6 }));
         assert_eq!(news.watch(ONE, Some(12), Sees::All), Err(CursorError::Ahead { next: 11 }));
         assert_eq!(news.watch(ONE, Some(6), Sees::All), Ok(6));
-        (11..=13).for_each(|event| news.push(CustomerNo(0), event));
+        (11..=13).for_each(|event| news.push(CustomerId(0), event));
         let told = news.tell(ONE, 100);
         assert_eq!((told.missed, numbers(&told)), (3, vec![9, 10, 11, 12, 13]));
     }
@@ -170,7 +170,7 @@
     #[test]
     fn what_a_token_may_not_see_is_not_told_and_does_not_hold_the_rest_up() {
         let mut news = news(100, 10);
-        let odd = Sees::Only([CustomerNo(1)].into());
+        let odd = Sees::Only([CustomerId(1)].into());
         news.watch(ONE, Some(1), odd).unwrap();
         assert_eq!(numbers(&news.tell(ONE, 3)), [1, 3, 5]);
         assert_eq!(numbers(&news.tell(ONE, 9)), [7, 9]);
--- a/crates/limits/src/turns.rs
+++ b/crates/limits/src/turns.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use mintstall::host::CustomerNo;
+use mintstall::interface::CustomerId;
 
 #[derive(Debug)]
 struct Waiting<T> {
@@ -33,14 +33,14 @@
     most: usize,
     count: usize,
     /// Shares that were told; others count as one.
-    shares: BTreeMap<CustomerNo, f64>,
+    shares: BTreeMap<CustomerId, f64>,
     /// Emptied as what waits has its turn or its time is up; a line without anything is dropped.
-    lines: BTreeMap<CustomerNo, Line<T>>,
-    round: VecDeque<CustomerNo>,
+    lines: BTreeMap<CustomerId, Line<T>>,
+    round: VecDeque<CustomerId>,
 }
 
 impl<T> Turns<T> {
-    pub fn new(most: usize, shares: BTreeMap<CustomerNo, f64>) -> Self {
+    pub fn new(most: usize, shares: BTreeMap<CustomerId, f64>) -> Self {
         let shares: BTreeMap<_, _> = shares.into_iter().filter(|(_, s)| s.is_finite() && *s > 0.0).collect();
         // In units of the smallest, none below a thousandth of the greatest: a round pays for at least one offer then.
         let greatest = shares.values().copied().fold(0.0, f64::max);
@@ -60,7 +60,7 @@
     /// Waits for its turn until a time; `cost` is in the unit of shares, at least a thousandth.
     pub fn push(
         &mut self,
-        customer: CustomerNo,
+        customer: CustomerId,
         cost: f64,
         until: Duration,
         item: T,
@@ -159,7 +159,7 @@
         gone
     }
 
-    fn drop_empty(&mut self, customer: CustomerNo) {
+    fn drop_empty(&mut self, customer: CustomerId) {
         if self.lines.get(&customer).is_some_and(|line| line.waiting.is_empty()) {
             self.lines.remove(&customer);
             self.round.retain(|other| *other != customer);
@@ -175,16 +175,16 @@
 
     const LATE: Duration = Duration::from_secs(99);
 
-    fn shares(shares: &[(u16, f64)]) -> BTreeMap<CustomerNo, f64> {
-        shares.iter().map(|(no, share)| (CustomerNo(*no), *share)).collect()
+    fn shares(shares: &[(u16, f64)]) -> BTreeMap<CustomerId, f64> {
+        shares.iter().map(|(no, share)| (CustomerId(*no), *share)).collect()
     }
 
     #[test]
     fn customers_are_served_by_their_shares_however_much_each_asks_for() {
         let mut turns = Turns::new(100_000, shares(&[(1, 3.0), (2, 1.0)]));
         for no in 0..4000 {
-            turns.push(CustomerNo(1), 1.0, LATE, (1, no));
-            (0..5).for_each(|_| _ = turns.push(CustomerNo(2), 1.0, LATE, (2, no)));
+            turns.push(CustomerId(1), 1.0, LATE, (1, no));
+            (0..5).for_each(|_| _ = turns.push(CustomerId(2), 1.0, LATE, (2, no)));
         }
         let served: Vec<_> = (0..4000).map(|_| turns.pop().unwrap().0).collect();
         let of_first = served.iter().filter(|customer| **customer == 1).count();
@@ -194,7 +194,7 @@
     #[test]
     fn one_that_is_alone_gets_all() {
         let mut turns = Turns::new(100, shares(&[(1, 0.01)]));
-        (0..50).for_each(|no| _ = turns.push(CustomerNo(1), 1.0, LATE, no));
+        (0..50).for_each(|no| _ = turns.push(CustomerId(1), 1.0, LATE, no));
         assert_eq!((0..50).map(|_| turns.pop()).collect::<Vec<_>>(), (0..50).map(Some).collect::<Vec<_>>());
         assert!(turns.pop().is_none() && turns.lines.is_empty() && turns.round.is_empty());
     }
@@ -202,9 +202,9 @@
     #[test]
     fn the_greedy_one_loses_its_newest_not_the_one_who_comes_last() {
         let mut turns = Turns::new(10, BTreeMap::new());
-        (0..9).for_each(|no| assert!(turns.push(CustomerNo(1), 1.0, LATE, ("greedy", no)).is_none()));
-        assert_eq!(turns.push(CustomerNo(2), 1.0, LATE, ("quiet", 0)), None);
-        assert_eq!(turns.push(CustomerNo(2), 1.0, LATE, ("quiet", 1)), Some(Displaced(("greedy", 8))));
+        (0..9).for_each(|no| assert!(turns.push(CustomerId(1), 1.0, LATE, ("greedy", no)).is_none()));
+        assert_eq!(turns.push(CustomerId(2), 1.0, LATE, ("quiet", 0)), None);
+        assert_eq!(turns.push(CustomerId(2), 1.0, LATE, ("quiet", 1)), Some(Displaced(("greedy", 8))));
         assert_eq!(turns.len(), 10);
     }
 
@@ -212,7 +212,7 @@
     fn what_has_waited_too_long_goes_and_the_rest_stays_in_order() {
         let mut turns = Turns::new(10, BTreeMap::new());
         let at = Duration::from_secs;
-        (0..6).for_each(|no| _ = turns.push(CustomerNo(no as u16 % 2), 1.0, at(10 - no), no));
+        (0..6).for_each(|no| _ = turns.push(CustomerId(no as u16 % 2), 1.0, at(10 - no), no));
         assert_eq!(turns.next_expiry(), Some(at(5)));
         assert_eq!(turns.expired(at(7)), [4, 3, 5]);
         assert_eq!(turns.remove(|no| *no == 2), [2]);
@@ -225,7 +225,7 @@
             let mut turns = Turns::new(64, shares(&[(0, 2.0), (1, 0.3), (2, 7.0)]));
             let mut seen = Vec::new();
             for (no, (customer, cost, until)) in pushes.iter().enumerate() {
-                let displaced = turns.push(CustomerNo(*customer), f64::from(*cost), Duration::from_secs(*until), no);
+                let displaced = turns.push(CustomerId(*customer), f64::from(*cost), Duration::from_secs(*until), no);
                 seen.extend(displaced.map(|displaced| displaced.0));
                 prop_assert!(turns.len() <= 64);
                 if no % 7 == 0 {
--- a/crates/office/src/circuits.rs
+++ b/crates/office/src/circuits.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use mintstall::host::{CallId, OfficeNo};
+use mintstall::interface::{CallId, ExchangeNumber};
 use mintstall_isup::{Cic, CircuitState};
 
 use crate::timers::Set;
@@ -93,7 +93,7 @@
 }
 
 impl Group {
-    pub fn new(own: OfficeNo, to: OfficeNo, count: u16) -> Self {
+    pub fn new(own: ExchangeNumber, to: ExchangeNumber, count: u16) -> Self {
         let circuit = Circuit { used: Use::Idle, blocked: Blocked::Open, turns: 0 };
         let mut group = Self {
             circuits: vec![circuit; usize::from(count.min(Cic::IN_GROUP))],
@@ -209,16 +209,20 @@
 
     #[test]
     fn both_ends_agree_who_controls_each_circuit() {
-        let (low, high) =
-            (Group::new(OfficeNo(3), OfficeNo(8), 70), Group::new(OfficeNo(8), OfficeNo(3), 70));
+        let (low, high) = (
+            Group::new(ExchangeNumber(3), ExchangeNumber(8), 70),
+            Group::new(ExchangeNumber(8), ExchangeNumber(3), 70),
+        );
         assert!((0..70).all(|place| low.controls(place) != high.controls(place)));
         assert!(high.controls(1), "circuit 2 is even, the higher point code controls it");
     }
 
     #[test]
     fn the_ends_meet_on_the_last_circuits_only() {
-        let (mut low, mut high) =
-            (Group::new(OfficeNo(3), OfficeNo(8), 10), Group::new(OfficeNo(8), OfficeNo(3), 10));
+        let (mut low, mut high) = (
+            Group::new(ExchangeNumber(3), ExchangeNumber(8), 10),
+            Group::new(ExchangeNumber(8), ExchangeNumber(3), 10),
+        );
         let mut taken = BTreeSet::new();
         for call in 0..5 {
             for group in [&mut low, &mut high] {
@@ -232,7 +236,7 @@
 
     #[test]
     fn a_wide_call_takes_the_fullest_system_with_room() {
-        let mut group = Group::new(OfficeNo(1), OfficeNo(2), 62);
+        let mut group = Group::new(ExchangeNumber(1), ExchangeNumber(2), 62);
         (31..55).for_each(|place| group.put(place, Use::SeizedIn(CallId(1))));
         assert_eq!(group.select(4).unwrap().len(), 4);
         assert!(group.select(4).unwrap().iter().all(|place| *place >= 55));
--- a/crates/office/src/desk.rs
+++ b/crates/office/src/desk.rs
@@ -7,10 +7,11 @@
 use std::time::Duration;
 
 use mintstall::Controller;
-use mintstall::chance::Chance;
-use mintstall::host::{
-    AlarmId, CallId, Cause, Ended, ExchangeId, Host, OfficeNo, PeerNo, Report as FarReport, SeizureNo,
+use mintstall::interface::{
+    CallId, CapacityReport, Cause, ControllerActions, ExchangeId, ExchangeNumber, PeerId, SeizureEnded,
+    SeizureNumber, TimerId,
 };
+use mintstall::random::MwcRng;
 use mintstall_isup::{
     Body, CauseIndicators, Cic, CircuitMap, Data, Frame, Iam, Location, Message, Q850, RangeStatus, Rel,
     Report, TurnedBack, m3ua,
@@ -30,29 +31,29 @@
 
 /// All that an office holds besides the decisions.
 pub(crate) struct Desk {
-    pub own: OfficeNo,
+    pub own: ExchangeNumber,
     pub t: Timers,
     pub most_calls: usize,
     pub widths: Vec<u16>,
     /// Fixed at start.
-    pub groups: BTreeMap<OfficeNo, Group>,
-    pub links: BTreeMap<OfficeNo, Link>,
+    pub groups: BTreeMap<ExchangeNumber, Group>,
+    pub links: BTreeMap<ExchangeNumber, Link>,
     /// One a link at the most.
-    pub audits: BTreeMap<OfficeNo, Audit>,
+    pub audits: BTreeMap<ExchangeNumber, Audit>,
     /// At most `most_calls`; emptied as calls end.
     pub legs: BTreeMap<CallId, Leg>,
     pub timers: TimerQueue,
     /// For timers that must not run in step with those of others.
-    pub chance: Chance,
+    pub chance: MwcRng,
     /// By the roster, and emptied by it.
-    pub exchanges: BTreeMap<ExchangeId, OfficeNo>,
+    pub exchanges: BTreeMap<ExchangeId, ExchangeNumber>,
     /// Numbers with few lines: how many, and how many are taken. Fixed at start.
     pub lines: BTreeMap<u64, (u16, u16)>,
     /// What the own processor says of itself, sent along with answers.
     pub report: Option<Report>,
     /// Emptied before the office returns.
     pub after: VecDeque<Step>,
-    pub changed: BTreeSet<OfficeNo>,
+    pub changed: BTreeSet<ExchangeNumber>,
     pub next_call: u64,
     /// Calls of subscribers whose final answer is owed.
     pub owed: usize,
@@ -71,20 +72,20 @@
 }
 
 impl Desk {
-    pub fn exchanges_at(&self, office: OfficeNo) -> impl Iterator<Item = ExchangeId> {
+    pub fn exchanges_at(&self, office: ExchangeNumber) -> impl Iterator<Item = ExchangeId> {
         self.exchanges.iter().filter(move |(_, at)| **at == office).map(|(id, _)| *id)
     }
 
     /// What an exchange's group has free, for the decisions.
-    pub fn group_report(&self, office: OfficeNo) -> FarReport {
+    pub fn group_report(&self, office: ExchangeNumber) -> CapacityReport {
         let group = self.groups.get(&office);
         let (free, size) = group.map_or((0, 0), |group| (group.free(), group.open()));
-        FarReport { free: Some(free as f64), size: Some(size as f64), ..FarReport::default() }
+        CapacityReport { free: Some(free as f64), size: Some(size as f64), ..CapacityReport::default() }
     }
 
     /// A span that is drawn out a little.
     pub fn spread(&mut self, span: Duration) -> Duration {
-        span.mul_f64(1.0 + SPREAD * self.chance.below_one())
+        span.mul_f64(1.0 + SPREAD * self.chance.next_f64())
     }
 
     /// Forgets a call of which nothing is left.
@@ -112,7 +113,7 @@
 }
 
 impl Working<'_> {
-    pub fn send(&mut self, to: OfficeNo, cic: Cic, body: Body) {
+    pub fn send(&mut self, to: ExchangeNumber, cic: Cic, body: Body) {
         if !self.desk.links.get(&to).is_some_and(Link::usable) {
             return;
         }
@@ -128,7 +129,7 @@
         self.plant.send(to, frame);
     }
 
-    pub fn send_frame(&mut self, to: OfficeNo, frame: Frame) {
+    pub fn send_frame(&mut self, to: ExchangeNumber, frame: Frame) {
         self.desk.frame.clear();
         frame.write(&mut self.desk.frame);
         self.plant.send(to, &self.desk.frame);
@@ -171,13 +172,13 @@
         self.put_first(held, Use::Resetting { timer });
     }
 
-    pub fn reset_timer(&mut self, to: OfficeNo, place: u16, after: Duration) -> Set {
+    pub fn reset_timer(&mut self, to: ExchangeNumber, place: u16, after: Duration) -> Set {
         let after = self.desk.spread(after);
         self.desk.timers.set(self.now + after, Timer::Circuit(to, place))
     }
 
     /// One circuit and what goes along with it is idle again.
-    pub fn idle(&mut self, to: OfficeNo, place: u16) {
+    pub fn idle(&mut self, to: ExchangeNumber, place: u16) {
         let Some(group) = self.desk.groups.get_mut(&to) else { return };
         let used = group.get(place).map(|circuit| circuit.used);
         if let Some(Use::Releasing { timer, .. } | Use::Resetting { timer: Some(timer) }) = used {
@@ -191,7 +192,7 @@
     fn ends_later(
         &mut self,
         call: CallId,
-        seizure: SeizureNo,
+        seizure: SeizureNumber,
         exchange: ExchangeId,
         after: Duration,
         cause: Cause,
@@ -202,7 +203,11 @@
                 leg.last = Some(cause);
             }
             w.trace(call, Traced::SeizureEnded { no: seizure, cause, after });
-            controller.ended(w.now, w, &Ended { call, seizure, exchange, cause, after, closed });
+            controller.on_seizure_ended(
+                w.now,
+                w,
+                &SeizureEnded { call, seizure, exchange, cause, elapsed: after, closed },
+            );
             w.desk.finish(call);
         }));
     }
@@ -241,12 +246,12 @@
     }
 }
 
-impl Host for Working<'_> {
+impl ControllerActions for Working<'_> {
     fn seize(&mut self, call: CallId, to: ExchangeId, limit: Duration) {
         let now = self.now;
         let office = self.desk.exchanges.get(&to).copied();
         let Some(leg) = self.desk.legs.get_mut(&call) else { return };
-        let no = SeizureNo(leg.seizures);
+        let no = SeizureNumber(leg.seizures);
         leg.seizures = leg.seizures.saturating_add(1);
         let linked = office.filter(|office| self.desk.links.get(office).is_some_and(Link::usable));
         let Some(office) = linked else {
@@ -299,7 +304,7 @@
         self.send(office, first, Body::Iam(iam));
     }
 
-    fn cancel(&mut self, call: CallId, seizure: SeizureNo) {
+    fn cancel(&mut self, call: CallId, seizure: SeizureNumber) {
         let Some(leg) = self.desk.legs.get_mut(&call) else { return };
         match std::mem::replace(&mut leg.sink, Sink::Open) {
             Sink::Seized(out) if out.no == seizure => {
@@ -314,24 +319,24 @@
         }
     }
 
-    fn reject(&mut self, call: CallId, come_back: Duration) {
-        self.close(call, Answer::Refused { come_back });
+    fn reject(&mut self, call: CallId, retry_after: Duration) {
+        self.close(call, Answer::Refused { retry_after });
     }
 
     fn release(&mut self, call: CallId) {
         self.close(call, Answer::Fails);
     }
 
-    fn alarm(&mut self, after: Duration, alarm: AlarmId) {
-        let set = self.desk.timers.set(self.now + after, Timer::Alarm(alarm));
-        if let Some(leg) = self.desk.legs.get_mut(&CallId(alarm.0))
+    fn set_timer(&mut self, after: Duration, timer: TimerId) {
+        let set = self.desk.timers.set(self.now + after, Timer::Alarm(timer));
+        if let Some(leg) = self.desk.legs.get_mut(&CallId(timer.0))
             && let Some(before) = leg.alarm.replace(set)
         {
             self.desk.timers.stop(before);
         }
     }
 
-    fn tell(&mut self, peer: Option<PeerNo>, message: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<PeerId>, message: &[u8]) {
         let all = self.desk.links.keys().copied();
         let to: Vec<_> = all.filter(|office| peer.is_none_or(|peer| peer.0 == office.0)).collect();
         for office in to {
--- a/crates/office/src/legs.rs
+++ b/crates/office/src/legs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mintstall::host::{Cause, ExchangeId, OfficeNo, SeizureNo};
+use mintstall::interface::{Cause, ExchangeId, ExchangeNumber, SeizureNumber};
 use mintstall_isup::{Identity, Number};
 
 use crate::circuits::Use;
@@ -12,7 +12,7 @@
 /// Circuits of one group that a call holds; signalling is on the first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Held {
-    pub to: OfficeNo,
+    pub to: ExchangeNumber,
     /// Places in the group, ascending, never none.
     pub places: Vec<u16>,
 }
@@ -46,7 +46,7 @@
 
 /// One seizure that is out, or led to where the call stands.
 pub(crate) struct Out {
-    pub no: SeizureNo,
+    pub no: SeizureNumber,
     pub exchange: ExchangeId,
     pub held: Held,
     pub at: Duration,
@@ -71,7 +71,7 @@
     pub identity: Identity,
     pub called: Number,
     pub dialled: u64,
-    pub dest: OfficeNo,
+    pub dest: ExchangeNumber,
     pub width: u16,
     pub until: Duration,
     pub guard: Option<Set>,
--- a/crates/office/src/lib.rs
+++ b/crates/office/src/lib.rs
@@ -11,7 +11,7 @@
 //! | `timers` | what rings when |
 //! | `office` | what callers, roster and clock tell |
 //! | `signalling` | what the other exchanges tell |
-//! | `desk` | what the decisions may do: `mintstall::host::Host` |
+//! | `desk` | what the decisions may do: `mintstall::interface::Host` |
 //! | `trace` | what became of the last calls, step by step |
 //! | `state` | what is shown of it |
 
--- a/crates/office/src/office.rs
+++ b/crates/office/src/office.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use mintstall::Controller;
-use mintstall::chance::Chance;
-use mintstall::host::{
-    CallId, CallType, Cause, CustomerNo, Dialled, Ended, ExchangeId, Host, Offer, OfficeNo, RosterLine,
-    SeizureNo, Standing,
+use mintstall::interface::{
+    CallId, CallOffer, CallType, Cause, ControllerActions, CustomerId, DialledNumber, ExchangeEntry,
+    ExchangeId, ExchangeNumber, ExchangeStatus, SeizureEnded, SeizureNumber,
 };
+use mintstall::random::MwcRng;
 use mintstall_isup::{
     Body, CauseIndicators, Cic, Frame, Identity, Location, Number, Q850, RangeStatus, Rel, Report,
 };
@@ -27,13 +27,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Order {
     pub call_type: CallType,
-    pub customer: CustomerNo,
-    pub dest: OfficeNo,
-    pub dialled: Dialled,
+    pub customer: CustomerId,
+    pub dest: ExchangeNumber,
+    pub dialled: DialledNumber,
     /// How long the caller waits, from now.
     pub left: Duration,
     /// The tandem that a centre advises.
-    pub advised: Option<OfficeNo>,
+    pub advised: Option<ExchangeNumber>,
     /// It stood, was cut, and comes again.
     pub cut: bool,
     pub redial: bool,
@@ -80,7 +80,7 @@
             legs: BTreeMap::new(),
             timers: TimerQueue::default(),
             // Apart from the decisions' own numbers, which a seed must leave as they are.
-            chance: Chance::new(!seed),
+            chance: MwcRng::new(!seed),
             exchanges: BTreeMap::new(),
             lines: plan.numbers.iter().map(|number| (number.dialled, (number.lines, 0))).collect(),
             report: None,
@@ -104,7 +104,7 @@
         Self { controller: Controller::new(&plan.data, seed), desk, service: Service::Open }
     }
 
-    pub fn own(&self) -> OfficeNo {
+    pub fn own(&self) -> ExchangeNumber {
         self.desk.own
     }
 
@@ -125,7 +125,7 @@
 
     /// Whether a far end that can be reached has yet to complete a release or a reset.
     pub fn awaits_release(&self) -> bool {
-        let there = |to: &OfficeNo| self.desk.links.get(to).is_some_and(Link::usable);
+        let there = |to: &ExchangeNumber| self.desk.links.get(to).is_some_and(Link::usable);
         let leaves = |used| matches!(used, Use::Releasing { .. } | Use::Resetting { timer: Some(_) });
         let mut groups = self.desk.groups.iter().filter(|(to, _)| there(to));
         groups.any(|(_, group)| group.all().any(|(_, circuit)| leaves(circuit.used)))
@@ -146,7 +146,7 @@
             } else if let Some(office) = w.desk.changed.pop_first() {
                 let report = w.desk.group_report(office);
                 let there: Vec<ExchangeId> = w.desk.exchanges_at(office).collect();
-                there.into_iter().for_each(|id| self.controller.reported(now, w, id, &report));
+                there.into_iter().for_each(|id| self.controller.on_capacity_report(now, w, id, &report));
             } else {
                 break;
             }
@@ -154,19 +154,19 @@
     }
 
     /// The whole roster. `started` is by the same clock as `now`; zero means long ago.
-    pub fn roster(&mut self, now: Duration, plant: &mut dyn Plant, lines: &[RosterLine]) {
+    pub fn roster(&mut self, now: Duration, plant: &mut dyn Plant, lines: &[ExchangeEntry]) {
         self.happens(now, plant, |controller, w| {
             w.desk.exchanges.clear();
             w.desk.note_roster(lines);
-            controller.roster(now, w, lines);
+            controller.on_membership(now, w, lines);
         });
     }
 
     /// Changed lines of the roster only.
-    pub fn roster_changes(&mut self, now: Duration, plant: &mut dyn Plant, lines: &[RosterLine]) {
+    pub fn roster_changes(&mut self, now: Duration, plant: &mut dyn Plant, lines: &[ExchangeEntry]) {
         self.happens(now, plant, |controller, w| {
             w.desk.note_roster(lines);
-            controller.roster_changes(now, w, lines);
+            controller.on_membership_changes(now, w, lines);
         });
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// What became here of a call that an exchange took, this one or another.
-    pub fn traces_of(&self, origin: OfficeNo, call: u64) -> impl Iterator<Item = &Trace> {
+    pub fn traces_of(&self, origin: ExchangeNumber, call: u64) -> impl Iterator<Item = &Trace> {
         self.desk.traces.of(origin, call)
     }
 
@@ -205,7 +205,7 @@
             let (Some(called), Some(width)) = (called.filter(|_| !closing && !full && until > now), width)
             else {
                 w.desk.tally.refused += 1;
-                return w.plant.answer(call, Answer::Refused { come_back: Duration::ZERO });
+                return w.plant.answer(call, Answer::Refused { retry_after: Duration::ZERO });
             };
             let identity = Identity {
                 origin: w.desk.own.0,
@@ -239,7 +239,7 @@
                 },
             );
             let offer = w.desk.offer(call, order.advised);
-            offer.into_iter().for_each(|offer| controller.offered(now, w, offer));
+            offer.into_iter().for_each(|offer| controller.on_offer(now, w, offer));
         });
     }
 
@@ -255,7 +255,7 @@
 
     /// Circuits to an exchange, from a place in the group on, fail or come back. Calls on those that fail are cut, and
     /// the far end is told (Q.764 clause 2.8.2.2, hardware failure).
-    pub fn circuits(&mut self, now: Duration, plant: &mut dyn Plant, to: OfficeNo, in_service: u16) {
+    pub fn circuits(&mut self, now: Duration, plant: &mut dyn Plant, to: ExchangeNumber, in_service: u16) {
         self.happens(now, plant, |controller, w| {
             let Some(group) = w.desk.groups.get(&to) else { return };
             let change = |place: u16, here: bool| here != (place >= in_service);
@@ -318,7 +318,7 @@
     }
 
     /// The connection to an exchange is open.
-    pub fn link_up(&mut self, now: Duration, plant: &mut dyn Plant, to: OfficeNo) {
+    pub fn link_up(&mut self, now: Duration, plant: &mut dyn Plant, to: ExchangeNumber) {
         self.happens(now, plant, |_, w| {
             let Some(link) = w.desk.links.get_mut(&to) else { return };
             link.phase = Phase::Announcing;
@@ -330,7 +330,7 @@
     }
 
     /// It is gone.
-    pub fn link_down(&mut self, now: Duration, plant: &mut dyn Plant, to: OfficeNo) {
+    pub fn link_down(&mut self, now: Duration, plant: &mut dyn Plant, to: ExchangeNumber) {
         self.happens(now, plant, |controller, w| w.link_lost(controller, to));
     }
 
@@ -342,7 +342,7 @@
                     if let Some(leg) = w.desk.legs.get_mut(&CallId(alarm.0)) {
                         leg.alarm = None;
                     }
-                    controller.rings(now, w, alarm);
+                    controller.on_timer(now, w, alarm);
                 }
                 Timer::Limit(call, no) => w.limit_passed(controller, call, no),
                 Timer::Guard(call) => w.time_up(controller, call),
@@ -361,32 +361,32 @@
 }
 
 impl Desk {
-    fn note_roster(&mut self, lines: &[RosterLine]) {
+    fn note_roster(&mut self, lines: &[ExchangeEntry]) {
         for line in lines {
-            self.exchanges.insert(line.exchange, line.office);
-            self.changed.insert(line.office);
+            self.exchanges.insert(line.id, line.number);
+            self.changed.insert(line.number);
         }
         // A machine that is gone and replaced is named no more.
-        for gone in lines.iter().filter(|line| line.standing == Standing::Gone) {
-            if self.exchanges_at(gone.office).any(|id| id != gone.exchange) {
-                self.exchanges.remove(&gone.exchange);
+        for gone in lines.iter().filter(|line| line.status == ExchangeStatus::Gone) {
+            if self.exchanges_at(gone.number).any(|id| id != gone.id) {
+                self.exchanges.remove(&gone.id);
             }
         }
     }
 
     /// What the decisions are told of a call.
-    pub fn offer(&self, call: CallId, advised: Option<OfficeNo>) -> Option<Offer> {
+    pub fn offer(&self, call: CallId, advised: Option<ExchangeNumber>) -> Option<CallOffer> {
         let leg = self.legs.get(&call)?;
         let (transit, advised) = match &leg.source {
             Source::Trunk(held) => (true, Some(held.to)),
             _ => (false, advised),
         };
-        Some(Offer {
+        Some(CallOffer {
             call,
             call_type: CallType(leg.identity.call_type),
-            customer: CustomerNo(leg.identity.customer),
-            dialled: Dialled(leg.dialled),
-            until: leg.until,
+            customer: CustomerId(leg.identity.customer),
+            dialled: DialledNumber(leg.dialled),
+            deadline: leg.until,
             dest: leg.dest,
             width: leg.width,
             advised,
@@ -416,7 +416,7 @@
                 self.let_go_source(call, &failure(Q850::OutOfOrder));
                 self.desk.drop_leg(call);
                 let cause = if cut { Cause::Cut } else { Cause::Done };
-                controller.ended(now, self, &out.ended(call, now, cause, true));
+                controller.on_seizure_ended(now, self, &out.ended(call, now, cause, true));
             }
             sink @ (Sink::Open | Sink::Seized(_)) => {
                 leg.sink = sink;
@@ -432,7 +432,7 @@
                     Source::Trunk(held) => self.let_go(&held, &rel),
                     Source::Gone => {}
                 }
-                controller.withdrawn(now, self, call);
+                controller.on_caller_gone(now, self, call);
                 self.desk.finish(call);
             }
         }
@@ -464,7 +464,7 @@
     }
 
     /// A seizure passed its limit: its circuits stay taken until the far end has let go.
-    fn limit_passed(&mut self, controller: &mut Controller, call: CallId, no: SeizureNo) {
+    fn limit_passed(&mut self, controller: &mut Controller, call: CallId, no: SeizureNumber) {
         let Some(leg) = self.desk.legs.get_mut(&call) else { return };
         match std::mem::replace(&mut leg.sink, Sink::Open) {
             Sink::Seized(out) if out.no == no => {
@@ -474,7 +474,7 @@
                 self.release_held(&out.held, failure(Q850::RecoveryOnTimer));
                 let closed = self.desk.closed(call);
                 let now = self.now;
-                controller.ended(now, self, &out.ended(call, now, Cause::TimedOut, closed));
+                controller.on_seizure_ended(now, self, &out.ended(call, now, Cause::TimedOut, closed));
                 self.desk.finish(call);
             }
             other => leg.sink = other,
@@ -492,7 +492,7 @@
     }
 
     /// T1 and T5 of a circuit that is being let go, T16 and T17 of one being reset (Q.764 table A.1).
-    fn circuit_timer(&mut self, to: OfficeNo, place: u16) {
+    fn circuit_timer(&mut self, to: ExchangeNumber, place: u16) {
         let (now, t) = (self.now, self.desk.t);
         let Some(group) = self.desk.groups.get(&to) else { return };
         let Some(used) = group.get(place).map(|circuit| circuit.used) else { return };
@@ -525,7 +525,7 @@
     }
 
     /// A circuit's hardware failed: its call is cut and it is idle behind its block, without a release.
-    pub fn circuit_fails(&mut self, controller: &mut Controller, to: OfficeNo, place: u16) {
+    pub fn circuit_fails(&mut self, controller: &mut Controller, to: ExchangeNumber, place: u16) {
         let used = self.desk.groups.get(&to).and_then(|group| group.get(place)).map(|circuit| circuit.used);
         match used {
             Some(Use::Idle | Use::Along(_)) | None => {}
@@ -541,7 +541,7 @@
     }
 
     /// Blocks or unblocks circuits at the far end, a message a system (Q.763 clause 3.13: hardware failure).
-    pub fn tell_blocked(&mut self, to: OfficeNo, places: &[u16], blocked: bool) {
+    pub fn tell_blocked(&mut self, to: ExchangeNumber, places: &[u16], blocked: bool) {
         const HARDWARE: u8 = 1;
         for system in places.chunk_by(|a, b| a / Cic::SYSTEM == b / Cic::SYSTEM) {
             let (first, last) = (system[0], system[system.len() - 1]);
@@ -555,7 +555,7 @@
         }
     }
 
-    fn announce(&mut self, to: OfficeNo) {
+    fn announce(&mut self, to: ExchangeNumber) {
         let own = u32::from(self.desk.own.0);
         let again = self.now + self.desk.spread(self.desk.t.link_ack);
         let Some(link) = self.desk.links.get_mut(&to) else { return };
@@ -570,7 +570,7 @@
     }
 
     /// The own end is up at the far one: asks to take traffic.
-    pub fn activate(&mut self, to: OfficeNo) {
+    pub fn activate(&mut self, to: ExchangeNumber) {
         if let Some(link) = self.desk.links.get_mut(&to).filter(|link| link.phase == Phase::Announcing) {
             link.phase = Phase::Activating;
             self.announce(to);
@@ -578,7 +578,7 @@
     }
 
     /// T(ack), or time for a sign of life.
-    fn link_timer(&mut self, to: OfficeNo) {
+    fn link_timer(&mut self, to: ExchangeNumber) {
         let beat = self.desk.spread(self.desk.t.beat);
         let Some(link) = self.desk.links.get_mut(&to) else { return };
         link.timer = None;
@@ -598,7 +598,7 @@
 
     /// Both ends take traffic. A process that has just started has the far end forget all calls of one before it; a link
     /// that was away has what it missed said again.
-    pub fn opened(&mut self, to: OfficeNo) {
+    pub fn opened(&mut self, to: ExchangeNumber) {
         let beat = self.now + self.desk.spread(self.desk.t.beat);
         let Some(link) = self.desk.links.get_mut(&to) else { return };
         let set = self.desk.timers.set(beat, Timer::Link(to));
@@ -642,7 +642,7 @@
     }
 
     /// Resets all circuits of a system that carry nothing; again after a while if it is not acknowledged.
-    fn reset_system(&mut self, to: OfficeNo, first: u16, again: Duration) {
+    fn reset_system(&mut self, to: ExchangeNumber, first: u16, again: Duration) {
         let Some(group) = self.desk.groups.get_mut(&to) else { return };
         let end = (first + Cic::SYSTEM).min(group.size());
         let waiting = |used| matches!(used, Use::Idle | Use::Resetting { timer: None });
@@ -666,13 +666,13 @@
 }
 
 impl Out {
-    pub fn ended(&self, call: CallId, now: Duration, cause: Cause, closed: bool) -> Ended {
-        Ended {
+    pub fn ended(&self, call: CallId, now: Duration, cause: Cause, closed: bool) -> SeizureEnded {
+        SeizureEnded {
             call,
             seizure: self.no,
             exchange: self.exchange,
             cause,
-            after: now.saturating_sub(self.at),
+            elapsed: now.saturating_sub(self.at),
             closed,
         }
     }
--- a/crates/office/src/plan.rs
+++ b/crates/office/src/plan.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use mintstall::host::{OfficeData, OfficeNo};
+use mintstall::interface::{ControllerConfig, ExchangeNumber};
 
 /// Everything that one exchange's controller is told before its first call.
 #[derive(Clone, Debug)]
 pub struct OfficePlan {
     /// The own exchange's number, also its point code (14 bits).
-    pub own: OfficeNo,
+    pub own: ExchangeNumber,
     /// What the decisions read.
-    pub data: OfficeData,
+    pub data: ControllerConfig,
     pub groups: Vec<GroupPlan>,
     /// Numbers of the own exchange that have few lines; others have as many as are called.
     pub numbers: Vec<NumberPlan>,
@@ -24,7 +24,7 @@
 /// The trunk group to one other exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupPlan {
-    pub to: OfficeNo,
+    pub to: ExchangeNumber,
     /// Circuits, at most [`mintstall_isup::Cic::IN_GROUP`].
     pub circuits: u16,
 }
--- a/crates/office/src/plant.rs
+++ b/crates/office/src/plant.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use mintstall::host::{CallId, OfficeNo};
+use mintstall::interface::{CallId, ExchangeNumber};
 
 /// Carries out what the office does. Everything takes effect at once, in the order called.
 pub trait Plant {
     /// Octets for the link to an exchange.
-    fn send(&mut self, to: OfficeNo, octets: &[u8]);
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]);
     /// The link to an exchange carried what makes no sense, or nothing for too long: it is to be closed. Its end is
     /// told as any other.
-    fn close(&mut self, to: OfficeNo, why: &str);
+    fn close(&mut self, to: ExchangeNumber, why: &str);
     /// The one final answer of a call.
     fn answer(&mut self, call: CallId, answer: Answer);
     /// A call that stood has ended.
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Stands,
-    /// Nothing was carried out; the caller is asked to stay away for `come_back` (zero: no word).
+    /// Nothing was carried out; the caller is asked to stay away for `retry_after` (zero: no word).
     Refused {
-        come_back: Duration,
+        retry_after: Duration,
     },
     Fails,
 }
--- a/crates/office/src/queries.rs
+++ b/crates/office/src/queries.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 use mintstall::Controller;
-use mintstall::host::{Cause, OfficeNo};
+use mintstall::interface::{Cause, ExchangeNumber};
 use mintstall_isup::{Body, Cic, CircuitState, Q850};
 
 use crate::circuits::{Group, Use};
@@ -66,7 +66,7 @@
 
 impl Working<'_> {
     /// Asks the far end about the next system of its group, and sets the next look.
-    pub fn audit(&mut self, to: OfficeNo) {
+    pub fn audit(&mut self, to: ExchangeNumber) {
         let next = self.now + self.desk.spread(self.desk.t.audit);
         self.desk.timers.set(next, Timer::Audit(to));
         let Some(size) = self.desk.groups.get(&to).map(Group::size).filter(|size| *size > 0) else { return };
@@ -81,7 +81,7 @@
     pub fn audited(
         &mut self,
         controller: &mut Controller,
-        from: OfficeNo,
+        from: ExchangeNumber,
         first: Cic,
         states: &[CircuitState],
     ) {
@@ -111,12 +111,12 @@
 
 #[cfg(test)]
 mod tests {
-    use mintstall::host::CallId;
+    use mintstall::interface::CallId;
 
     use super::*;
 
     fn group() -> Group {
-        Group::new(OfficeNo(1), OfficeNo(2), 10)
+        Group::new(ExchangeNumber(1), ExchangeNumber(2), 10)
     }
 
     const IDLE: CircuitState = CircuitState::Idle { blocked: false };
--- a/crates/office/src/signalling.rs
+++ b/crates/office/src/signalling.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use mintstall::Controller;
-use mintstall::host::{CallId, Cause, OfficeNo, PeerNo, Report as FarReport, Stood};
+use mintstall::interface::{CallId, CapacityReport, Cause, ExchangeNumber, PeerId, SeizureAnswered};
 use mintstall_isup::{
     Body, CauseIndicators, Cic, Frame, FrameError, Iam, Identity, Location, Message, Number, Q850,
     RangeStatus, Rel, Report, m3ua,
@@ -27,7 +27,7 @@
 
 impl Office {
     /// Octets came on the link from an exchange, cut anywhere.
-    pub fn octets(&mut self, now: Duration, plant: &mut dyn Plant, from: OfficeNo, octets: &[u8]) {
+    pub fn octets(&mut self, now: Duration, plant: &mut dyn Plant, from: ExchangeNumber, octets: &[u8]) {
         let Some(link) = self.desk.links.get_mut(&from).filter(|link| link.phase != Phase::Down) else {
             return;
         };
@@ -56,7 +56,7 @@
 }
 
 impl Working<'_> {
-    fn frame(&mut self, controller: &mut Controller, from: OfficeNo, frame: Frame, closing: bool) {
+    fn frame(&mut self, controller: &mut Controller, from: ExchangeNumber, frame: Frame, closing: bool) {
         let Some(link) = self.desk.links.get_mut(&from) else { return };
         let was = link.usable();
         match frame {
@@ -103,10 +103,16 @@
         }
     }
 
-    fn message(&mut self, controller: &mut Controller, from: OfficeNo, message: Message, closing: bool) {
+    fn message(
+        &mut self,
+        controller: &mut Controller,
+        from: ExchangeNumber,
+        message: Message,
+        closing: bool,
+    ) {
         let cic = message.cic;
         if let Body::Peer(octets) = message.body {
-            return controller.heard(self.now, self, PeerNo(from.0), octets);
+            return controller.on_peer_message(self.now, self, PeerId(from.0), octets);
         }
         let Some(place) = self.desk.groups.get(&from).and_then(|group| group.place(cic)) else {
             self.desk.tally.unexpected += 1;
@@ -254,15 +260,17 @@
         }
     }
 
-    fn reported(&mut self, controller: &mut Controller, from: OfficeNo, report: &Option<Report>) {
+    fn reported(&mut self, controller: &mut Controller, from: ExchangeNumber, report: &Option<Report>) {
         let Some(report) = report else { return };
-        let far =
-            FarReport { rate: report.rate_milli.map(|milli| f64::from(milli) / 1e3), ..FarReport::default() };
+        let far = CapacityReport {
+            rate: report.rate_milli.map(|milli| f64::from(milli) / 1e3),
+            ..CapacityReport::default()
+        };
         let there: Vec<_> = self.desk.exchanges_at(from).collect();
-        there.into_iter().for_each(|id| controller.reported(self.now, self, id, &far));
+        there.into_iter().for_each(|id| controller.on_capacity_report(self.now, self, id, &far));
     }
 
-    fn block_there(&mut self, from: OfficeNo, place: u16, blocked: bool) {
+    fn block_there(&mut self, from: ExchangeNumber, place: u16, blocked: bool) {
         if let Some(group) = self.desk.groups.get_mut(&from) {
             group.block(place, None, Some(blocked));
             self.desk.changed.insert(from);
@@ -270,12 +278,12 @@
     }
 
     /// The far end resets a circuit: what it carried is cut, and its block there is forgotten (Q.764 clause 2.9.3).
-    fn far_reset(&mut self, controller: &mut Controller, from: OfficeNo, place: u16, used: Use) {
+    fn far_reset(&mut self, controller: &mut Controller, from: ExchangeNumber, place: u16, used: Use) {
         self.block_there(from, place, false);
         self.carried_no_more(controller, from, place, used);
     }
 
-    fn carried_no_more(&mut self, controller: &mut Controller, from: OfficeNo, place: u16, used: Use) {
+    fn carried_no_more(&mut self, controller: &mut Controller, from: ExchangeNumber, place: u16, used: Use) {
         match used {
             Use::Releasing { .. } => self.idle(from, place),
             _ => {
@@ -325,7 +333,11 @@
                 Body::Anm { report: self.desk.report, other: Vec::new() },
             );
         }
-        controller.stands(now, self, &Stood { call, seizure, exchange, after });
+        controller.on_seizure_answered(
+            now,
+            self,
+            &SeizureAnswered { call, seizure, exchange, elapsed: after },
+        );
         // Where a seizure could not be cancelled, its caller had gone long ago.
         if let Some(Leg { source: Source::Gone, .. }) = self.desk.legs.get(&call) {
             self.caller_gone(controller, call, normal(Location::Local));
@@ -338,7 +350,7 @@
         &mut self,
         controller: &mut Controller,
         call: CallId,
-        (to, place): (OfficeNo, u16),
+        (to, place): (ExchangeNumber, u16),
         cause: Cause,
         rel: &Rel,
         then: fn(&Held, &mut Self),
@@ -364,7 +376,7 @@
                 out.limit.into_iter().for_each(|set| self.desk.timers.stop(set));
                 then(&out.held, self);
                 let closed = self.desk.closed(call);
-                controller.ended(now, self, &out.ended(call, now, cause, closed));
+                controller.on_seizure_ended(now, self, &out.ended(call, now, cause, closed));
                 self.desk.finish(call);
             }
             Sink::Standing(out) if here(&out.held) => {
@@ -380,14 +392,14 @@
                     }
                 }
                 self.desk.drop_leg(call);
-                controller.ended(now, self, &out.ended(call, now, cause, true));
+                controller.on_seizure_ended(now, self, &out.ended(call, now, cause, true));
             }
             other => leg.sink = other,
         }
     }
 
     /// A link is gone: set-ups on it are lost, and whether the far end worked on them is not known.
-    pub fn link_lost(&mut self, controller: &mut Controller, to: OfficeNo) {
+    pub fn link_lost(&mut self, controller: &mut Controller, to: ExchangeNumber) {
         let grace = self.now + self.desk.t.link_grace;
         let Some(link) = self.desk.links.get_mut(&to).filter(|link| link.phase != Phase::Down) else {
             return;
@@ -401,14 +413,14 @@
     }
 
     /// Standing calls have outlived their link for as long as they may.
-    pub fn link_grace(&mut self, controller: &mut Controller, to: OfficeNo) {
+    pub fn link_grace(&mut self, controller: &mut Controller, to: ExchangeNumber) {
         if let Some(link) = self.desk.links.get_mut(&to) {
             link.grace = None;
             self.drop_calls(controller, to, |used| used.call().is_some());
         }
     }
 
-    fn drop_calls(&mut self, controller: &mut Controller, to: OfficeNo, which: fn(Use) -> bool) {
+    fn drop_calls(&mut self, controller: &mut Controller, to: ExchangeNumber, which: fn(Use) -> bool) {
         let Some(group) = self.desk.groups.get(&to) else { return };
         let lost: Vec<_> =
             group.all().filter(|(_, circuit)| which(circuit.used)).map(|(place, _)| place).collect();
@@ -425,7 +437,7 @@
     fn initial_address(
         &mut self,
         controller: &mut Controller,
-        from: OfficeNo,
+        from: ExchangeNumber,
         first: u16,
         iam: &Iam,
         closing: bool,
@@ -446,7 +458,7 @@
         } else if self.desk.legs.len() >= self.desk.most_calls {
             self.desk.tally.overflow += 1;
             Some(Q850::Congestion)
-        } else if OfficeNo(dest) != self.desk.own && iam.hops == Some(0) {
+        } else if ExchangeNumber(dest) != self.desk.own && iam.hops == Some(0) {
             // Exchange routing error (Q.850 value 25): it would go round.
             Some(Q850::Other(25))
         } else {
@@ -474,7 +486,7 @@
             identity,
             called: iam.called,
             dialled,
-            dest: OfficeNo(dest),
+            dest: ExchangeNumber(dest),
             width,
             until: self.now.saturating_add(identity.left()).saturating_sub(ANSWER_WAY),
             guard: None,
@@ -487,12 +499,12 @@
         }
         self.desk.tally.transit += 1;
         let arrived = Step::Arrived { from, cic: Cic::at(first) };
-        self.desk.traces.begin(self.now, call, identity, OfficeNo(dest), dialled, arrived);
+        self.desk.traces.begin(self.now, call, identity, ExchangeNumber(dest), dialled, arrived);
         leg.guard = Some(self.desk.timers.set(leg.until, Timer::Guard(call)));
         self.desk.legs.insert(call, leg);
         self.put(&held, Use::SeizedIn(call));
         let offer = self.desk.offer(call, None);
-        offer.into_iter().for_each(|offer| controller.offered(self.now, self, offer));
+        offer.into_iter().for_each(|offer| controller.on_offer(self.now, self, offer));
     }
 
     /// A call for a number here: it stands at once, if the number has a line free.
@@ -525,7 +537,7 @@
     fn incoming(
         &mut self,
         controller: &mut Controller,
-        from: OfficeNo,
+        from: ExchangeNumber,
         first: u16,
         iam: &Iam,
     ) -> Option<Vec<u16>> {
--- a/crates/office/src/state.rs
+++ b/crates/office/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use mintstall::host::OfficeNo;
+use mintstall::interface::ExchangeNumber;
 
 use crate::circuits::{Blocked, Use};
 use crate::legs::{Leg, Sink, Source};
@@ -46,7 +46,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupState {
-    pub to: OfficeNo,
+    pub to: ExchangeNumber,
     pub link: LinkState,
     pub circuits: usize,
     pub free: usize,
@@ -59,7 +59,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OfficeState {
-    pub own: OfficeNo,
+    pub own: ExchangeNumber,
     pub tally: Tally,
     /// Calls in hand, and those of them that wait for their final answer.
     pub calls: usize,
--- a/crates/office/src/timers.rs
+++ b/crates/office/src/timers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mintstall::host::{AlarmId, CallId, OfficeNo, SeizureNo};
+use mintstall::interface::{CallId, ExchangeNumber, SeizureNumber, TimerId};
 
 /// Names a timer that is set; good until it rings or is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,21 +12,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
     /// Asked for by the decisions.
-    Alarm(AlarmId),
+    Alarm(TimerId),
     /// A seizure's limit.
-    Limit(CallId, SeizureNo),
+    Limit(CallId, SeizureNumber),
     /// The caller's time is up.
     Guard(CallId),
     /// T1, T5, T16, T17: by the circuit's state.
-    Circuit(OfficeNo, u16),
+    Circuit(ExchangeNumber, u16),
     /// T22: a group reset, from this circuit on.
-    GroupReset(OfficeNo, u16),
+    GroupReset(ExchangeNumber, u16),
     /// T(ack) or the next sign of life.
-    Link(OfficeNo),
+    Link(ExchangeNumber),
     /// The next look at what the far end holds of the group.
-    Audit(OfficeNo),
+    Audit(ExchangeNumber),
     /// Standing calls have outlived their link for long enough.
-    LinkGrace(OfficeNo),
+    LinkGrace(ExchangeNumber),
 }
 
 /// Emptied by time: each entry rings once, and what is no longer needed is stopped.
--- a/crates/office/src/trace.rs
+++ b/crates/office/src/trace.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use mintstall::host::{CallId, Cause, ExchangeId, OfficeNo, SeizureNo};
+use mintstall::interface::{CallId, Cause, ExchangeId, ExchangeNumber, SeizureNumber};
 use mintstall_isup::{Cic, Identity, Q850};
 
 use crate::plant::{Answer, CallEnd};
@@ -20,25 +20,25 @@
     },
     /// It came in on a circuit.
     Arrived {
-        from: OfficeNo,
+        from: ExchangeNumber,
         cic: Cic,
     },
     /// Its seizure went out on the first of so many circuits, to be given up after `limit`.
     Seized {
-        no: SeizureNo,
+        no: SeizureNumber,
         exchange: ExchangeId,
-        to: OfficeNo,
+        to: ExchangeNumber,
         cic: Cic,
         circuits: u16,
         limit: Duration,
     },
     /// The far end has all digits.
     Alerted {
-        no: SeizureNo,
+        no: SeizureNumber,
     },
     /// A seizure ended, or was never sent.
     SeizureEnded {
-        no: SeizureNo,
+        no: SeizureNumber,
         cause: Cause,
         after: Duration,
     },
@@ -60,7 +60,7 @@
 pub struct Trace {
     pub call: CallId,
     pub identity: Identity,
-    pub dest: OfficeNo,
+    pub dest: ExchangeNumber,
     pub dialled: u64,
     /// With the time of each, on the office's clock.
     pub steps: Vec<(Duration, Step)>,
@@ -112,7 +112,7 @@
         at: Duration,
         call: CallId,
         identity: Identity,
-        dest: OfficeNo,
+        dest: ExchangeNumber,
         dialled: u64,
         step: Step,
     ) {
@@ -147,7 +147,7 @@
     }
 
     /// The traces here of a call that another exchange took: more than one if it came again.
-    pub fn of(&self, origin: OfficeNo, call: u64) -> impl Iterator<Item = &Trace> {
+    pub fn of(&self, origin: ExchangeNumber, call: u64) -> impl Iterator<Item = &Trace> {
         let same = move |trace: &&Trace| trace.identity.origin == origin.0 && trace.identity.call == call;
         self.calls.values().filter(same)
     }
@@ -176,7 +176,7 @@
 
     fn begin(traces: &mut Traces, call: u64) {
         let step = Step::Offered { left: Duration::from_secs(3) };
-        traces.begin(Duration::ZERO, CallId(call), identity(call), OfficeNo(2), 5, step);
+        traces.begin(Duration::ZERO, CallId(call), identity(call), ExchangeNumber(2), 5, step);
     }
 
     #[test]
@@ -197,7 +197,7 @@
         (0..40).for_each(|_| traces.step(Duration::ZERO, CallId(1), Step::Stands));
         let trace = traces.get(CallId(1)).unwrap();
         assert_eq!((trace.steps.len(), trace.left_out), (STEPS, 17));
-        assert_eq!(traces.of(OfficeNo(7), 1).count(), 1);
-        assert_eq!(traces.of(OfficeNo(8), 1).count(), 0);
+        assert_eq!(traces.of(ExchangeNumber(7), 1).count(), 1);
+        assert_eq!(traces.of(ExchangeNumber(8), 1).count(), 0);
     }
 }
--- a/crates/office/tests/common/mod.rs
+++ b/crates/office/tests/common/mod.rs
@@ -6,23 +6,23 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use mintstall::host::*;
+use mintstall::interface::*;
 use mintstall_isup::{Data, Deframer, Frame, Message};
 use mintstall_office::*;
 
 #[derive(Default)]
 pub struct Wires {
-    pub sent: VecDeque<(OfficeNo, Vec<u8>)>,
+    pub sent: VecDeque<(ExchangeNumber, Vec<u8>)>,
     pub answers: Vec<(CallId, Answer)>,
     pub ended: Vec<(CallId, CallEnd)>,
-    pub closed: Vec<(OfficeNo, String)>,
+    pub closed: Vec<(ExchangeNumber, String)>,
 }
 
 impl Plant for Wires {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push_back((to, octets.to_vec()));
     }
-    fn close(&mut self, to: OfficeNo, why: &str) {
+    fn close(&mut self, to: ExchangeNumber, why: &str) {
         self.closed.push((to, why.to_string()));
     }
     fn answer(&mut self, call: CallId, answer: Answer) {
@@ -44,32 +44,32 @@
 }
 
 pub fn plan(own: u16, others: &[u16], circuits: u16) -> OfficePlan {
-    let call_type = |revenue, width| CallTypeData {
+    let call_type = |revenue, width| CallTypeConfig {
         setup_target: ms(2000),
         guard_time: ms(9000),
         revenue,
         width,
         mean_hold: ms(10_000),
-        repeats: Repeats::Freely,
+        repeats: RepeatPolicy::Freely,
         pools: Vec::new(),
     };
     OfficePlan {
-        own: OfficeNo(own),
-        data: OfficeData {
-            own: Some(OfficeNo(own)),
+        own: ExchangeNumber(own),
+        data: ControllerConfig {
+            own: Some(ExchangeNumber(own)),
             call_types: vec![call_type(1.0, 1), call_type(3.0, 3)],
             seizure_limit: 4,
             may_cancel: true,
-            longest_come_back: ms(2000),
+            max_retry_after: ms(2000),
             must_subscribe: false,
-            may_tell: false,
-            fall_multiple: 2.0,
+            may_message_peers: false,
+            overload_multiple: 2.0,
             cold_share: 0.3,
             warm_up: ms(10_000),
             release_wait: ms(200),
-            repeat_after: Duration::ZERO,
+            retransmit_after: Duration::ZERO,
         },
-        groups: others.iter().map(|to| GroupPlan { to: OfficeNo(*to), circuits }).collect(),
+        groups: others.iter().map(|to| GroupPlan { to: ExchangeNumber(*to), circuits }).collect(),
         numbers: vec![NumberPlan { dialled: 77, lines: 1 }],
         timers: Timers { t1: ms(1000), t5: ms(5000), ..Timers::default() },
         most_calls: 1000,
@@ -89,18 +89,18 @@
         }
         all.iter().for_each(|own| table.listed(*own));
         for (a, b) in all.iter().flat_map(|a| all.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b) {
-            table.with(a, |office, now, wires| office.link_up(now, wires, OfficeNo(b)));
+            table.with(a, |office, now, wires| office.link_up(now, wires, ExchangeNumber(b)));
         }
         table.carry();
         table
     }
 
     pub fn listed(&mut self, own: u16) {
-        let line = |no: &u16| RosterLine {
-            exchange: ExchangeId(u32::from(*no) * 10),
-            office: OfficeNo(*no),
+        let line = |no: &u16| ExchangeEntry {
+            id: ExchangeId(u32::from(*no) * 10),
+            number: ExchangeNumber(*no),
             zone: Zone(0),
-            standing: Standing::Ready,
+            status: ExchangeStatus::Ready,
             started: Duration::ZERO,
         };
         let lines: Vec<_> = self.offices.keys().map(line).collect();
@@ -121,9 +121,9 @@
             let call = office.next_call();
             let order = Order {
                 call_type: CallType(call_type),
-                customer: CustomerNo(0),
-                dest: OfficeNo(dest),
-                dialled: Dialled(dialled),
+                customer: CustomerId(0),
+                dest: ExchangeNumber(dest),
+                dialled: DialledNumber(dialled),
                 left: ms(3000),
                 advised: None,
                 cut: false,
@@ -143,7 +143,7 @@
     }
 
     pub fn give(&mut self, from: u16, to: u16, octets: &[u8]) {
-        self.with(to, |office, now, wires| office.octets(now, wires, OfficeNo(from), octets));
+        self.with(to, |office, now, wires| office.octets(now, wires, ExchangeNumber(from), octets));
     }
 
     /// Carries all over until nothing is left to carry; returns the names of the messages, in order.
@@ -174,13 +174,13 @@
     pub fn cut(&mut self, a: u16, b: u16) {
         self.take(a, b);
         self.take(b, a);
-        self.with(a, |office, now, wires| office.link_down(now, wires, OfficeNo(b)));
-        self.with(b, |office, now, wires| office.link_down(now, wires, OfficeNo(a)));
+        self.with(a, |office, now, wires| office.link_down(now, wires, ExchangeNumber(b)));
+        self.with(b, |office, now, wires| office.link_down(now, wires, ExchangeNumber(a)));
     }
 
     pub fn mend(&mut self, a: u16, b: u16) {
-        self.with(a, |office, now, wires| office.link_up(now, wires, OfficeNo(b)));
-        self.with(b, |office, now, wires| office.link_up(now, wires, OfficeNo(a)));
+        self.with(a, |office, now, wires| office.link_up(now, wires, ExchangeNumber(b)));
+        self.with(b, |office, now, wires| office.link_up(now, wires, ExchangeNumber(a)));
     }
 
     pub fn answers(&mut self, own: u16) -> Vec<(CallId, Answer)> {
--- a/crates/office/tests/fuzz.rs
+++ b/crates/office/tests/fuzz.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Table, ms};
-use mintstall::host::OfficeNo;
+use mintstall::interface::ExchangeNumber;
 
 /// Each input is a run of messages: a byte tells how many octets the next has, put into a frame of the live link.
 #[test]
@@ -23,7 +23,7 @@
             table.pass(ms(50));
         }
         // And raw, which may break the link.
-        table.with(1, |office, now, wires| office.octets(now, wires, OfficeNo(2), input));
+        table.with(1, |office, now, wires| office.octets(now, wires, ExchangeNumber(2), input));
         table.carry();
         table.pass(ms(5000));
         let answers = table.answers(1);
--- a/crates/office/tests/stories.rs
+++ b/crates/office/tests/stories.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{Table, ms, name};
-use mintstall::host::OfficeNo;
+use mintstall::interface::ExchangeNumber;
 use mintstall_isup::{Body, Cic, Data, Frame, Message, m3ua};
 use mintstall_office::{Answer, CallEnd, LinkState};
 
@@ -244,7 +244,7 @@
     wires.sent.clear();
     table.listed(1);
     for far in [2, 3] {
-        table.with(far, |office, now, wires| office.link_down(now, wires, OfficeNo(1)));
+        table.with(far, |office, now, wires| office.link_down(now, wires, ExchangeNumber(1)));
         table.mend(1, far);
     }
     let names = table.carry();
@@ -262,7 +262,7 @@
     let mut table = Table::new(2, 40);
     let calls: Vec<_> = (0..40).map(|no| table.call(1, 2, no, 0)).collect();
     table.carry();
-    table.with(1, |office, now, wires| office.circuits(now, wires, OfficeNo(2), 10));
+    table.with(1, |office, now, wires| office.circuits(now, wires, ExchangeNumber(2), 10));
     table.carry();
     assert_eq!(table.ended(1).len(), 30);
     assert_eq!((table.group(1, 2).blocked, table.group(2, 1).blocked), (30, 30));
@@ -272,7 +272,7 @@
         .for_each(|call| _ = table.with(1, |office, now, wires| office.hang_up(now, wires, call)));
     table.carry();
     assert_eq!((table.group(1, 2).free, table.group(2, 1).free), (10, 10));
-    table.with(1, |office, now, wires| office.circuits(now, wires, OfficeNo(2), 40));
+    table.with(1, |office, now, wires| office.circuits(now, wires, ExchangeNumber(2), 40));
     table.carry();
     table.all_quiet();
 }
@@ -292,7 +292,7 @@
 fn garbage_closes_the_link_and_harms_no_other() {
     let mut table = Table::new(3, 31);
     table.give(1, 2, b"GET / HTTP/1.1\r\n\r\n");
-    assert_eq!(table.offices[&2].1.closed[0].0, OfficeNo(1));
+    assert_eq!(table.offices[&2].1.closed[0].0, ExchangeNumber(1));
     table.cut(1, 2);
     let call = table.call(3, 2, 5, 0);
     table.carry();
@@ -319,7 +319,7 @@
         table.take(2, 1);
         table.take(1, 2);
     }
-    assert_eq!(table.offices[&1].1.closed, [(OfficeNo(2), "no sign of life".to_string())]);
+    assert_eq!(table.offices[&1].1.closed, [(ExchangeNumber(2), "no sign of life".to_string())]);
 }
 
 #[test]
@@ -351,7 +351,7 @@
     let first = table.call(1, 2, 5, 0);
     table.with(1, |office, _, _| office.stop());
     let second = table.call(1, 2, 6, 0);
-    assert_eq!(table.answers(1), [(second, Answer::Refused { come_back: Duration::ZERO })]);
+    assert_eq!(table.answers(1), [(second, Answer::Refused { retry_after: Duration::ZERO })]);
     assert!(table.offices[&1].0.owes());
     table.carry();
     assert_eq!(table.answers(1), [(first, Answer::Stands)]);
@@ -403,7 +403,7 @@
 
 #[test]
 fn a_drain_told_while_a_call_waits_for_a_further_seizure_keeps_it_from_going_there() {
-    use mintstall::host::{ExchangeId, RosterLine, Standing, Zone};
+    use mintstall::interface::{ExchangeEntry, ExchangeId, ExchangeStatus, Zone};
     let mut table = Table::new(2, 31);
     let call = table.call(1, 2, 5, 0);
     table.take(1, 2);
@@ -415,11 +415,11 @@
     table.give(2, 1, &frame(2, 1, Cic(1), Body::Rel(mintstall_isup::Rel::new(cause))));
     table.take(1, 2);
     assert_eq!(table.answers(1), []);
-    let drains = RosterLine {
-        exchange: ExchangeId(20),
-        office: OfficeNo(2),
+    let drains = ExchangeEntry {
+        id: ExchangeId(20),
+        number: ExchangeNumber(2),
         zone: Zone(0),
-        standing: Standing::Draining,
+        status: ExchangeStatus::Draining,
         started: Duration::ZERO,
     };
     table.with(1, |office, now, wires| office.roster_changes(now, wires, &[drains]));
@@ -442,7 +442,7 @@
     let round = calls[4];
     let kinds = |table: &Table, own: u16| -> Vec<String> {
         let office = &table.offices[&own].0;
-        let traces: Vec<_> = office.traces_of(OfficeNo(1), round.0).collect();
+        let traces: Vec<_> = office.traces_of(ExchangeNumber(1), round.0).collect();
         assert_eq!(traces.len(), 1, "at {own}");
         assert!(traces[0].seizures_out() <= 1);
         let kind = |step: &Step| format!("{step:?}").split([' ', '(']).next().unwrap_or_default().to_string();
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use mintstall::Controller;
-use mintstall::host::{CallId, ExchangeId};
+use mintstall::interface::{CallId, ExchangeId};
 use mintstall_settings::Trade;
 
 use self::shutdown::Shutdown;
@@ -115,7 +115,7 @@
     /// Tells the decisions which seizures ended through what was done since.
     fn settle(&mut self, port: &mut dyn Port) {
         while let Some(end) = self.desk.ends.pop_front() {
-            self.decide(port, |controller, now, turn| controller.ended(now, turn, &end));
+            self.decide(port, |controller, now, turn| controller.on_seizure_ended(now, turn, &end));
         }
     }
 
@@ -141,7 +141,7 @@
     fn falls_due(&mut self, port: &mut dyn Port, timer: Timer) {
         match timer {
             Timer::Alarm(alarm) => {
-                self.decide(port, |controller, now, turn| controller.rings(now, turn, alarm))
+                self.decide(port, |controller, now, turn| controller.on_timer(now, turn, alarm))
             }
             Timer::Limit(call, no) => self.desk.limit(port, call, no),
             Timer::Guard(call) => self.time_is_up(port, call, 408),
@@ -167,7 +167,7 @@
     fn time_is_up(&mut self, port: &mut dyn Port, id: CallId, status: u16) {
         if self.desk.calls.get(&id).is_some_and(|call| call.owed == Owed::Answer) {
             self.desk.answer(port, id, status, &[], b"");
-            self.decide(port, |controller, now, turn| controller.withdrawn(now, turn, id));
+            self.decide(port, |controller, now, turn| controller.on_caller_gone(now, turn, id));
         }
     }
 
--- a/crates/platform/src/core/callers.rs
+++ b/crates/platform/src/core/callers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mintstall::host::{CallId, Cause, Ended, Offer, SeizureNo};
+use mintstall::interface::{CallId, CallOffer, Cause, SeizureEnded, SeizureNumber};
 use mintstall_sip::{self as sip, Message, Start};
 
 use super::shutdown::Shutdown;
@@ -82,7 +82,7 @@
     /// Nothing is owed for a call any more.
     pub(super) fn withdraw(&mut self, port: &mut dyn Port, id: CallId) {
         self.desk.forget(id);
-        self.decide(port, |controller, now, turn| controller.withdrawn(now, turn, id));
+        self.decide(port, |controller, now, turn| controller.on_caller_gone(now, turn, id));
     }
 
     pub(super) fn message(&mut self, port: &mut dyn Port, no: CallerNo, message: &Message) {
@@ -177,12 +177,12 @@
             caller.open.insert(id);
         }
         self.desk.set(until - now, Timer::Guard(id));
-        let offer = Offer {
+        let offer = CallOffer {
             call: id,
             call_type: set_up.call_type,
             customer: set_up.customer,
             dialled: set_up.dialled,
-            until,
+            deadline: until,
             dest: set_up.dest,
             width: set_up.width,
             advised: set_up.via,
@@ -190,7 +190,7 @@
             cut: set_up.again,
             redial: false,
         };
-        self.decide(port, |controller, now, turn| controller.offered(now, turn, offer));
+        self.decide(port, |controller, now, turn| controller.on_offer(now, turn, offer));
     }
 
     /// A call that stood before this process: remembered for its release.
@@ -206,7 +206,7 @@
         match self.uids.get(at) {
             Some(exchange) => {
                 let call = CallId(self.desk.number());
-                let (seizure, exchange) = (SeizureNo(0), *exchange);
+                let (seizure, exchange) = (SeizureNumber(0), *exchange);
                 let stands = Standing { call, seizure, exchange, caller: no, sent: now, since: now };
                 self.desk.standing.insert(id, stands);
             }
@@ -227,7 +227,7 @@
         let Some(id) = own else { return reply(port, no, message, 481, "") };
         reply(port, no, message, 200, "");
         self.desk.answer(port, id, 487, &[], b"");
-        self.decide(port, |controller, now, turn| controller.withdrawn(now, turn, id));
+        self.decide(port, |controller, now, turn| controller.on_caller_gone(now, turn, id));
     }
 
     pub(super) fn caller_releases(&mut self, port: &mut dyn Port, no: CallerNo, message: &Message) {
@@ -247,8 +247,8 @@
     pub(super) fn over(&mut self, port: &mut dyn Port, call: &Standing, cause: Cause) {
         let Standing { call, seizure, exchange, sent, .. } = *call;
         let after = self.desk.now.saturating_sub(sent);
-        let end = Ended { call, seizure, exchange, cause, after, closed: true };
-        self.decide(port, |controller, now, turn| controller.ended(now, turn, &end));
+        let end = SeizureEnded { call, seizure, exchange, cause, elapsed: after, closed: true };
+        self.decide(port, |controller, now, turn| controller.on_seizure_ended(now, turn, &end));
     }
 }
 
--- a/crates/platform/src/core/discovery.rs
+++ b/crates/platform/src/core/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mintstall::host::{ExchangeId, OfficeNo, RosterLine, Standing as Service, Zone};
+use mintstall::interface::{ExchangeEntry, ExchangeId, ExchangeNumber, ExchangeStatus, Zone};
 use mintstall::liveness::Lease;
 
 use super::{BUS_AGAIN, BUS_AGAIN_LONGEST, BusState, Core};
@@ -69,8 +69,10 @@
         let lines = self.lines(topology);
         let gone: Vec<_> = self.changes(port, topology, &lines);
         match topology.all {
-            true => self.decide(port, |controller, now, turn| controller.roster(now, turn, &lines)),
-            false => self.decide(port, |controller, now, turn| controller.roster_changes(now, turn, &lines)),
+            true => self.decide(port, |controller, now, turn| controller.on_membership(now, turn, &lines)),
+            false => {
+                self.decide(port, |controller, now, turn| controller.on_membership_changes(now, turn, &lines))
+            }
         }
         for (exchange, before, reason) in gone {
             self.cut_calls(port, exchange, before, reason);
@@ -81,7 +83,7 @@
     }
 
     /// A topology as the decisions read it; exchanges that are new get their number.
-    pub(super) fn lines(&mut self, topology: &Topology) -> Vec<RosterLine> {
+    pub(super) fn lines(&mut self, topology: &Topology) -> Vec<ExchangeEntry> {
         let zones = &self.trade.zones;
         let mut lines = Vec::new();
         for target in &topology.targets {
@@ -90,14 +92,14 @@
                 self.next_exchange += 1;
                 ExchangeId(self.next_exchange)
             });
-            lines.push(RosterLine {
-                exchange,
-                office: OfficeNo(target.pod_group),
+            lines.push(ExchangeEntry {
+                id: exchange,
+                number: ExchangeNumber(target.pod_group),
                 zone: Zone(zone.map_or(u8::MAX, |at| at as u8)),
-                standing: match target.state {
-                    bus::Service::InService => Service::Ready,
-                    bus::Service::Terminating => Service::Draining,
-                    bus::Service::Terminated => Service::Gone,
+                status: match target.state {
+                    bus::Service::InService => ExchangeStatus::Ready,
+                    bus::Service::Terminating => ExchangeStatus::Draining,
+                    bus::Service::Terminated => ExchangeStatus::Gone,
                 },
                 started: Duration::from_millis(target.boot_ms),
             });
@@ -110,18 +112,18 @@
         &mut self,
         port: &mut dyn Port,
         topology: &Topology,
-        lines: &[RosterLine],
+        lines: &[ExchangeEntry],
     ) -> Vec<(ExchangeId, Duration, CallEnd)> {
         let mut ended = Vec::new();
         for (line, target) in lines.iter().zip(&topology.targets) {
             // Calls to the own exchange are not set up over the platform.
-            if Some(line.office) == self.trade.office.own {
+            if Some(line.number) == self.trade.office.own {
                 continue;
             }
             let fresh = RemoteExchange {
                 uid: target.uid.clone(),
                 at: target.endpoint,
-                service: line.standing,
+                service: line.status,
                 started: line.started,
                 links: Vec::new(),
                 draining: Default::default(),
@@ -133,10 +135,10 @@
                 all_links_lost: None,
                 dials_for_releases: false,
             };
-            let far = self.desk.exchanges.entry(line.exchange).or_insert(fresh);
-            far.service = line.standing;
+            let far = self.desk.exchanges.entry(line.id).or_insert(fresh);
+            far.service = line.status;
             if std::mem::replace(&mut far.started, line.started) != line.started {
-                ended.push((line.exchange, line.started, CallEnd::ExchangeRestarted));
+                ended.push((line.id, line.started, CallEnd::ExchangeRestarted));
             }
             if std::mem::replace(&mut far.at, target.endpoint) != target.endpoint {
                 let links = far.links.clone();
@@ -145,13 +147,13 @@
                 }
             }
         }
-        let missing = |id: &ExchangeId| topology.all && lines.iter().all(|line| line.exchange != *id);
+        let missing = |id: &ExchangeId| topology.all && lines.iter().all(|line| line.id != *id);
         for (id, far) in &mut self.desk.exchanges {
             if missing(id) {
-                far.service = Service::Gone;
+                far.service = ExchangeStatus::Gone;
             }
         }
-        let gone = |far: &RemoteExchange| far.service == Service::Gone;
+        let gone = |far: &RemoteExchange| far.service == ExchangeStatus::Gone;
         let all: Vec<_> =
             self.desk.exchanges.iter().filter(|(_, far)| gone(far)).map(|(id, _)| *id).collect();
         for id in all {
--- a/crates/platform/src/core/exchanges.rs
+++ b/crates/platform/src/core/exchanges.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mintstall::host::{Cause, ExchangeId, Report, Stood};
+use mintstall::interface::{CapacityReport, Cause, ExchangeId, SeizureAnswered};
 use mintstall::liveness::{self, Renewal};
 
 use super::{Core, Disconnect};
@@ -47,7 +47,9 @@
         let next =
             self.desk.first_up(exchange).filter(|_| told).and_then(|next| self.desk.links.get_mut(&next));
         if let Some(report) = next.and_then(|link| link.state_told.take()) {
-            self.decide(port, |controller, now, turn| controller.reported(now, turn, exchange, &report));
+            self.decide(port, |controller, now, turn| {
+                controller.on_capacity_report(now, turn, exchange, &report)
+            });
         }
         lost
     }
@@ -63,7 +65,7 @@
             match cutter.next_message() {
                 Ok(Some(message)) => {
                     let remote = self.desk.exchanges.get_mut(&exchange);
-                    if remote.is_some_and(|remote| remote.lease.renew(now) == Renewal::AfterDoubt) {
+                    if remote.is_some_and(|remote| remote.lease.renew(now) == Renewal::AfterSuspicion) {
                         self.desk.plan_dial_for_releases(exchange);
                     }
                     self.exchange_says(port, no, exchange, &message);
@@ -109,13 +111,20 @@
         port.detail(format_args!("exchange {} reports {text:?}", exchange.0));
         if let Some(report) = report {
             self.end_calls_of_former_process(port, exchange, &report);
-            self.decide(port, |controller, now, turn| controller.reported(now, turn, exchange, &report));
+            self.decide(port, |controller, now, turn| {
+                controller.on_capacity_report(now, turn, exchange, &report)
+            });
         }
     }
 
     /// The first report after all links were lost: a process with all its circuits free holds none of the calls that
     /// stood, so it is not the one that they were set up with.
-    fn end_calls_of_former_process(&mut self, port: &mut dyn Port, exchange: ExchangeId, report: &Report) {
+    fn end_calls_of_former_process(
+        &mut self,
+        port: &mut dyn Port,
+        exchange: ExchangeId,
+        report: &CapacityReport,
+    ) {
         let remote = self.desk.exchanges.get_mut(&exchange);
         let Some(lost) = remote.and_then(|remote| remote.all_links_lost.take()) else { return };
         if liveness::holds_no_calls(report) {
@@ -150,8 +159,8 @@
         self.desk.callers.entry(caller).and_modify(|caller| caller.proven = true);
         self.desk.answer(port, id, 200, &[("Content-Type", "application/sdp")], description);
         let after = now.saturating_sub(out.since);
-        let stood = Stood { call: id, seizure: out.no, exchange, after };
-        self.decide(port, |controller, now, turn| controller.stands(now, turn, &stood));
+        let stood = SeizureAnswered { call: id, seizure: out.no, exchange, elapsed: after };
+        self.decide(port, |controller, now, turn| controller.on_seizure_answered(now, turn, &stood));
     }
 
     pub(super) fn released(
--- a/crates/platform/src/core/leases.rs
+++ b/crates/platform/src/core/leases.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use mintstall::host::ExchangeId;
-use mintstall::liveness::{Check, Holder};
+use mintstall::interface::ExchangeId;
+use mintstall::liveness::{LeaseAction, ProcessPhase};
 
 use super::Core;
 use crate::Port;
@@ -14,26 +14,26 @@
     /// Looks at the lease of each exchange at which a call stands.
     pub(super) fn check_leases(&mut self, port: &mut dyn Port) {
         let holders: BTreeSet<ExchangeId> = self.desk.standing.values().map(|call| call.exchange).collect();
-        let holder = if self.draining() { Holder::Leaves } else { Holder::Stays };
+        let holder = if self.draining() { ProcessPhase::Terminating } else { ProcessPhase::Running };
         for exchange in holders {
             let Some(remote) = self.desk.exchanges.get_mut(&exchange) else { continue };
             let quiet = self.desk.now.saturating_sub(remote.lease.last_heard());
             match remote.lease.check(self.desk.now, holder) {
-                Check::Valid => {}
-                Check::SendHeartbeat if self.trade.may_probe => {
+                LeaseAction::Valid => {}
+                LeaseAction::SendHeartbeat if self.trade.may_probe => {
                     port.detail(format_args!("exchange {} quiet for {quiet:?}: heartbeat", exchange.0));
                     self.desk.send_heartbeat(port, exchange);
                 }
-                Check::SendHeartbeat => {
+                LeaseAction::SendHeartbeat => {
                     // Each new connection brings the group's state as its first message.
                     port.detail(format_args!("exchange {} quiet for {quiet:?}: connection", exchange.0));
                     self.replace_connection(port, exchange);
                 }
-                Check::ReplaceConnection => {
+                LeaseAction::ReplaceConnection => {
                     port.detail(format_args!("exchange {} quiet for {quiet:?}: no answer", exchange.0));
                     self.replace_connection(port, exchange);
                 }
-                Check::Expired => {
+                LeaseAction::Expired => {
                     port.note(&format!("exchange {} quiet for {quiet:?}: its lease has expired", exchange.0));
                     self.end_calls(port, exchange, Duration::MAX, CallEnd::LeaseExpired);
                 }
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -10,9 +10,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use mintstall::chance::Chance;
-use mintstall::host::{AlarmId, CallId, Ended, ExchangeId, Report, SeizureNo, Standing as Service};
+use mintstall::interface::{
+    CallId, CapacityReport, ExchangeId, ExchangeStatus, SeizureEnded, SeizureNumber, TimerId,
+};
 use mintstall::liveness::Lease;
+use mintstall::random::MwcRng;
 use mintstall_sip as sip;
 
 use crate::message::{self, WireId};
@@ -50,9 +52,9 @@
 /// What falls due at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    Alarm(AlarmId),
+    Alarm(TimerId),
     /// A seizure's time-out.
-    Limit(CallId, SeizureNo),
+    Limit(CallId, SeizureNumber),
     /// The end of the caller's time.
     Guard(CallId),
     /// A dial that is not answered by now is given up.
@@ -71,7 +73,7 @@
 /// A seizure that is out.
 #[derive(Debug)]
 pub struct Out {
-    pub no: SeizureNo,
+    pub no: SeizureNumber,
     pub to: ExchangeId,
     /// None while its link is dialled.
     pub link: Option<LinkNo>,
@@ -114,7 +116,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Standing {
     pub call: CallId,
-    pub seizure: SeizureNo,
+    pub seizure: SeizureNumber,
     pub exchange: ExchangeId,
     pub caller: CallerNo,
     pub sent: Duration,
@@ -169,7 +171,7 @@
     /// Set-ups out on it.
     pub out: BTreeMap<WireId, CallId>,
     /// The group's state that came last on it, while another link's is believed.
-    pub state_told: Option<Report>,
+    pub state_told: Option<CapacityReport>,
 }
 
 /// One exchange. Emptied by the bus, once it is gone.
@@ -177,7 +179,7 @@
 pub struct RemoteExchange {
     pub uid: Box<str>,
     pub at: SocketAddr,
-    pub service: Service,
+    pub service: ExchangeStatus,
     pub started: Duration,
     /// Dialled or up, oldest first.
     pub links: Vec<LinkNo>,
@@ -208,7 +210,7 @@
     pub links: BTreeMap<LinkNo, Link>,
     pub timers: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
     /// Ends of seizures that the decisions are to be told.
-    pub ends: VecDeque<Ended>,
+    pub ends: VecDeque<SeizureEnded>,
     /// Releases for callers to whom no connection is open, oldest first.
     pending_releases: VecDeque<(Duration, WireId, u8)>,
     /// Releases by exchanges of calls that are not known here, oldest first.
@@ -220,7 +222,7 @@
     pub links_closed: bool,
     pub links_budget: usize,
     pub dial_within: Duration,
-    chance: Chance,
+    chance: MwcRng,
     next: u64,
 }
 
@@ -243,7 +245,7 @@
             links_closed: false,
             links_budget,
             dial_within,
-            chance: Chance::new(seed ^ 0x5eed),
+            chance: MwcRng::new(seed ^ 0x5eed),
             next: 0,
         }
     }
@@ -260,7 +262,7 @@
 
     /// A draw from the upper half of a span: what many lost together they do not ask for together.
     pub fn jittered(&mut self, span: Duration) -> Duration {
-        span.mul_f64(0.5 + 0.5 * self.chance.below_one())
+        span.mul_f64(0.5 + 0.5 * self.chance.next_f64())
     }
 
     // Callers.
--- a/crates/platform/src/desk/actions.rs
+++ b/crates/platform/src/desk/actions.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use mintstall::host::{AlarmId, CallId, Cause, ExchangeId, Host, PeerNo, SeizureNo, Standing as Service};
+use mintstall::interface::{
+    CallId, Cause, ControllerActions, ExchangeId, ExchangeStatus, PeerId, SeizureNumber, TimerId,
+};
 
 use super::{Desk, Out, SPARE_LINKS, Timer};
 use crate::Port;
@@ -13,11 +15,11 @@
     pub port: &'a mut dyn Port,
 }
 
-impl Host for Turn<'_> {
+impl ControllerActions for Turn<'_> {
     fn seize(&mut self, id: CallId, to: ExchangeId, limit: Duration) {
         let Self { desk, port } = self;
         let Some(call) = desk.calls.get_mut(&id) else { return };
-        let no = SeizureNo(call.seizures);
+        let no = SeizureNumber(call.seizures);
         call.seizures = call.seizures.saturating_add(1);
         call.out = Some(Out { no, to, link: None, since: desk.now, limit });
         desk.set(limit, Timer::Limit(id, no));
@@ -25,7 +27,7 @@
             return;
         }
         // No link is free: one is waited for while it is dialled, which a seizure is reason enough for.
-        let Some(far) = desk.exchanges.get(&to).filter(|far| far.service == Service::Ready) else {
+        let Some(far) = desk.exchanges.get(&to).filter(|far| far.service == ExchangeStatus::Ready) else {
             return desk.end(id, Cause::Unreachable);
         };
         if !desk.dialling(far) && far.links.len() < desk.links_each + SPARE_LINKS {
@@ -38,17 +40,17 @@
         desk.unreached(to);
     }
 
-    fn cancel(&mut self, id: CallId, seizure: SeizureNo) {
+    fn cancel(&mut self, id: CallId, seizure: SeizureNumber) {
         let out = self.desk.calls.get(&id).and_then(|call| call.out.as_ref());
         if out.is_some_and(|out| out.no == seizure) {
             self.desk.give_up(self.port, id, Cause::Cancelled);
         }
     }
 
-    fn reject(&mut self, id: CallId, come_back: Duration) {
-        let wait = come_back.as_millis().to_string();
+    fn reject(&mut self, id: CallId, retry_after: Duration) {
+        let wait = retry_after.as_millis().to_string();
         let more = [("P-Back-Off", &*wait)];
-        let more = if come_back.is_zero() { &more[..0] } else { &more[..] };
+        let more = if retry_after.is_zero() { &more[..0] } else { &more[..] };
         self.desk.answer(self.port, id, 503, more, b"");
     }
 
@@ -56,11 +58,11 @@
         self.desk.answer(self.port, id, 500, &[], b"");
     }
 
-    fn alarm(&mut self, after: Duration, alarm: AlarmId) {
-        self.desk.set(after, Timer::Alarm(alarm));
+    fn set_timer(&mut self, after: Duration, timer: TimerId) {
+        self.desk.set(after, Timer::Alarm(timer));
     }
 
-    fn tell(&mut self, _peer: Option<PeerNo>, _message: &[u8]) {
+    fn send_to_peers(&mut self, _peer: Option<PeerId>, _message: &[u8]) {
         // The platform has no way between controllers where its settings allow none, as they do so far.
     }
 
--- a/crates/platform/src/desk/calls.rs
+++ b/crates/platform/src/desk/calls.rs
@@ -1,6 +1,6 @@
 //! Calls without a final answer and their attempts.
 
-use mintstall::host::{CallId, Cause, Ended, SeizureNo};
+use mintstall::interface::{CallId, Cause, SeizureEnded, SeizureNumber};
 use mintstall_sip as sip;
 
 use super::releases::release_on;
@@ -115,7 +115,14 @@
         }
         let after = self.now.saturating_sub(out.since);
         metrics::counter!("attempts_ended", "cause" => cause_label(cause)).increment(1);
-        self.ends.push_back(Ended { call: id, seizure: out.no, exchange: out.to, cause, after, closed });
+        self.ends.push_back(SeizureEnded {
+            call: id,
+            seizure: out.no,
+            exchange: out.to,
+            cause,
+            elapsed: after,
+            closed,
+        });
         if closed {
             self.drop_call(id);
         }
@@ -133,7 +140,7 @@
     }
 
     /// The time of a seizure is up.
-    pub fn limit(&mut self, port: &mut dyn Port, id: CallId, no: SeizureNo) {
+    pub fn limit(&mut self, port: &mut dyn Port, id: CallId, no: SeizureNumber) {
         let Some(out) = self.calls.get(&id).and_then(|call| call.out.as_ref()) else { return };
         if out.no != no {
             return;
--- a/crates/platform/src/desk/links.rs
+++ b/crates/platform/src/desk/links.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use mintstall::host::{Cause, ExchangeId, Standing as Service};
+use mintstall::interface::{Cause, ExchangeId, ExchangeStatus};
 
 use super::{
     DRAINING_FOR, Desk, FINISHED_WITHIN, Link, LinkState, MOST_LINKS, REDIAL_FIRST, REDIAL_LAST,
@@ -109,7 +109,7 @@
     pub fn dial_for_releases(&mut self, port: &mut dyn Port, to: ExchangeId) {
         let Some(remote) = self.exchanges.get_mut(&to) else { return };
         remote.dials_for_releases = false;
-        let (listed, at) = (remote.service != Service::Gone, remote.at);
+        let (listed, at) = (remote.service != ExchangeStatus::Gone, remote.at);
         if listed && self.standing.values().any(|call| call.exchange == to) {
             self.dial(port, to, at);
         }
@@ -126,7 +126,7 @@
 
     /// How many links an exchange gets, so that all fit the descriptors.
     pub fn share_links(&mut self) {
-        let ready = self.exchanges.values().filter(|far| far.service == Service::Ready).count();
+        let ready = self.exchanges.values().filter(|far| far.service == ExchangeStatus::Ready).count();
         self.links_each = (self.links_budget / ready.max(1)).clamp(1, MOST_LINKS);
     }
 
@@ -134,9 +134,9 @@
     pub fn maintain_pool(&mut self, port: &mut dyn Port, to: ExchangeId) {
         let Some(far) = self.exchanges.get(&to) else { return };
         let wanted = match far.service {
-            Service::Ready => self.links_each,
-            Service::Draining => 1,
-            Service::Gone => 0,
+            ExchangeStatus::Ready => self.links_each,
+            ExchangeStatus::Draining => 1,
+            ExchangeStatus::Gone => 0,
         };
         let short = wanted.saturating_sub(far.links.len());
         let (first, next_dial, at) = (far.failures == 0, far.next_dial, far.at);
@@ -178,7 +178,7 @@
         let Some(far) = self.exchanges.get_mut(&to) else { return };
         far.failures = 0;
         let waiting = std::mem::take(&mut far.waiting);
-        let ready = far.service == Service::Ready;
+        let ready = far.service == ExchangeStatus::Ready;
         self.repeat_releases(port, to, no);
         self.drain_surplus(port, to);
         for id in waiting {
@@ -241,7 +241,7 @@
     fn back_off(&mut self, to: ExchangeId) {
         let Some(far) = self.exchanges.get_mut(&to) else { return };
         far.failures = far.failures.saturating_add(1);
-        let last = if far.lease.in_doubt() { REDIAL_IN_DOUBT } else { REDIAL_LAST };
+        let last = if far.lease.is_suspected() { REDIAL_IN_DOUBT } else { REDIAL_LAST };
         let ceiling = doubled(REDIAL_FIRST, far.failures, last);
         let next_dial = self.now + self.jittered(ceiling);
         self.exchanges.entry(to).and_modify(|far| far.next_dial = next_dial);
--- a/crates/platform/src/desk/releases.rs
+++ b/crates/platform/src/desk/releases.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mintstall::host::{CallId, ExchangeId};
+use mintstall::interface::{CallId, ExchangeId};
 use mintstall_sip as sip;
 
 use super::{
--- a/crates/platform/src/offer.rs
+++ b/crates/platform/src/offer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mintstall::host::{CallType, CustomerNo, Dialled, OfficeNo};
+use mintstall::interface::{CallType, CustomerId, DialledNumber, ExchangeNumber};
 use mintstall_settings::Trade;
 use mintstall_sip::Message;
 use thiserror::Error;
@@ -33,12 +33,12 @@
     /// The name of the call type as it goes on.
     pub call_type_name: &'a str,
     pub call_type: CallType,
-    pub customer: CustomerNo,
-    pub dialled: Dialled,
+    pub customer: CustomerId,
+    pub dialled: DialledNumber,
     pub patience: Duration,
-    pub dest: OfficeNo,
+    pub dest: ExchangeNumber,
     pub width: u16,
-    pub via: Option<OfficeNo>,
+    pub via: Option<ExchangeNumber>,
     pub transit: bool,
     pub again: bool,
 }
@@ -141,7 +141,7 @@
     }
     let via = match info.via {
         None | Some("-1") => None,
-        Some(text) => Some(OfficeNo(number(text, 0)?)),
+        Some(text) => Some(ExchangeNumber(number(text, 0)?)),
     };
     if message.body.is_empty() {
         return Err(Refusal::Missing("the description"));
@@ -155,10 +155,10 @@
         description: message.body,
         call_type_name,
         call_type: CallType(call_type as u8),
-        customer: CustomerNo(customer as u16),
-        dialled: Dialled(dialled),
+        customer: CustomerId(customer as u16),
+        dialled: DialledNumber(dialled),
         patience,
-        dest: OfficeNo(number(info.dest.ok_or(Refusal::Missing(INFO))?, 0)?),
+        dest: ExchangeNumber(number(info.dest.ok_or(Refusal::Missing(INFO))?, 0)?),
         width: info.width.map_or(Ok(1), |text| number(text, 1))?,
         via,
         transit: flag(info.transit)?,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use mintstall::host::{CallTypeData, OfficeData, OfficeNo, Repeats, Report};
+use mintstall::interface::{CallTypeConfig, CapacityReport, ControllerConfig, ExchangeNumber, RepeatPolicy};
 use serde_json::Value;
 use thiserror::Error;
 
@@ -47,7 +47,7 @@
 
     /// A report whose figures stand by name, as in `idle:12;circuits:40`. Names that the settings don't have are
     /// passed over; a figure that is none makes the whole unreadable.
-    pub fn named_report(&self, text: &str) -> Option<Report> {
+    pub fn named_report(&self, text: &str) -> Option<CapacityReport> {
         let mut values = vec![-1.0; self.0.len()];
         for part in text.split(';').filter(|part| !part.is_empty()) {
             let (name, value) = part.split_once(':')?;
@@ -60,8 +60,8 @@
     }
 
     /// Figures below nought were not told.
-    pub fn report(&self, values: impl Iterator<Item = f32>) -> Report {
-        let mut report = Report::default();
+    pub fn report(&self, values: impl Iterator<Item = f32>) -> CapacityReport {
+        let mut report = CapacityReport::default();
         for ((_, figure), value) in self.0.iter().zip(values) {
             let told = Some(f64::from(value)).filter(|told| *told >= 0.0);
             match figure {
@@ -139,27 +139,27 @@
 /// Items that one list of objects may have.
 const MOST_ITEMS: usize = 255;
 
-fn call_type(paths: &Paths, at: usize) -> Read<CallTypeData> {
+fn call_type(paths: &Paths, at: usize) -> Read<CallTypeConfig> {
     let of = |key: &str| format!("lanes.{at}.{key}");
     let hold = paths.item("specifics.call_length_s", at)?;
     let pools_path = format!("specifics.pools_by_class.{at}");
-    Ok(CallTypeData {
+    Ok(CallTypeConfig {
         setup_target: paths.must_span(&of("aim_s"))?,
         guard_time: paths.must_span(&of("hard_limit_s"))?,
         revenue: paths.or(&of("worth"), 1.0)?,
         width: paths.item("specifics.widths", at)?.unwrap_or(1),
         mean_hold: paths.seconds("specifics.call_length_s", hold.unwrap_or(1.0))?,
         repeats: match paths.text(&of("semantics")) {
-            "" | "free" => Repeats::Freely,
-            "guarded" => Repeats::Guarded,
-            "single_shot" => Repeats::Never,
+            "" | "free" => RepeatPolicy::Freely,
+            "guarded" => RepeatPolicy::Deduplicated,
+            "single_shot" => RepeatPolicy::Never,
             other => return bad(format!("settings: {} = {other} is unknown", of("semantics"))),
         },
         pools: paths
             .text(&pools_path)
             .split(',')
             .filter(|pool| !pool.is_empty())
-            .map(|pool| parse(&pools_path, pool).map(OfficeNo))
+            .map(|pool| parse(&pools_path, pool).map(ExchangeNumber))
             .collect::<Read<_>>()?,
     })
 }
@@ -167,7 +167,7 @@
 /// What a controller reads at start.
 #[derive(Clone, Debug)]
 pub struct Trade {
-    pub office: OfficeData,
+    pub office: ControllerConfig,
     pub reports: ReportLayout,
     /// Names by their number, where messages name what the decisions know by number.
     pub call_types: Vec<String>,
@@ -234,19 +234,19 @@
     if count > MOST_ITEMS {
         return bad(format!("settings: lanes.count={count} is too many"));
     }
-    let office = OfficeData {
-        own: u16::try_from(own).ok().map(OfficeNo),
+    let office = ControllerConfig {
+        own: u16::try_from(own).ok().map(ExchangeNumber),
         call_types: (0..count).map(|at| call_type(paths, at)).collect::<Read<_>>()?,
         seizure_limit: paths.or("limits.most_tries", u8::MAX)?,
         may_cancel: paths.or("limits.cancelling", false)?,
-        longest_come_back: if paths.or("limits.retry_after", false)? { come_back } else { Duration::ZERO },
+        max_retry_after: if paths.or("limits.retry_after", false)? { come_back } else { Duration::ZERO },
         must_subscribe: paths.text("membership_mode") == "subscribe",
-        may_tell: paths.or("limits.peers", false)?,
-        fall_multiple: paths.or("rules.fall_multiple", 1.0)?,
+        may_message_peers: paths.or("limits.peers", false)?,
+        overload_multiple: paths.or("rules.fall_multiple", 1.0)?,
         cold_share: paths.or("rules.cold_from", 1.0)?,
         warm_up: paths.span_or_none("rules.ramp_time_s")?,
         release_wait: paths.span_or_none("specifics.clear_wait_s")?,
-        repeat_after: paths.span_or_none("specifics.retransmit_s")?,
+        retransmit_after: paths.span_or_none("specifics.retransmit_s")?,
     };
     Ok(Trade {
         office,
@@ -268,7 +268,7 @@
         let text = "lanes.count=1\nlanes.0.aim_s=0.8\nlanes.0.hard_limit_s=6.0\nspecifics.own_number=3\n\
                     specifics.widths=4\nreport.fields=idle,circuits,new_thing,max_rate\nnew.key=what\n";
         let Trade { office, reports, .. } = from_lines(text.as_bytes()).unwrap();
-        assert_eq!((office.own, office.call_types[0].width), (Some(OfficeNo(3)), 4));
+        assert_eq!((office.own, office.call_types[0].width), (Some(ExchangeNumber(3)), 4));
         let report = reports.report([5.0, -1.0, 9.0, 40.0].into_iter());
         assert_eq!((report.free, report.size, report.rate), (Some(5.0), None, Some(40.0)));
     }
