--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,8 +1,8 @@
 //! All decisions: which calls are set up, over which route, and what becomes of those that fail.
 //!
-//! The machine makes one [`Controller`] from its [`OfficeData`] and tells it what happens by the
-//! methods below, each with the time; the controller acts through the [`Host`] it is handed. The
-//! interface is in `host.rs`, the reasons in `docs/design.md`. A call's entry holds what to do
+//! The machine makes one [`Controller`] from its [`ControllerConfig`] and tells it what happens by the
+//! methods below, each with the time; the controller acts through the [`ControllerActions`] it is handed. The
+//! interface is in `interface.rs`, the reasons in `docs/design.md`. A call's entry holds what to do
 //! next: a closure that is handed the end of its seizure, or the end of its wait.
 
 use std::cmp::Reverse;
@@ -11,8 +11,8 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-use crate::chance::Chance;
-use crate::host::*;
+use crate::interface::*;
+use crate::random::MwcRng;
 
 /// The balance counts tenths of a further attempt.
 const FURTHER: u32 = 10;
@@ -61,16 +61,16 @@
 const WORD_FADES: f64 = 20.0;
 /// Within this time after the first roster a controller tells its peers which groups it has.
 const INTRODUCED: Duration = Duration::from_secs(1);
-const HOUSEKEEPING: AlarmId = AlarmId(1 << 63);
-const INTRODUCTION: AlarmId = AlarmId(HOUSEKEEPING.0 + 1);
+const HOUSEKEEPING: TimerId = TimerId(1 << 63);
+const INTRODUCTION: TimerId = TimerId(HOUSEKEEPING.0 + 1);
 /// First byte of a message: a controller that has just started, and the answer to it.
 const HELLO: u8 = 1;
 const WELCOME: u8 = 2;
 /// Bytes that a message has for groups.
 const LONGEST: u16 = 250;
 
-type AfterSeizure = Box<dyn FnOnce(&mut Controller, Duration, &mut dyn Host, Call, Cause)>;
-type AfterWait = Box<dyn FnOnce(&mut Controller, Duration, &mut dyn Host, Call)>;
+type AfterSeizure = Box<dyn FnOnce(&mut Controller, Duration, &mut dyn ControllerActions, Call, Cause)>;
+type AfterWait = Box<dyn FnOnce(&mut Controller, Duration, &mut dyn ControllerActions, Call)>;
 
 /// What a call does next, once it is told what it waits for.
 enum Next {
@@ -80,7 +80,7 @@
 
 /// A call for which this controller owes a final answer.
 struct Call {
-    offer: Offer,
+    offer: CallOffer,
     /// Its place in `kinds`.
     kind: usize,
     arrived: Duration,
@@ -94,20 +94,20 @@
 /// What is known of one type of call.
 struct CallKind {
     target: Duration,
-    repeats: Repeats,
+    repeats: RepeatPolicy,
     /// How many types of call earn more.
     rank: usize,
     /// Whether it leaves the last circuit to types that earn far more for theirs.
     leaves: bool,
-    pools: Vec<OfficeNo>,
+    pools: Vec<ExchangeNumber>,
 }
 
 /// What is known of one exchange. Entries come from the roster and leave with it, or once replaced.
 #[derive(Clone, Debug)]
 struct Exchange {
-    office: OfficeNo,
+    office: ExchangeNumber,
     zone: Zone,
-    standing: Standing,
+    standing: ExchangeStatus,
     started: Duration,
     /// Free circuits (or agents) towards it, not known until told, and how many there are in all.
     free: Option<f64>,
@@ -115,7 +115,7 @@
     respite: Respite,
     window: Window,
     /// What is known of the ways beyond it. One entry a destination at the most; gone with the exchange.
-    beyond: BTreeMap<OfficeNo, Beyond>,
+    beyond: BTreeMap<ExchangeNumber, Beyond>,
     /// The share of the usual set-ups that it said it takes, when, and the most a second it ever told.
     eased: (f64, Duration),
     most: f64,
@@ -148,7 +148,7 @@
 }
 
 pub struct Controller {
-    own: Option<OfficeNo>,
+    own: Option<ExchangeNumber>,
     /// Where it is, once the roster names it.
     zone: Option<Zone>,
     kinds: Vec<CallKind>,
@@ -162,10 +162,10 @@
     /// A set-up that takes longer met a pressed processor.
     prompt: Duration,
     must_subscribe: bool,
-    may_tell: bool,
+    may_message_peers: bool,
     /// When it told its peers which groups it has.
     introduced: Option<Duration>,
-    chance: Chance,
+    chance: MwcRng,
     credit: u32,
     /// Over all exchanges: what the own processor works off, and whether the last answer was late.
     window: Window,
@@ -182,7 +182,7 @@
     /// Numbers found busy lately; emptied by time.
     busy: Lately<()>,
     /// Calls held for a way, by where they go, rank and age; emptied as they leave `calls` or find one.
-    line: BTreeMap<OfficeNo, BTreeMap<u8, BTreeSet<Place>>>,
+    line: BTreeMap<ExchangeNumber, BTreeMap<u8, BTreeSet<Place>>>,
 }
 
 /// Lots are told apart in the line by sixteenths.
@@ -197,17 +197,17 @@
 
 /// What was last seen of numbers, oldest first, and by number: a crowd's redials must not cost a search each.
 struct Lately<T> {
-    seen: VecDeque<(Duration, Dialled)>,
-    last: BTreeMap<Dialled, (Duration, T)>,
+    seen: VecDeque<(Duration, DialledNumber)>,
+    last: BTreeMap<DialledNumber, (Duration, T)>,
 }
 
 impl Controller {
-    pub fn new(data: &OfficeData, seed: u64) -> Self {
-        let density = |of: &CallTypeData| {
+    pub fn new(data: &ControllerConfig, seed: u64) -> Self {
+        let density = |of: &CallTypeConfig| {
             of.revenue / (f64::from(of.width.max(1)) * of.mean_hold.as_secs_f64().max(f64::EPSILON))
         };
         let best = data.call_types.iter().map(density).fold(0.0, f64::max);
-        let kind = |of: &CallTypeData| CallKind {
+        let kind = |of: &CallTypeConfig| CallKind {
             target: of.setup_target.min(of.guard_time),
             repeats: of.repeats,
             leaves: density(of) < FAR_LESS * best,
@@ -215,23 +215,24 @@
             pools: of.pools.clone(),
         };
         let shortest = data.call_types.iter().map(|of| of.setup_target).min().unwrap_or(Duration::MAX / 2);
-        let repeated = Some(data.repeat_after).filter(|after| !after.is_zero()).unwrap_or(Duration::MAX / 2);
+        let repeated =
+            Some(data.retransmit_after).filter(|after| !after.is_zero()).unwrap_or(Duration::MAX / 2);
         Self {
             own: data.own,
             zone: None,
             kinds: data.call_types.iter().map(kind).collect(),
             seizure_limit: SEIZURES.min(data.seizure_limit),
-            come_back: data.longest_come_back,
+            come_back: data.max_retry_after,
             may_cancel: data.may_cancel,
             release_wait: data.release_wait,
             warm_up: data.warm_up,
             cold_share: data.cold_share.clamp(0.0, 1.0),
-            ample: data.fall_multiple.max(0.0) / SURGE,
+            ample: data.overload_multiple.max(0.0) / SURGE,
             prompt: shortest.mul_f64(PROMPT).min(repeated.mul_f64(BEFORE_REPEAT)),
             must_subscribe: data.must_subscribe,
-            may_tell: data.may_tell && data.own.is_some(),
+            may_message_peers: data.may_message_peers && data.own.is_some(),
             introduced: None,
-            chance: Chance::new(seed),
+            chance: MwcRng::new(seed),
             credit: CREDIT_AT_START,
             window: Window { size: 4.0 * WINDOW_AT_START, ..Window::default() },
             late: false,
@@ -245,25 +246,35 @@
     }
 
     /// The whole roster, as last held or as it is now.
-    pub fn roster(&mut self, now: Duration, host: &mut dyn Host, lines: &[RosterLine]) {
+    pub fn on_membership(
+        &mut self,
+        now: Duration,
+        actions: &mut dyn ControllerActions,
+        lines: &[ExchangeEntry],
+    ) {
         let first = self.exchanges.is_empty();
-        self.roster_changes(now, host, lines);
-        self.exchanges.retain(|id, _| lines.iter().any(|line| line.exchange == *id));
+        self.on_membership_changes(now, actions, lines);
+        self.exchanges.retain(|id, _| lines.iter().any(|line| line.id == *id));
         if first && self.must_subscribe {
-            host.subscribe();
+            actions.subscribe();
         }
-        if first && self.may_tell {
-            host.alarm(INTRODUCED.mul_f64(self.chance.below_one()), INTRODUCTION);
+        if first && self.may_message_peers {
+            actions.set_timer(INTRODUCED.mul_f64(self.chance.next_f64()), INTRODUCTION);
         }
     }
 
     /// Changed lines of the roster only.
-    pub fn roster_changes(&mut self, now: Duration, host: &mut dyn Host, lines: &[RosterLine]) {
+    pub fn on_membership_changes(
+        &mut self,
+        now: Duration,
+        actions: &mut dyn ControllerActions,
+        lines: &[ExchangeEntry],
+    ) {
         for line in lines {
-            let exchange = self.exchanges.entry(line.exchange).or_insert_with(|| Exchange {
-                office: line.office,
+            let exchange = self.exchanges.entry(line.id).or_insert_with(|| Exchange {
+                office: line.number,
                 zone: line.zone,
-                standing: line.standing,
+                standing: line.status,
                 started: line.started,
                 free: None,
                 size: 0.0,
@@ -273,35 +284,35 @@
                 eased: (1.0, now),
                 most: 0.0,
             });
-            let (was, is) = ((exchange.standing, exchange.started), (line.standing, line.started));
+            let (was, is) = ((exchange.standing, exchange.started), (line.status, line.started));
             if was != is {
-                host.log(&format!("exchange {}: {is:?}, was {was:?} (standing, start)", line.office.0));
+                actions.log(&format!("exchange {}: {is:?}, was {was:?} (standing, start)", line.number.0));
                 // A new processor knows nothing of what the old one left unanswered.
                 exchange.respite = Respite::default();
             }
-            (exchange.office, exchange.zone) = (line.office, line.zone);
+            (exchange.office, exchange.zone) = (line.number, line.zone);
             (exchange.standing, exchange.started) = is;
         }
-        let mut here = lines.iter().filter(|line| Some(line.office) == self.own);
+        let mut here = lines.iter().filter(|line| Some(line.number) == self.own);
         self.zone = here.next().map(|line| line.zone).or(self.zone);
-        let ready = |far: &&Exchange| far.standing == Standing::Ready;
+        let ready = |far: &&Exchange| far.standing == ExchangeStatus::Ready;
         let served: BTreeSet<_> = self.exchanges.values().filter(ready).map(|far| far.office).collect();
-        self.exchanges.retain(|_, far| far.standing != Standing::Gone || !served.contains(&far.office));
+        self.exchanges.retain(|_, far| far.standing != ExchangeStatus::Gone || !served.contains(&far.office));
     }
 
     /// A subscription failed or broke: asked for again after a jittered while.
-    pub fn roster_failed(&mut self, _now: Duration, host: &mut dyn Host) {
+    pub fn on_subscription_failed(&mut self, _now: Duration, actions: &mut dyn ControllerActions) {
         if self.must_subscribe {
-            host.alarm(LAST_CEILING.mul_f64(1.0 + self.chance.below_one()), HOUSEKEEPING);
+            actions.set_timer(LAST_CEILING.mul_f64(1.0 + self.chance.next_f64()), HOUSEKEEPING);
         }
     }
 
     /// A call is offered, by a subscriber or in transit.
-    pub fn offered(&mut self, now: Duration, host: &mut dyn Host, offer: Offer) {
+    pub fn on_offer(&mut self, now: Duration, actions: &mut dyn ControllerActions, offer: CallOffer) {
         // A caller who dials again waits since the first try: what is late already earns little.
         self.given_up.forget(REDIALS_WITHIN, now);
         let first = self.given_up.get(offer.dialled).copied();
-        let (arrived, lot) = first.unwrap_or_else(|| (now, self.chance.below_one()));
+        let (arrived, lot) = first.unwrap_or_else(|| (now, self.chance.next_f64()));
         if let Some(advised) = offer.advised.filter(|_| !offer.transit) {
             let mut all = self.exchanges.values_mut();
             if let Some(far) = all.find(|far| far.office == advised) {
@@ -310,61 +321,71 @@
         }
         let kind = usize::from(offer.call_type.0);
         match kind < self.kinds.len() {
-            true => self.set_up(now, host, Call { offer, kind, arrived, lot, seizures: 0, spent: false }),
-            false => host.reject(offer.call, Duration::ZERO),
+            true => self.set_up(now, actions, Call { offer, kind, arrived, lot, seizures: 0, spent: false }),
+            false => actions.reject(offer.call, Duration::ZERO),
         }
     }
 
     /// The call stands; all that is left of it is its end, which needs no answer.
-    pub fn stands(&mut self, now: Duration, host: &mut dyn Host, stood: &Stood) {
+    pub fn on_seizure_answered(
+        &mut self,
+        now: Duration,
+        actions: &mut dyn ControllerActions,
+        stood: &SeizureAnswered,
+    ) {
         if let Some((call, Next::Seized(_))) = self.calls.remove(&stood.call) {
-            self.answered(now, stood.exchange, stood.after <= self.prompt, false);
+            self.answered(now, stood.exchange, stood.elapsed <= self.prompt, false);
             if let Some(far) = self.exchanges.get_mut(&stood.exchange) {
                 far.beyond.entry(call.offer.dest).or_default().leads = Some(true);
             }
         }
-        self.alive(host, stood.exchange);
-        self.serve_line(now, host);
+        self.alive(actions, stood.exchange);
+        self.serve_line(now, actions);
     }
 
     /// A seizure has ended.
-    pub fn ended(&mut self, now: Duration, host: &mut dyn Host, end: &Ended) {
-        let Ended { call, exchange, cause, .. } = *end;
+    pub fn on_seizure_ended(
+        &mut self,
+        now: Duration,
+        actions: &mut dyn ControllerActions,
+        end: &SeizureEnded,
+    ) {
+        let SeizureEnded { call, exchange, cause, .. } = *end;
         match cause {
             // Guards against finding a group without a free circuit, or none at all, once a call.
             Cause::NotSent { own_down: false } => {
                 self.exchanges.get_mut(&exchange).into_iter().for_each(|far| far.free = Some(0.0));
             }
             Cause::TimedOut | Cause::Unreachable | Cause::ProcessorFull { .. } => {
-                self.in_vain(now, host, end)
+                self.in_vain(now, actions, end)
             }
             // That a call has ended says nothing of the processor that set it up long ago.
             Cause::NotSent { .. } | Cause::Cancelled | Cause::Cut | Cause::Done => {}
-            _ => self.alive(host, exchange),
+            _ => self.alive(actions, exchange),
         }
         match self.calls.remove(&call) {
             Some((call, Next::Seized(next))) if call.seizures.checked_sub(1) == Some(end.seizure.0) => {
                 let silence = matches!(cause, Cause::TimedOut | Cause::Unreachable);
                 let pressed = silence || matches!(cause, Cause::ProcessorFull { .. });
-                self.answered(now, exchange, !pressed && end.after <= self.prompt, silence);
+                self.answered(now, exchange, !pressed && end.elapsed <= self.prompt, silence);
                 if !end.closed {
-                    next(self, now, host, call, cause);
+                    next(self, now, actions, call, cause);
                 }
             }
             Some(entry) => drop(self.calls.insert(call, entry)),
             _ => {}
         }
-        self.serve_line(now, host);
+        self.serve_line(now, actions);
     }
 
     /// The caller is gone; nothing is owed any more.
-    pub fn withdrawn(&mut self, now: Duration, host: &mut dyn Host, call: CallId) {
+    pub fn on_caller_gone(&mut self, now: Duration, actions: &mut dyn ControllerActions, call: CallId) {
         let Some((entry, next)) = self.calls.remove(&call) else { return };
         self.remember(now, &entry);
         if let Next::Seized(_) = next {
             // The seizure is still out, and its window with it, until its end is told.
             if self.may_cancel {
-                host.cancel(call, SeizureNo(entry.seizures - 1));
+                actions.cancel(call, SeizureNumber(entry.seizures - 1));
             }
             self.calls.insert(call, (entry, Next::Seized(Box::new(|_, _, _, _, _| {}))));
         } else {
@@ -373,24 +394,30 @@
     }
 
     /// An alarm set earlier; stale ones find no call that waits for them.
-    pub fn rings(&mut self, now: Duration, host: &mut dyn Host, alarm: AlarmId) {
-        if alarm == HOUSEKEEPING {
-            return host.subscribe();
+    pub fn on_timer(&mut self, now: Duration, actions: &mut dyn ControllerActions, timer: TimerId) {
+        if timer == HOUSEKEEPING {
+            return actions.subscribe();
         }
-        if alarm == INTRODUCTION {
+        if timer == INTRODUCTION {
             self.introduced = Some(now);
-            return host.tell(None, &self.groups(HELLO));
+            return actions.send_to_peers(None, &self.groups(HELLO));
         }
-        let id = CallId(alarm.0);
+        let id = CallId(timer.0);
         match self.calls.remove(&id) {
-            Some((call, Next::Waiting { until, then })) if until <= now => then(self, now, host, call),
+            Some((call, Next::Waiting { until, then })) if until <= now => then(self, now, actions, call),
             Some(entry) => drop(self.calls.insert(id, entry)),
             None => {}
         }
     }
 
     /// A report: it came with an outcome, or tells of a change in the own group.
-    pub fn reported(&mut self, now: Duration, host: &mut dyn Host, exchange: ExchangeId, report: &Report) {
+    pub fn on_capacity_report(
+        &mut self,
+        now: Duration,
+        actions: &mut dyn ControllerActions,
+        exchange: ExchangeId,
+        report: &CapacityReport,
+    ) {
         if let Some(far) = self.exchanges.get_mut(&exchange) {
             far.free = report.free.or(far.free);
             far.size = report.size.unwrap_or(far.size);
@@ -399,22 +426,28 @@
                 far.eased = ((rate / (EASY * far.most)).min(1.0), now);
             }
         }
-        self.serve_line(now, host);
+        self.serve_line(now, actions);
     }
 
     /// A message from another controller: which groups its exchange has. One that started later than this one
     /// is answered in kind, those that start together need no answer.
-    pub fn heard(&mut self, now: Duration, host: &mut dyn Host, peer: PeerNo, message: &[u8]) {
+    pub fn on_peer_message(
+        &mut self,
+        now: Duration,
+        actions: &mut dyn ControllerActions,
+        peer: PeerId,
+        message: &[u8],
+    ) {
         let [kind @ (HELLO | WELCOME), high, low, groups @ ..] = message else { return };
-        let office = OfficeNo(u16::from_be_bytes([*high, *low]));
+        let office = ExchangeNumber(u16::from_be_bytes([*high, *low]));
         if let Some(far) = self.exchanges.values_mut().find(|far| far.office == office) {
             let bits = groups.iter().flat_map(|byte| (0..8).map(move |bit| byte >> bit & 1));
             for (dest, bit) in (0..=u16::MAX).zip(bits) {
-                far.beyond.entry(OfficeNo(dest)).or_default().leads = Some(bit == 1);
+                far.beyond.entry(ExchangeNumber(dest)).or_default().leads = Some(bit == 1);
             }
         }
         if *kind == HELLO && self.introduced.is_some_and(|at| now > at + INTRODUCED) {
-            host.tell(Some(peer), &self.groups(WELCOME));
+            actions.send_to_peers(Some(peer), &self.groups(WELCOME));
         }
     }
 
@@ -430,41 +463,48 @@
         message
     }
 
-    fn set_up(&mut self, now: Duration, host: &mut dyn Host, call: Call) {
+    fn set_up(&mut self, now: Duration, actions: &mut dyn ControllerActions, call: Call) {
         self.busy.forget(BUSY_FOR, now);
         // Guards against set-ups for a number whose lines are all busy; it could miss one that frees.
         if self.busy.get(call.offer.dialled).is_some() {
-            return self.give_up(now, host, call);
+            return self.give_up(now, actions, call);
         }
         match self.route(now, &call) {
-            Some(to) => self.seize(now, host, call, to),
-            None => self.hold(now, host, call),
+            Some(to) => self.seize(now, actions, call, to),
+            None => self.hold(now, actions, call),
         }
     }
 
     /// Holds a call without a way for part of its setup target, in case circuits or a processor free up.
     /// Guards against answering a passing shortage by rejecting, and against the redials that follow.
-    fn hold(&mut self, now: Duration, host: &mut dyn Host, call: Call) {
+    fn hold(&mut self, now: Duration, actions: &mut dyn ControllerActions, call: Call) {
         let held = self.kinds[call.kind].target.mul_f64(HELD);
-        let until = call.arrived.saturating_add(held).min(call.offer.until);
+        let until = call.arrived.saturating_add(held).min(call.offer.deadline);
         // Where nobody is there to take it, waiting serves nobody.
         if call.offer.transit || until <= now || self.own.is_some() && self.dest(&call.offer).is_none() {
-            return self.give_up(now, host, call);
+            return self.give_up(now, actions, call);
         }
         let place = self.place_in_line(&call);
         self.line.entry(call.offer.dest).or_default().entry(lots(&call)).or_default().insert(place);
-        let then: AfterWait = Box::new(|me, now, host, call| {
+        let then: AfterWait = Box::new(|me, now, actions, call| {
             me.leave_line(&call);
-            me.give_up(now, host, call);
+            me.give_up(now, actions, call);
         });
-        self.wait(now, host, call, until - now, then);
+        self.wait(now, actions, call, until - now, then);
     }
 
     /// The one way to wait. To the microsecond, as clocks count, and no less than asked: guards against an
     /// alarm that rings a shade early, finds the wait not over and leaves its call without an answer.
-    fn wait(&mut self, now: Duration, host: &mut dyn Host, call: Call, span: Duration, then: AfterWait) {
+    fn wait(
+        &mut self,
+        now: Duration,
+        actions: &mut dyn ControllerActions,
+        call: Call,
+        span: Duration,
+        then: AfterWait,
+    ) {
         let span = Duration::from_micros(span.as_nanos().div_ceil(1000) as u64);
-        host.alarm(span, AlarmId(call.offer.call.0));
+        actions.set_timer(span, TimerId(call.offer.call.0));
         self.calls.insert(call.offer.call, (call, Next::Waiting { until: now + span, then }));
     }
 
@@ -486,7 +526,7 @@
 
     /// Sends on what now finds a way, highest revenue first; none does while the window over all is shut.
     /// Only calls that may find room, of lots that are taken, are looked at: a pressed line gets long.
-    fn serve_line(&mut self, now: Duration, host: &mut dyn Host) {
+    fn serve_line(&mut self, now: Duration, actions: &mut dyn ControllerActions) {
         if self.line.is_empty() || !self.window.open() {
             return;
         }
@@ -510,27 +550,27 @@
                 && let Some((call, _)) = self.calls.remove(&place.2)
             {
                 self.leave_line(&call);
-                self.seize(now, host, call, to);
+                self.seize(now, actions, call, to);
             }
         }
     }
 
     /// Below which lot the narrowest call could go there; room only gets less while the line is served.
-    fn may_go(&self, now: Duration, dest: OfficeNo, tandems: bool) -> f64 {
+    fn may_go(&self, now: Duration, dest: ExchangeNumber, tandems: bool) -> f64 {
         if self.own.is_none() {
             return 1.0;
         }
-        let there = |far: &&Exchange| far.office == dest && far.standing == Standing::Ready;
+        let there = |far: &&Exchange| far.office == dest && far.standing == ExchangeStatus::Ready;
         let open = self.exchanges.values().filter(there).filter(|far| tandems || far.has_room(1.0));
         open.map(|far| self.taken(now, far)).fold(0.0, f64::max)
     }
 
     /// The one place that sends: `route` has seen to drains, cold exchanges and silence just before.
-    fn seize(&mut self, now: Duration, host: &mut dyn Host, mut call: Call, to: ExchangeId) {
-        let Some(left) = call.offer.until.checked_sub(now + RESERVE).filter(|left| *left >= USEFUL) else {
-            return self.give_up(now, host, call);
+    fn seize(&mut self, now: Duration, actions: &mut dyn ControllerActions, mut call: Call, to: ExchangeId) {
+        let Some(left) = call.offer.deadline.checked_sub(now + RESERVE).filter(|left| *left >= USEFUL) else {
+            return self.give_up(now, actions, call);
         };
-        let Some(far) = self.exchanges.get_mut(&to) else { return self.give_up(now, host, call) };
+        let Some(far) = self.exchanges.get_mut(&to) else { return self.give_up(now, actions, call) };
         far.free = far.free.map(|free| free - f64::from(call.offer.width));
         far.window.out += 1.0;
         self.window.out += 1.0;
@@ -542,25 +582,32 @@
         call.seizures += 1;
         // What takes longer than the setup target is worth little, and holds circuits on its way.
         let limit = rest.filter(|rest| *rest >= USEFUL).unwrap_or(left).min(left);
-        host.seize(call.offer.call, to, limit);
+        actions.seize(call.offer.call, to, limit);
         let next: AfterSeizure =
-            Box::new(move |me, now, host, call, cause| me.failed(now, host, call, to, cause));
+            Box::new(move |me, now, actions, call, cause| me.failed(now, actions, call, to, cause));
         self.calls.insert(call.offer.call, (call, Next::Seized(next)));
     }
 
     /// A seizure came to nothing: only what a further attempt may mend pays for one.
-    fn failed(&mut self, now: Duration, host: &mut dyn Host, mut call: Call, to: ExchangeId, cause: Cause) {
+    fn failed(
+        &mut self,
+        now: Duration,
+        actions: &mut dyn ControllerActions,
+        mut call: Call,
+        to: ExchangeId,
+        cause: Cause,
+    ) {
         use Cause::{Busy, Cancelled, Cut, Fault, TimedOut, TurnedBack};
         let maybe = matches!(cause, TimedOut | Cut | Cancelled | Busy | Fault);
-        call.spent |= maybe && self.kinds[call.kind].repeats != Repeats::Freely;
+        call.spent |= maybe && self.kinds[call.kind].repeats != RepeatPolicy::Freely;
         let told = match cause {
             Cause::TimedOut | Cause::Cut | Cause::Cancelled => self.release_wait,
             Cause::ProcessorFull { wait } => wait,
             Cause::Busy => {
                 self.busy.push(now, call.offer.dialled, ());
-                return self.give_up(now, host, call);
+                return self.give_up(now, actions, call);
             }
-            Cause::Done | Cause::NotSent { own_down: true } => return self.give_up(now, host, call),
+            Cause::Done | Cause::NotSent { own_down: true } => return self.give_up(now, actions, call),
             _ => Duration::ZERO,
         };
         let tandem = self.exchanges.get_mut(&to).filter(|far| far.office != call.offer.dest);
@@ -574,18 +621,18 @@
         }
         let doublings = u32::from(call.seizures.saturating_sub(1)).min(8);
         let ceiling = LAST_CEILING.min(FIRST_CEILING * 2u32.pow(doublings));
-        let drawn = ceiling.mul_f64(self.chance.below_one());
+        let drawn = ceiling.mul_f64(self.chance.next_f64());
         // The release time, or a stated wait, is the same for all, and mostly longer than the draw. Guards
         // against instances whose seizures ended together sending them again together; could cost a call its
         // last try.
         let wait = told + drawn;
-        let fits = now + wait + USEFUL + RESERVE <= call.offer.until;
+        let fits = now + wait + USEFUL + RESERVE <= call.offer.deadline;
         let may = !call.offer.transit && !call.spent && call.seizures < self.seizure_limit;
         if !may || !fits || self.credit < FURTHER {
-            return self.give_up(now, host, call);
+            return self.give_up(now, actions, call);
         }
         self.credit -= FURTHER;
-        self.wait(now, host, call, wait, Box::new(|me, now, host, call| me.set_up(now, host, call)));
+        self.wait(now, actions, call, wait, Box::new(|me, now, actions, call| me.set_up(now, actions, call)));
     }
 
     /// Guards against callers who dial again and again being taken for as many new ones.
@@ -596,22 +643,22 @@
     }
 
     /// The final answer of a call that is not set up. What may have been carried out is not called rejected.
-    fn give_up(&mut self, now: Duration, host: &mut dyn Host, call: Call) {
+    fn give_up(&mut self, now: Duration, actions: &mut dyn ControllerActions, call: Call) {
         self.remember(now, &call);
         match call.spent {
-            true => host.release(call.offer.call),
+            true => actions.release(call.offer.call),
             false => {
                 // Guards against callers who were rejected together coming back together.
-                let share = 1.0 - 0.5 * self.chance.below_one();
-                host.reject(call.offer.call, self.come_back.mul_f64(share));
+                let share = 1.0 - 0.5 * self.chance.next_f64();
+                actions.reject(call.offer.call, self.come_back.mul_f64(share));
             }
         }
     }
 
     /// Where the call is for, if it is there: not the own exchange, for which calls come while another
     /// exchange's controller is down.
-    fn dest(&self, offer: &Offer) -> Option<(ExchangeId, &Exchange)> {
-        let there = |far: &&Exchange| far.standing == Standing::Ready && Some(far.office) != self.own;
+    fn dest(&self, offer: &CallOffer) -> Option<(ExchangeId, &Exchange)> {
+        let there = |far: &&Exchange| far.standing == ExchangeStatus::Ready && Some(far.office) != self.own;
         let mut all = self.exchanges.iter().filter(|(_, far)| far.office == offer.dest && there(far));
         all.next().map(|(id, far)| (*id, far))
     }
@@ -696,13 +743,13 @@
         self.late = late || self.late && silence;
     }
 
-    fn alive(&mut self, host: &mut dyn Host, exchange: ExchangeId) {
+    fn alive(&mut self, actions: &mut dyn ControllerActions, exchange: ExchangeId) {
         self.vain.remove(&self.zone);
         if let Some(far) = self.exchanges.get_mut(&exchange) {
             self.vain.remove(&Some(far.zone));
             let count = std::mem::take(&mut far.respite).fruitless;
             if count >= SILENT_AFTER {
-                host.log(&format!("exchange {} of use again after {count} seizures", far.office.0));
+                actions.log(&format!("exchange {} of use again after {count} seizures", far.office.0));
             }
         }
     }
@@ -710,7 +757,7 @@
     /// No answer from one exchange of a region after the other: it is cut off, on whatever way. In the own
     /// region it is the own processor, which all calls pass, as are full answers from anywhere; the far ends
     /// are not blamed then. It could leave a region alone where many hang.
-    fn in_vain(&mut self, now: Duration, host: &mut dyn Host, end: &Ended) {
+    fn in_vain(&mut self, now: Duration, actions: &mut dyn ControllerActions, end: &SeizureEnded) {
         let Some(far) = self.exchanges.get_mut(&end.exchange) else { return };
         let (full, zone) = match end.cause {
             Cause::ProcessorFull { wait } => (Some(wait), self.zone),
@@ -719,10 +766,10 @@
         let (respite, at) = self.vain.entry(zone).or_insert((Respite::default(), end.exchange));
         let next = std::mem::replace(at, end.exchange) != end.exchange;
         if next && end.cause != Cause::Unreachable {
-            respite.again(now, host, format_args!("exchange after exchange of region {zone:?}"), None);
+            respite.again(now, actions, format_args!("exchange after exchange of region {zone:?}"), None);
         }
         if self.vain.get(&self.zone).is_none_or(|(own, _)| own.fruitless < SILENT_AFTER) {
-            far.respite.again(now, host, format_args!("exchange {}", far.office.0), full);
+            far.respite.again(now, actions, format_args!("exchange {}", far.office.0), full);
         }
     }
 
@@ -737,14 +784,14 @@
     }
 
     /// Number 0 is none, and not remembered.
-    fn push(&mut self, now: Duration, dialled: Dialled, what: T) {
+    fn push(&mut self, now: Duration, dialled: DialledNumber, what: T) {
         if dialled.0 != 0 {
             self.seen.push_back((now, dialled));
             self.last.insert(dialled, (now, what));
         }
     }
 
-    fn get(&self, dialled: Dialled) -> Option<&T> {
+    fn get(&self, dialled: DialledNumber) -> Option<&T> {
         self.last.get(&dialled).map(|(_, what)| what)
     }
 
@@ -760,14 +807,20 @@
 
 impl Respite {
     /// Once more without use.
-    fn again(&mut self, now: Duration, host: &mut dyn Host, who: Arguments, full: Option<Duration>) {
+    fn again(
+        &mut self,
+        now: Duration,
+        actions: &mut dyn ControllerActions,
+        who: Arguments,
+        full: Option<Duration>,
+    ) {
         self.fruitless = self.fruitless.saturating_add(1);
         if full.is_some() || self.fruitless >= SILENT_AFTER {
             let alone = ALONE * 2u32.pow((self.fruitless - 1).min(ALONE_DOUBLINGS));
             self.until = self.until.max(now + alone.max(full.unwrap_or_default()));
         }
         if self.fruitless == SILENT_AFTER {
-            host.log(&format!("{who} silent or full: {SILENT_AFTER} seizures in a row"));
+            actions.log(&format!("{who} silent or full: {SILENT_AFTER} seizures in a row"));
         }
     }
 }
@@ -800,18 +853,18 @@
     }
 
     /// Whether it has not lately turned back a call like this one.
-    fn leads_on(&self, now: Duration, offer: &Offer) -> bool {
+    fn leads_on(&self, now: Duration, offer: &CallOffer) -> bool {
         let way = self.beyond.get(&offer.dest).copied().unwrap_or_default();
         way.leads != Some(false) && (now >= way.blocked.0 || offer.width < way.blocked.1)
     }
 
-    fn leads_to(&self, dest: OfficeNo) -> Option<bool> {
+    fn leads_to(&self, dest: ExchangeNumber) -> Option<bool> {
         self.beyond.get(&dest).and_then(|way| way.leads)
     }
 
     /// Whether a set-up sent there now is likely to be answered.
     fn answers(&self, now: Duration) -> bool {
         let trial = self.respite.fruitless < SILENT_AFTER || self.window.out < 1.0;
-        self.standing == Standing::Ready && now >= self.respite.until && self.window.open() && trial
+        self.standing == ExchangeStatus::Ready && now >= self.respite.until && self.window.open() && trial
     }
 }
--- a/src/liveness.rs
+++ b/src/liveness.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use crate::host::Report;
+use crate::interface::CapacityReport;
 
 /// A call's end that its exchange can't tell has to reach the caller within this time (the platform's protocol).
 const END_TOLD_WITHIN: Duration = Duration::from_secs(8);
@@ -33,7 +33,7 @@
 const FIRST_MESSAGE_WITHIN: Duration = Duration::from_millis(250);
 
 /// Whether an exchange that reports this holds no call of anybody.
-pub fn holds_no_calls(report: &Report) -> bool {
+pub fn holds_no_calls(report: &CapacityReport) -> bool {
     match (report.free, report.size) {
         (Some(free), Some(size)) => size > 0.0 && free >= size,
         _ => false,
@@ -42,7 +42,7 @@
 
 /// What is to be done about an exchange at which calls stand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Check {
+pub enum LeaseAction {
     Valid,
     /// Send a heartbeat on an open connection.
     SendHeartbeat,
@@ -64,15 +64,15 @@
 pub enum Renewal {
     Usual,
     /// It had been silent beyond a heartbeat: what it sent meanwhile may be lost.
-    AfterDoubt,
+    AfterSuspicion,
 }
 
 /// Whether the process that holds the calls goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Holder {
-    Stays,
+pub enum ProcessPhase {
+    Running,
     /// It is about to end, and a successor will learn of the calls from their callers.
-    Leaves,
+    Terminating,
 }
 
 /// The lease of one exchange.
@@ -91,9 +91,9 @@
     /// A message has come from the exchange.
     pub fn renew(&mut self, now: Duration) -> Renewal {
         let late = self.contact == Contact::Awaited && now >= self.last_heard + FIRST_MESSAGE_WITHIN;
-        let doubted = late || self.in_doubt();
+        let doubted = late || self.is_suspected();
         *self = Self { contact: Contact::Made, last_heard: now, heartbeat_sent: None };
-        if doubted { Renewal::AfterDoubt } else { Renewal::Usual }
+        if doubted { Renewal::AfterSuspicion } else { Renewal::Usual }
     }
 
     pub fn last_heard(&self) -> Duration {
@@ -101,32 +101,32 @@
     }
 
     /// Whether a heartbeat has gone out since the last message: reaching the exchange is urgent.
-    pub fn in_doubt(&self) -> bool {
+    pub fn is_suspected(&self) -> bool {
         self.heartbeat_sent.is_some()
     }
 
     /// What is due now; a heartbeat that is asked for counts as sent.
-    pub fn check(&mut self, now: Duration, holder: Holder) -> Check {
+    pub fn check(&mut self, now: Duration, phase: ProcessPhase) -> LeaseAction {
         let quiet = now.saturating_sub(self.last_heard);
-        let lasts = match (self.contact, holder) {
+        let lasts = match (self.contact, phase) {
             (Contact::Awaited, _) => FIRST_CONTACT,
-            (Contact::Made, Holder::Stays) => LEASE,
-            (Contact::Made, Holder::Leaves) => HANDOVER_LEASE,
+            (Contact::Made, ProcessPhase::Running) => LEASE,
+            (Contact::Made, ProcessPhase::Terminating) => HANDOVER_LEASE,
         };
         if quiet >= lasts {
-            return Check::Expired;
+            return LeaseAction::Expired;
         }
         match self.heartbeat_sent {
             None if quiet >= HEARTBEAT_AFTER => {
                 self.heartbeat_sent = Some(now);
-                Check::SendHeartbeat
+                LeaseAction::SendHeartbeat
             }
             Some(sent) if now >= sent + HEARTBEAT_TIMEOUT => {
                 // Asked again on the next connection that comes up.
                 self.heartbeat_sent = Some(now);
-                Check::ReplaceConnection
+                LeaseAction::ReplaceConnection
             }
-            _ => Check::Valid,
+            _ => LeaseAction::Valid,
         }
     }
 }
@@ -136,7 +136,7 @@
     use super::*;
 
     const START: Duration = Duration::from_secs(1000);
-    const STAYS: Holder = Holder::Stays;
+    const RUNNING: ProcessPhase = ProcessPhase::Running;
 
     fn after(ms: u64) -> Duration {
         START + Duration::from_millis(ms)
@@ -151,42 +151,42 @@
     #[test]
     fn a_quiet_exchange_is_asked_then_asked_elsewhere_and_expires_before_the_limit() {
         let mut lease = lease();
-        assert_eq!(lease.check(after(2400), STAYS), Check::Valid);
-        assert_eq!(lease.check(after(2500), STAYS), Check::SendHeartbeat);
-        assert!(lease.in_doubt());
-        assert_eq!(lease.check(after(3600), STAYS), Check::Valid, "it has time to answer");
-        assert_eq!(lease.check(after(3700), STAYS), Check::ReplaceConnection);
-        assert_eq!(lease.check(after(4900), STAYS), Check::ReplaceConnection);
-        assert_eq!(lease.check(after(7100), STAYS), Check::ReplaceConnection);
-        assert_eq!(lease.check(after(7200), STAYS), Check::Expired);
+        assert_eq!(lease.check(after(2400), RUNNING), LeaseAction::Valid);
+        assert_eq!(lease.check(after(2500), RUNNING), LeaseAction::SendHeartbeat);
+        assert!(lease.is_suspected());
+        assert_eq!(lease.check(after(3600), RUNNING), LeaseAction::Valid, "it has time to answer");
+        assert_eq!(lease.check(after(3700), RUNNING), LeaseAction::ReplaceConnection);
+        assert_eq!(lease.check(after(4900), RUNNING), LeaseAction::ReplaceConnection);
+        assert_eq!(lease.check(after(7100), RUNNING), LeaseAction::ReplaceConnection);
+        assert_eq!(lease.check(after(7200), RUNNING), LeaseAction::Expired);
         assert!(LEASE < END_TOLD_WITHIN);
     }
 
     #[test]
     fn any_message_renews_it() {
         let mut lease = lease();
-        lease.check(after(2500), STAYS);
-        assert_eq!(lease.renew(after(2600)), Renewal::AfterDoubt);
-        assert!(!lease.in_doubt());
+        lease.check(after(2500), RUNNING);
+        assert_eq!(lease.renew(after(2600)), Renewal::AfterSuspicion);
+        assert!(!lease.is_suspected());
         assert_eq!(lease.renew(after(2600)), Renewal::Usual);
-        assert_eq!(lease.check(after(5000), STAYS), Check::Valid);
-        assert_eq!(lease.check(after(5100), STAYS), Check::SendHeartbeat);
+        assert_eq!(lease.check(after(5000), RUNNING), LeaseAction::Valid);
+        assert_eq!(lease.check(after(5100), RUNNING), LeaseAction::SendHeartbeat);
     }
 
     #[test]
     fn one_that_was_never_heard_has_less_time() {
         let mut lease = Lease::new(START);
-        assert_eq!(lease.check(after(1900), STAYS), Check::Valid);
-        assert_eq!(lease.check(after(2000), STAYS), Check::Expired);
+        assert_eq!(lease.check(after(1900), RUNNING), LeaseAction::Valid);
+        assert_eq!(lease.check(after(2000), RUNNING), LeaseAction::Expired);
         lease.renew(after(2100));
-        assert_eq!(lease.check(after(4200), STAYS), Check::Valid);
+        assert_eq!(lease.check(after(4200), RUNNING), LeaseAction::Valid);
     }
 
     #[test]
     fn a_process_that_ends_leaves_its_successor_time() {
         let mut lease = lease();
-        assert_eq!(lease.check(after(2500), Holder::Leaves), Check::SendHeartbeat);
-        assert_eq!(lease.check(after(3500), Holder::Leaves), Check::Valid);
-        assert_eq!(lease.check(after(3600), Holder::Leaves), Check::Expired);
+        assert_eq!(lease.check(after(2500), ProcessPhase::Terminating), LeaseAction::SendHeartbeat);
+        assert_eq!(lease.check(after(3500), ProcessPhase::Terminating), LeaseAction::Valid);
+        assert_eq!(lease.check(after(3600), ProcessPhase::Terminating), LeaseAction::Expired);
     }
 }
--- a/src/chance.rs
+++ b/src/random.rs
@@ -3,19 +3,19 @@
 /// A multiply-with-carry generator; the same seed gives the same numbers.
 ///
 /// ```
-/// use mintstall::chance::Chance;
-/// let (mut a, mut b) = (Chance::new(7), Chance::new(7));
-/// let draw = a.below_one();
-/// assert_eq!(draw, b.below_one());
-/// assert!((0.0..1.0).contains(&draw) && draw != a.below_one());
+/// use mintstall::random::MwcRng;
+/// let (mut a, mut b) = (MwcRng::new(7), MwcRng::new(7));
+/// let draw = a.next_f64();
+/// assert_eq!(draw, b.next_f64());
+/// assert!((0.0..1.0).contains(&draw) && draw != a.next_f64());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Chance {
+pub struct MwcRng {
     low: u32,
     carry: u32,
 }
 
-impl Chance {
+impl MwcRng {
     const MULTIPLIER: u64 = 4_294_957_665;
 
     pub fn new(seed: u64) -> Self {
@@ -36,7 +36,7 @@
     }
 
     /// A number from nought up to, but not including, one.
-    pub fn below_one(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         f64::from(self.next()) / (f64::from(u32::MAX) + 1.0)
     }
 }
@@ -51,9 +51,9 @@
             for nth in 0..3 {
                 let mut bins = [0; 20];
                 for seed in 0..1000u64 {
-                    let mut chance = Chance::new(seed * step);
-                    (0..nth).for_each(|_| _ = chance.below_one());
-                    bins[(chance.below_one() * 20.0) as usize] += 1;
+                    let mut chance = MwcRng::new(seed * step);
+                    (0..nth).for_each(|_| _ = chance.next_f64());
+                    bins[(chance.next_f64() * 20.0) as usize] += 1;
                 }
                 assert!(bins.iter().all(|bin| (20..=80).contains(bin)), "step {step}, draw {nth}: {bins:?}");
             }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use mintstall::Controller;
-use mintstall::host::*;
+use mintstall::interface::*;
 
-pub const HERE: OfficeNo = OfficeNo(0);
+pub const HERE: ExchangeNumber = ExchangeNumber(0);
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Did {
@@ -22,31 +22,31 @@
 struct Notes {
     did: Vec<Did>,
     /// The times that callers were told to come back after.
-    come_back: Vec<Duration>,
-    alarms: Vec<(Duration, AlarmId)>,
+    retry_after: Vec<Duration>,
+    alarms: Vec<(Duration, TimerId)>,
     now: Duration,
 }
 
-impl Host for Notes {
+impl ControllerActions for Notes {
     fn seize(&mut self, call: CallId, to: ExchangeId, limit: Duration) {
         assert!(!limit.is_zero(), "no limit means until the caller gives up");
         self.did.push(Did::Seized(call.0, to.0));
     }
-    fn cancel(&mut self, call: CallId, _: SeizureNo) {
+    fn cancel(&mut self, call: CallId, _: SeizureNumber) {
         self.did.push(Did::Cancelled(call.0));
     }
-    fn reject(&mut self, call: CallId, come_back: Duration) {
-        self.come_back.push(come_back);
+    fn reject(&mut self, call: CallId, retry_after: Duration) {
+        self.retry_after.push(retry_after);
         self.did.push(Did::Rejected(call.0));
     }
     fn release(&mut self, call: CallId) {
         self.did.push(Did::Released(call.0));
     }
-    fn alarm(&mut self, after: Duration, alarm: AlarmId) {
+    fn set_timer(&mut self, after: Duration, timer: TimerId) {
         // The machine's clock counts in microseconds.
-        self.alarms.push((self.now + Duration::from_micros(after.as_micros() as u64), alarm));
+        self.alarms.push((self.now + Duration::from_micros(after.as_micros() as u64), timer));
     }
-    fn tell(&mut self, peer: Option<PeerNo>, _: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<PeerId>, _: &[u8]) {
         self.did.push(Did::Told(peer.map(|peer| peer.0)));
     }
     fn subscribe(&mut self) {
@@ -65,55 +65,55 @@
     Duration::from_millis(count)
 }
 
-pub fn call_type(revenue: f64, width: u16) -> CallTypeData {
-    CallTypeData {
+pub fn call_type(revenue: f64, width: u16) -> CallTypeConfig {
+    CallTypeConfig {
         setup_target: ms(2000),
         guard_time: ms(9000),
         revenue,
         width,
         mean_hold: ms(10_000),
-        repeats: Repeats::Freely,
+        repeats: RepeatPolicy::Freely,
         pools: Vec::new(),
     }
 }
 
-pub fn office() -> OfficeData {
-    OfficeData {
+pub fn office() -> ControllerConfig {
+    ControllerConfig {
         own: Some(HERE),
         call_types: vec![call_type(1.0, 1), call_type(8.0, 1)],
         seizure_limit: 5,
         may_cancel: true,
-        longest_come_back: ms(2000),
+        max_retry_after: ms(2000),
         must_subscribe: false,
-        may_tell: false,
-        fall_multiple: 2.0,
+        may_message_peers: false,
+        overload_multiple: 2.0,
         cold_share: 0.3,
         warm_up: ms(10_000),
         release_wait: ms(300),
-        repeat_after: Duration::ZERO,
+        retransmit_after: Duration::ZERO,
     }
 }
 
-pub fn line(exchange: u32, standing: Standing, started: Duration) -> RosterLine {
-    RosterLine {
-        exchange: ExchangeId(exchange),
-        office: OfficeNo(exchange as u16),
+pub fn line(exchange: u32, standing: ExchangeStatus, started: Duration) -> ExchangeEntry {
+    ExchangeEntry {
+        id: ExchangeId(exchange),
+        number: ExchangeNumber(exchange as u16),
         zone: Zone(0),
-        standing,
+        status: standing,
         started,
     }
 }
 
 impl Desk {
     /// Exchanges 0 to 3, each with `free` circuits towards it.
-    pub fn new(data: &OfficeData, free: f64) -> Self {
+    pub fn new(data: &ControllerConfig, free: f64) -> Self {
         Self::seeded(data, free, 1)
     }
 
-    pub fn seeded(data: &OfficeData, free: f64, seed: u64) -> Self {
+    pub fn seeded(data: &ControllerConfig, free: f64, seed: u64) -> Self {
         let mut desk = Self { controller: Controller::new(data, seed), notes: Notes::default() };
-        let lines: Vec<_> = (0..4).map(|no| line(no, Standing::Ready, Duration::ZERO)).collect();
-        desk.controller.roster(Duration::ZERO, &mut desk.notes, &lines);
+        let lines: Vec<_> = (0..4).map(|no| line(no, ExchangeStatus::Ready, Duration::ZERO)).collect();
+        desk.controller.on_membership(Duration::ZERO, &mut desk.notes, &lines);
         (1..4).for_each(|no| desk.free(no, free));
         desk
     }
@@ -125,7 +125,7 @@
 
     /// When those that were rejected are asked to come back.
     pub fn told_to_come_back(&mut self) -> Vec<Duration> {
-        std::mem::take(&mut self.notes.come_back)
+        std::mem::take(&mut self.notes.retry_after)
     }
 
     pub fn free(&mut self, exchange: u32, free: f64) {
@@ -133,42 +133,42 @@
     }
 
     pub fn has(&mut self, exchange: u32, free: f64, size: f64) {
-        let report = Report { free: Some(free), size: Some(size), ..Report::default() };
-        self.controller.reported(self.notes.now, &mut self.notes, ExchangeId(exchange), &report);
+        let report = CapacityReport { free: Some(free), size: Some(size), ..CapacityReport::default() };
+        self.controller.on_capacity_report(self.notes.now, &mut self.notes, ExchangeId(exchange), &report);
     }
 
     pub fn takes(&mut self, exchange: u32, rate: f64) {
-        let report = Report { rate: Some(rate), ..Report::default() };
-        self.controller.reported(self.notes.now, &mut self.notes, ExchangeId(exchange), &report);
+        let report = CapacityReport { rate: Some(rate), ..CapacityReport::default() };
+        self.controller.on_capacity_report(self.notes.now, &mut self.notes, ExchangeId(exchange), &report);
     }
 
     /// A message from peer 7.
     pub fn hears(&mut self, message: &[u8]) {
-        self.controller.heard(self.notes.now, &mut self.notes, PeerNo(7), message);
+        self.controller.on_peer_message(self.notes.now, &mut self.notes, PeerId(7), message);
     }
 
     pub fn list_failed(&mut self) {
-        self.controller.roster_failed(self.notes.now, &mut self.notes);
+        self.controller.on_subscription_failed(self.notes.now, &mut self.notes);
     }
 
-    pub fn listed(&mut self, lines: &[RosterLine]) {
-        self.controller.roster_changes(self.notes.now, &mut self.notes, lines);
+    pub fn listed(&mut self, lines: &[ExchangeEntry]) {
+        self.controller.on_membership_changes(self.notes.now, &mut self.notes, lines);
     }
 
     /// Moves the far exchanges to a region, the own one stays in 0.
     pub fn in_region(&mut self, zone: u8) {
-        let far = |no| RosterLine { zone: Zone(zone), ..line(no, Standing::Ready, Duration::ZERO) };
+        let far = |no| ExchangeEntry { zone: Zone(zone), ..line(no, ExchangeStatus::Ready, Duration::ZERO) };
         self.listed(&[far(1), far(2), far(3)]);
     }
 
-    fn offer(&self, call: u64, dest: u16) -> Offer {
-        Offer {
+    fn offer(&self, call: u64, dest: u16) -> CallOffer {
+        CallOffer {
             call: CallId(call),
             call_type: CallType(0),
-            customer: CustomerNo(0),
-            dialled: Dialled(call),
-            until: self.notes.now + ms(3000),
-            dest: OfficeNo(dest),
+            customer: CustomerId(0),
+            dialled: DialledNumber(call),
+            deadline: self.notes.now + ms(3000),
+            dest: ExchangeNumber(dest),
             width: 1,
             advised: None,
             transit: false,
@@ -181,10 +181,10 @@
         self.calls_as(call, dest, |_| {});
     }
 
-    pub fn calls_as(&mut self, call: u64, dest: u16, change: impl FnOnce(&mut Offer)) {
+    pub fn calls_as(&mut self, call: u64, dest: u16, change: impl FnOnce(&mut CallOffer)) {
         let mut offer = self.offer(call, dest);
         change(&mut offer);
-        self.controller.offered(self.notes.now, &mut self.notes, offer);
+        self.controller.on_offer(self.notes.now, &mut self.notes, offer);
     }
 
     /// Offers a call and tells whether it was sent to `to` at once.
@@ -213,19 +213,19 @@
     }
 
     pub fn stands(&mut self, call: u64, seizure: u8, exchange: u32, after: Duration) {
-        let (call, seizure, exchange) = (CallId(call), SeizureNo(seizure), ExchangeId(exchange));
-        let stood = Stood { call, seizure, exchange, after };
-        self.controller.stands(self.notes.now, &mut self.notes, &stood);
+        let (call, seizure, exchange) = (CallId(call), SeizureNumber(seizure), ExchangeId(exchange));
+        let stood = SeizureAnswered { call, seizure, exchange, elapsed: after };
+        self.controller.on_seizure_answered(self.notes.now, &mut self.notes, &stood);
     }
 
     pub fn ended(&mut self, call: u64, seizure: u8, exchange: u32, cause: Cause) {
-        let (call, seizure, exchange) = (CallId(call), SeizureNo(seizure), ExchangeId(exchange));
-        let end = Ended { call, seizure, exchange, cause, after: ms(10), closed: false };
-        self.controller.ended(self.notes.now, &mut self.notes, &end);
+        let (call, seizure, exchange) = (CallId(call), SeizureNumber(seizure), ExchangeId(exchange));
+        let end = SeizureEnded { call, seizure, exchange, cause, elapsed: ms(10), closed: false };
+        self.controller.on_seizure_ended(self.notes.now, &mut self.notes, &end);
     }
 
     pub fn withdrawn(&mut self, call: u64) {
-        self.controller.withdrawn(self.notes.now, &mut self.notes, CallId(call));
+        self.controller.on_caller_gone(self.notes.now, &mut self.notes, CallId(call));
     }
 
     /// Lets time pass, ringing what is due on the way.
@@ -237,7 +237,7 @@
             }
             let (due, alarm) = self.notes.alarms.remove(at);
             self.notes.now = due;
-            self.controller.rings(due, &mut self.notes, alarm);
+            self.controller.on_timer(due, &mut self.notes, alarm);
         }
         self.notes.now = end;
     }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 
 use common::{Desk, Did::*, line, ms, office};
-use mintstall::host::{
-    CallType, Cause, Dialled, ExchangeId, OfficeData, OfficeNo, Repeats, RosterLine, Standing,
+use mintstall::interface::{
+    CallType, Cause, ControllerConfig, DialledNumber, ExchangeEntry, ExchangeId, ExchangeNumber,
+    ExchangeStatus, RepeatPolicy,
 };
 
 #[test]
@@ -36,11 +37,11 @@
 #[test]
 fn late_redials_earn_no_credit() {
     let mut desk = Desk::new(&office(), 99.0);
-    desk.calls_as(0, 1, |offer| offer.dialled = Dialled(7));
+    desk.calls_as(0, 1, |offer| offer.dialled = DialledNumber(7));
     desk.pass(ms(2100));
     desk.withdrawn(0);
     for call in 1..40 {
-        desk.calls_as(call, 1, |offer| offer.dialled = Dialled(7));
+        desk.calls_as(call, 1, |offer| offer.dialled = DialledNumber(7));
         desk.stands(call, 0, 1, ms(10));
     }
     desk.did();
@@ -119,10 +120,10 @@
     desk.calls(1, 1);
     desk.pass(ms(2000));
     assert_eq!(desk.did(), [Rejected(1)]);
-    desk.calls_as(2, 1, |offer| offer.dialled = Dialled(1));
+    desk.calls_as(2, 1, |offer| offer.dialled = DialledNumber(1));
     assert_eq!(desk.did(), [Rejected(2)], "not held: it is late already");
     desk.pass(ms(60_000));
-    desk.calls_as(3, 1, |offer| offer.dialled = Dialled(1));
+    desk.calls_as(3, 1, |offer| offer.dialled = DialledNumber(1));
     assert_eq!(desk.did(), [], "a minute later it is a call of its own, and held");
 }
 
@@ -130,7 +131,7 @@
 fn a_caller_who_hangs_up_and_dials_again_is_known() {
     let mut desk = Desk::new(&office(), 0.0);
     for call in 1..=3 {
-        desk.calls_as(call, 1, |offer| offer.dialled = Dialled(1));
+        desk.calls_as(call, 1, |offer| offer.dialled = DialledNumber(1));
         desk.pass(ms(600));
         desk.withdrawn(call);
     }
@@ -153,7 +154,7 @@
 #[test]
 fn a_draining_exchange_gets_nothing_new() {
     let mut desk = Desk::new(&office(), 9.0);
-    desk.listed(&[line(1, Standing::Draining, Duration::ZERO)]);
+    desk.listed(&[line(1, ExchangeStatus::Draining, Duration::ZERO)]);
     desk.calls(1, 1);
     desk.free(2, 0.0);
     desk.calls(2, 2);
@@ -165,7 +166,7 @@
     let sent_at = |age: u64| {
         let mut desk = Desk::new(&office(), 999.0);
         desk.pass(ms(20_000));
-        desk.listed(&[line(1, Standing::Ready, ms(20_000 - age))]);
+        desk.listed(&[line(1, ExchangeStatus::Ready, ms(20_000 - age))]);
         desk.free(2, 0.0);
         desk.free(3, 0.0);
         assert_eq!(desk.sends(1000, 2, 1), age >= 10_000, "a tandem only when warm");
@@ -210,14 +211,14 @@
     let mut desk = Desk::new(&office(), 9.0);
     desk.free(1, 0.0);
     desk.free(3, 12.0);
-    desk.calls_as(1, 1, |offer| offer.advised = Some(OfficeNo(2)));
+    desk.calls_as(1, 1, |offer| offer.advised = Some(ExchangeNumber(2)));
     desk.calls(2, 1);
     assert_eq!(desk.did(), [Seized(1, 2), Seized(2, 2)]);
 }
 
 #[test]
 fn a_tandem_that_has_no_group_onward_is_left_out() {
-    let mut desk = Desk::new(&OfficeData { may_tell: true, ..office() }, 9.0);
+    let mut desk = Desk::new(&ControllerConfig { may_message_peers: true, ..office() }, 9.0);
     desk.free(1, 0.0);
     desk.hears(&[1, 0, 3, 0b101]);
     desk.pass(ms(5000));
@@ -230,8 +231,8 @@
 fn a_group_in_which_a_set_up_found_no_circuit_is_full_until_told_otherwise() {
     let mut desk = Desk::new(&office(), 9.0);
     // The machine that replaces another is nobody's yet: its group is told when it is named.
-    desk.listed(&[RosterLine { exchange: ExchangeId(9), ..line(1, Standing::Ready, ms(0)) }]);
-    desk.listed(&[line(1, Standing::Gone, ms(0))]);
+    desk.listed(&[ExchangeEntry { id: ExchangeId(9), ..line(1, ExchangeStatus::Ready, ms(0)) }]);
+    desk.listed(&[line(1, ExchangeStatus::Gone, ms(0))]);
     desk.calls(1, 1);
     desk.ended(1, 0, 9, Cause::NotSent { own_down: false });
     desk.free(3, 8.0);
@@ -283,7 +284,7 @@
     assert_eq!(sent_after(Cause::TimedOut, 1, [1, 2, 1, 2]), 0, "a region cut off");
     let mut desk = Desk::new(&office(), 99.0);
     desk.in_region(1);
-    desk.listed(&[line(3, Standing::Ready, Duration::ZERO)]);
+    desk.listed(&[line(3, ExchangeStatus::Ready, Duration::ZERO)]);
     (0..4).for_each(|call| desk.fails(call, 1 + call as u32 % 2, Cause::TimedOut));
     assert!(!desk.sends(20, 1, 1) && desk.sends(21, 3, 3), "is none of the own one's");
 }
@@ -300,7 +301,7 @@
 #[test]
 fn what_may_have_been_carried_out_is_not_repeated() {
     let mut data = office();
-    data.call_types[0].repeats = Repeats::Never;
+    data.call_types[0].repeats = RepeatPolicy::Never;
     let mut desk = Desk::new(&data, 9.0);
     desk.calls(1, 1);
     desk.ended(1, 0, 1, Cause::TimedOut);
@@ -389,7 +390,7 @@
 #[test]
 fn a_fault_is_not_held_against_the_number() {
     let mut desk = Desk::new(&office(), 99.0);
-    desk.calls_as(1, 1, |offer| offer.dialled = Dialled(7));
+    desk.calls_as(1, 1, |offer| offer.dialled = DialledNumber(7));
     desk.ended(1, 0, 1, Cause::Fault);
     assert_eq!(desk.did(), [Seized(1, 1)], "tried again after a draw");
     desk.pass(ms(100));
@@ -397,19 +398,19 @@
     desk.pass(ms(200));
     desk.ended(1, 2, 1, Cause::Fault);
     assert_eq!(desk.did(), [Seized(1, 1), Seized(1, 1), Rejected(1)], "as far as the balance goes");
-    desk.calls_as(2, 1, |offer| offer.dialled = Dialled(7));
+    desk.calls_as(2, 1, |offer| offer.dialled = DialledNumber(7));
     assert_eq!(desk.did(), [Seized(2, 1)], "and so is its caller who dials again");
 }
 
 #[test]
 fn a_busy_number_is_not_tried_again_at_once() {
     let mut desk = Desk::new(&office(), 99.0);
-    desk.calls_as(1, 1, |offer| offer.dialled = Dialled(7));
+    desk.calls_as(1, 1, |offer| offer.dialled = DialledNumber(7));
     desk.ended(1, 0, 1, Cause::Busy);
-    desk.calls_as(2, 1, |offer| offer.dialled = Dialled(7));
+    desk.calls_as(2, 1, |offer| offer.dialled = DialledNumber(7));
     assert_eq!(desk.did(), [Seized(1, 1), Rejected(1), Rejected(2)]);
     desk.pass(ms(2100));
-    desk.calls_as(3, 1, |offer| offer.dialled = Dialled(7));
+    desk.calls_as(3, 1, |offer| offer.dialled = DialledNumber(7));
     assert_eq!(desk.did(), [Seized(3, 1)]);
 }
 
@@ -417,7 +418,7 @@
 fn pools_take_only_the_types_they_serve() {
     let mut data = office();
     data.own = None;
-    data.call_types[0].pools = vec![OfficeNo(1), OfficeNo(2)];
+    data.call_types[0].pools = vec![ExchangeNumber(1), ExchangeNumber(2)];
     let mut desk = Desk::new(&data, 9.0);
     desk.free(3, 50.0);
     desk.calls(1, 1);
@@ -428,7 +429,7 @@
 
 #[test]
 fn a_failed_subscription_is_asked_for_again() {
-    let mut desk = Desk::new(&OfficeData { must_subscribe: true, ..office() }, 9.0);
+    let mut desk = Desk::new(&ControllerConfig { must_subscribe: true, ..office() }, 9.0);
     assert_eq!(desk.did(), [Subscribed]);
     desk.list_failed();
     desk.pass(ms(2000));
@@ -480,7 +481,7 @@
 fn a_call_that_could_not_be_sent_again_after_its_whole_wait_is_answered_at_once() {
     for seed in 0..50 {
         let mut desk = Desk::seeded(&office(), 9.0, seed);
-        desk.calls_as(1, 1, |offer| offer.until = ms(300 + 20 + 50 + 1));
+        desk.calls_as(1, 1, |offer| offer.deadline = ms(300 + 20 + 50 + 1));
         desk.ended(1, 0, 1, Cause::TimedOut);
         let at_once = desk.did().contains(&Rejected(1));
         desk.pass(ms(2000));
@@ -498,7 +499,7 @@
     assert!(told.len() == 300 && told.iter().all(|wait| (ms(1000)..=ms(2000)).contains(wait)));
     let times: Vec<u64> = told.iter().map(|wait| wait.as_millis() as u64).collect();
     assert!(most_in_step(&times) <= 20, "of 300 within ten milliseconds");
-    let mut desk = Desk::new(&OfficeData { longest_come_back: ms(0), ..office() }, 0.0);
+    let mut desk = Desk::new(&ControllerConfig { max_retry_after: ms(0), ..office() }, 0.0);
     desk.calls(1, 1);
     desk.pass(ms(1100));
     assert_eq!(desk.told_to_come_back(), [ms(0)], "who follows no wait is told none");
