--- a/crates/benchlink/src/switchroom.rs
+++ b/crates/benchlink/src/batch.rs
@@ -14,7 +14,7 @@
 
 use mintstall_settings::{ReportLayout, from_lines};
 
-use crate::frames::{BadFrame, Fields, Read, Record, bad};
+use crate::frames::{Fields, FrameError, Read, Record, bad};
 
 /// Writes what one controller does into the reply.
 struct Line<'a> {
@@ -71,7 +71,7 @@
 }
 
 #[derive(Default)]
-pub struct Switchroom {
+pub struct BatchProcessor {
     instances: HashMap<u16, Instance>,
     rosters: HashMap<u16, Vec<ExchangeEntry>>,
 }
@@ -163,9 +163,9 @@
     })
 }
 
-impl Switchroom {
+impl BatchProcessor {
     /// Answers one batch; `batch` is what follows its length.
-    pub fn answer(&mut self, batch: &[u8], reply: &mut Vec<u8>) -> Read<()> {
+    pub fn process(&mut self, batch: &[u8], reply: &mut Vec<u8>) -> Read<()> {
         let mut fields = Fields::new(batch, "batch");
         let now = fields.time()?;
         let number = fields.u32()?;
@@ -211,7 +211,7 @@
         if code == 0 {
             let seed = f.u64()?;
             let length = f.u32()? as usize;
-            let trade = from_lines(f.take(length)?).map_err(|error| BadFrame(error.0))?;
+            let trade = from_lines(f.take(length)?).map_err(|error| FrameError(error.0))?;
             let controller = Controller::new(&trade.office, seed);
             self.instances.insert(number, Instance { controller, layout: trade.reports });
             return Ok(());
@@ -311,7 +311,7 @@
     #[test]
     fn the_empty_batch_is_answered() {
         let mut reply = Vec::new();
-        Switchroom::default().answer(&bytes("4020d3126e978d50 00000001"), &mut reply).unwrap();
+        BatchProcessor::default().process(&bytes("4020d3126e978d50 00000001"), &mut reply).unwrap();
         assert_eq!(reply, bytes("00000000 00000004 00000001"));
     }
 
@@ -357,7 +357,7 @@
     fn records_of_unknown_kind_are_passed_over() {
         let mut reply = Vec::new();
         let batch = bytes("4020d3126e978d50 00000002 c8 00000003 aabbcc");
-        Switchroom::default().answer(&batch, &mut reply).unwrap();
+        BatchProcessor::default().process(&batch, &mut reply).unwrap();
         assert_eq!(reply, bytes("00000000 00000004 00000002"));
     }
 }
--- a/crates/benchlink/src/frames.rs
+++ b/crates/benchlink/src/frames.rs
@@ -4,12 +4,12 @@
 
 /// What was wrong with the input, and where.
 #[derive(Debug, PartialEq, Eq)]
-pub struct BadFrame(pub String);
+pub struct FrameError(pub String);
 
-pub type Read<T> = Result<T, BadFrame>;
+pub type Read<T> = Result<T, FrameError>;
 
 pub fn bad<T>(what: impl Into<String>) -> Read<T> {
-    Err(BadFrame(what.into()))
+    Err(FrameError(what.into()))
 }
 
 /// A span of bytes read from front to back.
@@ -130,7 +130,7 @@
     #[test]
     fn fields_that_run_past_their_record_are_named() {
         let mut fields = Fields::new(&[2, 0, 0, 0, 9, 1], "batch");
-        assert_eq!(fields.record().err(), Some(BadFrame("batch: 9 bytes wanted, 1 left".into())));
+        assert_eq!(fields.record().err(), Some(FrameError("batch: 9 bytes wanted, 1 left".into())));
     }
 
     #[test]
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,19 +1,19 @@
 //! Carries the decisions of mintstall over the bench's wire: standard input to standard output.
 
+mod batch;
 mod frames;
-mod switchroom;
 
 use std::io::{self, BufReader, Read, Write};
 use std::process::ExitCode;
 
-use frames::BadFrame;
-use switchroom::Switchroom;
+use batch::BatchProcessor;
+use frames::FrameError;
 
-fn serve() -> Result<(), BadFrame> {
-    let io_failed = |error: io::Error| BadFrame(format!("input or output: {error}"));
+fn serve() -> Result<(), FrameError> {
+    let io_failed = |error: io::Error| FrameError(format!("input or output: {error}"));
     let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
     let mut output = io::stdout().lock();
-    let (mut room, mut batch, mut reply) = (Switchroom::default(), Vec::new(), Vec::new());
+    let (mut processor, mut batch, mut reply) = (BatchProcessor::default(), Vec::new(), Vec::new());
     loop {
         let mut length = [0; 4];
         match input.read(&mut length[..1]).map_err(io_failed)? {
@@ -26,7 +26,7 @@
         if got < length as usize {
             return frames::bad(format!("batch: {length} bytes wanted, input ended after {got}"));
         }
-        room.answer(&batch, &mut reply)?;
+        processor.process(&batch, &mut reply)?;
         output.write_all(&reply).and_then(|()| output.flush()).map_err(io_failed)?;
     }
 }
@@ -34,7 +34,7 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(BadFrame(what)) => {
+        Err(FrameError(what)) => {
             eprintln!("mintstall-benchlink: {what}");
             ExitCode::FAILURE
         }
--- a/crates/office/src/plant.rs
+++ b/crates/callcontrol/src/actions.rs
@@ -5,12 +5,12 @@
 use mintstall::interface::{CallId, ExchangeNumber};
 
 /// Carries out what the office does. Everything takes effect at once, in the order called.
-pub trait Plant {
+pub trait CallControlActions {
     /// Octets for the link to an exchange.
     fn send(&mut self, to: ExchangeNumber, octets: &[u8]);
     /// The link to an exchange carried what makes no sense, or nothing for too long: it is to be closed. Its end is
     /// told as any other.
-    fn close(&mut self, to: ExchangeNumber, why: &str);
+    fn close_link(&mut self, to: ExchangeNumber, why: &str);
     /// The one final answer of a call.
     fn answer(&mut self, call: CallId, answer: Answer);
     /// A call that stood has ended.
--- a/crates/office/src/queries.rs
+++ b/crates/callcontrol/src/audit.rs
@@ -13,10 +13,10 @@
 use mintstall::interface::{Cause, ExchangeNumber};
 use mintstall_isup::{Body, Cic, CircuitState, Q850};
 
-use crate::circuits::{Group, Use};
-use crate::desk::Working;
-use crate::legs::Held;
-use crate::office::failure;
+use crate::callcontrol::failure;
+use crate::calls::HeldCircuits;
+use crate::circuits::{CircuitUse, TrunkGroup};
+use crate::context::EventContext;
 use crate::timers::Timer;
 
 /// What an audit knows of one group.
@@ -39,8 +39,8 @@
 }
 
 impl Audit {
-    fn look(&mut self, group: &Group, place: u16, far: CircuitState) -> Finding {
-        let Some(circuit) = group.get(place) else { return Finding::Agreed };
+    fn look(&mut self, group: &TrunkGroup, index: u16, far: CircuitState) -> Finding {
+        let Some(circuit) = group.get(index) else { return Finding::Agreed };
         let far_idle = matches!(far, CircuitState::Idle { .. });
         let (far_in, far_out) = (
             matches!(far, CircuitState::IncomingBusy { .. }),
@@ -48,28 +48,30 @@
         );
         // Set-ups, releases and resets have timers of their own.
         let differs = match circuit.used {
-            Use::StandingOut(_) => far_idle || far_out,
-            Use::StandingIn(_) => far_idle || far_in,
-            Use::Idle => far_in || far_out,
+            CircuitUse::StandingOut(_) => far_idle || far_out,
+            CircuitUse::StandingIn(_) => far_idle || far_in,
+            CircuitUse::Idle => far_in || far_out,
             _ => false,
         };
-        match (differs, self.doubts.remove(&place)) {
+        match (differs, self.doubts.remove(&index)) {
             (false, _) => Finding::Agreed,
             (true, Some(turns)) if turns == circuit.turns => Finding::Stuck,
             (true, _) => {
-                self.doubts.insert(place, circuit.turns);
+                self.doubts.insert(index, circuit.turns);
                 Finding::Doubt
             }
         }
     }
 }
 
-impl Working<'_> {
+impl EventContext<'_> {
     /// Asks the far end about the next system of its group, and sets the next look.
     pub fn audit(&mut self, to: ExchangeNumber) {
-        let next = self.now + self.desk.spread(self.desk.t.audit);
+        let next = self.now + self.desk.with_jitter(self.desk.t.audit);
         self.desk.timers.set(next, Timer::Audit(to));
-        let Some(size) = self.desk.groups.get(&to).map(Group::size).filter(|size| *size > 0) else { return };
+        let Some(size) = self.desk.groups.get(&to).map(TrunkGroup::size).filter(|size| *size > 0) else {
+            return;
+        };
         let audit = self.desk.audits.entry(to).or_default();
         audit.system = (audit.system + 1) % size.div_ceil(Cic::SYSTEM);
         let first = audit.system * Cic::SYSTEM;
@@ -87,23 +89,30 @@
     ) {
         for (cic, far) in (first.0..).map(Cic).zip(states) {
             let Some(group) = self.desk.groups.get(&from) else { return };
-            let Some(place) = group.place(cic) else { continue };
-            let finding = self.desk.audits.entry(from).or_default().look(group, place, *far);
+            let Some(index) = group.index_of(cic) else { continue };
+            let finding = self.desk.audits.entry(from).or_default().look(group, index, *far);
             if finding != Finding::Stuck {
                 continue;
             }
-            let used = group.get(place).map(|circuit| circuit.used);
+            let used = group.get(index).map(|circuit| circuit.used);
             self.desk.tally.stuck_found += 1;
             self.plant.note(&format!(
                 "exchange {}: circuit {} is {used:?} here, {far:?} there: reset",
                 from.0, cic.0
             ));
-            match used.and_then(Use::call) {
+            match used.and_then(CircuitUse::call) {
                 Some(call) => {
                     let rel = failure(Q850::TemporaryFailure);
-                    self.side_lost(controller, call, (from, place), Cause::Cut, &rel, Held::reset);
+                    self.on_circuits_lost(
+                        controller,
+                        call,
+                        (from, index),
+                        Cause::Cut,
+                        &rel,
+                        HeldCircuits::reset,
+                    );
                 }
-                None => self.reset_held(&Held { to: from, places: vec![place] }),
+                None => self.reset_held(&HeldCircuits { to: from, indices: vec![index] }),
             }
         }
     }
@@ -115,8 +124,8 @@
 
     use super::*;
 
-    fn group() -> Group {
-        Group::new(ExchangeNumber(1), ExchangeNumber(2), 10)
+    fn group() -> TrunkGroup {
+        TrunkGroup::new(ExchangeNumber(1), ExchangeNumber(2), 10)
     }
 
     const IDLE: CircuitState = CircuitState::Idle { blocked: false };
@@ -125,7 +134,7 @@
     #[test]
     fn a_call_unknown_to_the_far_end_is_stuck_at_the_second_look() {
         let (mut audit, mut group) = (Audit::default(), group());
-        group.put(3, Use::StandingOut(CallId(7)));
+        group.put(3, CircuitUse::StandingOut(CallId(7)));
         assert_eq!(audit.look(&group, 3, BUSY), Finding::Agreed);
         assert_eq!(audit.look(&group, 3, IDLE), Finding::Doubt);
         assert_eq!(audit.look(&group, 3, IDLE), Finding::Stuck);
@@ -138,10 +147,10 @@
     #[test]
     fn a_circuit_that_changed_between_the_looks_is_not_freed() {
         let (mut audit, mut group) = (Audit::default(), group());
-        group.put(3, Use::StandingOut(CallId(7)));
+        group.put(3, CircuitUse::StandingOut(CallId(7)));
         assert_eq!(audit.look(&group, 3, IDLE), Finding::Doubt);
-        group.put(3, Use::Idle);
-        group.put(3, Use::StandingOut(CallId(8)));
+        group.put(3, CircuitUse::Idle);
+        group.put(3, CircuitUse::StandingOut(CallId(8)));
         assert_eq!(audit.look(&group, 3, IDLE), Finding::Doubt);
         assert_eq!(audit.look(&group, 3, BUSY), Finding::Agreed);
         assert_eq!(audit.look(&group, 3, IDLE), Finding::Doubt, "agreeing once starts afresh");
@@ -150,9 +159,9 @@
     #[test]
     fn what_is_being_set_up_or_let_go_is_left_to_its_timers() {
         let (mut audit, mut group) = (Audit::default(), group());
-        group.put(3, Use::SeizedOut(CallId(7)));
+        group.put(3, CircuitUse::SeizedOut(CallId(7)));
         assert!((0..3).all(|_| audit.look(&group, 3, IDLE) == Finding::Agreed));
-        group.put(3, Use::Resetting { timer: None });
+        group.put(3, CircuitUse::Resetting { timer: None });
         assert!((0..3).all(|_| audit.look(&group, 3, BUSY) == Finding::Agreed));
     }
 }
--- a/crates/office/src/office.rs
+++ b/crates/callcontrol/src/callcontrol.rs
@@ -13,19 +13,19 @@
     Body, CauseIndicators, Cic, Frame, Identity, Location, Number, Q850, RangeStatus, Rel, Report,
 };
 
-use crate::circuits::{Group, Use};
-use crate::desk::{Desk, Working};
-use crate::legs::{Held, Leg, Out, Sink, Source};
-use crate::links::{Cleared, Link, Phase, SILENT_BEATS};
-use crate::plan::{ANSWER_WAY, OfficePlan};
-use crate::plant::{Answer, CallEnd, Plant};
-use crate::state::Tally;
+use crate::actions::{Answer, CallControlActions, CallEnd};
+use crate::calls::{CallRecord, HeldCircuits, IncomingSide, OutgoingSeizure, OutgoingSide};
+use crate::circuits::{CircuitUse, TrunkGroup};
+use crate::config::{ANSWER_MARGIN, CallControlConfig};
+use crate::context::{CallControlState, EventContext};
+use crate::links::{Cleared, Link, LocalAspState, MAX_UNANSWERED_HEARTBEATS};
+use crate::status::Counters;
 use crate::timers::{Timer, TimerQueue};
-use crate::trace::{Step, Trace, Traces};
+use crate::trace::{Trace, TraceStep, Traces};
 
 /// A call as a subscriber asks for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct CallRequest {
     pub call_type: CallType,
     pub customer: CustomerId,
     pub dest: ExchangeNumber,
@@ -47,9 +47,9 @@
 }
 
 /// One exchange's controller.
-pub struct Office {
+pub struct CallControl {
     pub(crate) controller: Controller,
-    pub(crate) desk: Desk,
+    pub(crate) desk: CallControlState,
     service: Service,
 }
 
@@ -64,20 +64,21 @@
     Rel::new(CauseIndicators::new(Location::Local, cause))
 }
 
-impl Office {
+impl CallControl {
     /// `incarnation` sets the call numbers of this process apart from those before it: it must grow with each start, by
     /// one for each 2,048 calls that it may have taken. Milliseconds of a clock do.
-    pub fn new(now: Duration, plan: &OfficePlan, incarnation: u64, seed: u64) -> Self {
-        let group = |group: &crate::GroupPlan| (group.to, Group::new(plan.own, group.to, group.circuits));
-        let mut desk = Desk {
+    pub fn new(now: Duration, plan: &CallControlConfig, incarnation: u64, seed: u64) -> Self {
+        let group =
+            |group: &crate::GroupConfig| (group.to, TrunkGroup::new(plan.own, group.to, group.circuits));
+        let mut desk = CallControlState {
             own: plan.own,
             t: plan.timers,
-            most_calls: plan.most_calls,
+            max_calls: plan.max_calls,
             widths: plan.data.call_types.iter().map(|of| of.width).collect(),
             groups: plan.groups.iter().map(group).collect(),
             links: plan.groups.iter().map(|group| (group.to, Link::default())).collect(),
             audits: BTreeMap::new(),
-            legs: BTreeMap::new(),
+            calls: BTreeMap::new(),
             timers: TimerQueue::default(),
             // Apart from the decisions' own numbers, which a seed must leave as they are.
             chance: MwcRng::new(!seed),
@@ -90,7 +91,7 @@
             // Below 2^53, so that clients without wider integers read it whole (RFC 8259 clause 6).
             next_call: (incarnation << 11) & ((1 << 53) - 1),
             owed: 0,
-            tally: Tally::default(),
+            tally: Counters::default(),
             traces: Traces::new(plan.traces),
             frame: Vec::new(),
             message: Vec::new(),
@@ -98,7 +99,7 @@
         // The looks at the groups are spread over the time between two at one.
         for (turn, to) in plan.groups.iter().map(|group| group.to).enumerate() {
             let share = (turn + 1) as f64 / plan.groups.len() as f64;
-            let first = desk.spread(plan.timers.audit.mul_f64(share));
+            let first = desk.with_jitter(plan.timers.audit.mul_f64(share));
             desk.timers.set(now + first, Timer::Audit(to));
         }
         Self { controller: Controller::new(&plan.data, seed), desk, service: Service::Open }
@@ -108,8 +109,8 @@
         self.desk.own
     }
 
-    /// When [`Office::ring`] is next to be called.
-    pub fn next_alarm(&self) -> Option<Duration> {
+    /// When [`CallControl::on_timer`] is next to be called.
+    pub fn next_timer(&self) -> Option<Duration> {
         self.desk.timers.next()
     }
 
@@ -119,26 +120,27 @@
     }
 
     /// Whether a call has no answer yet, one in transit too, or a seizure is out whose caller has gone.
-    pub fn unsettled(&self) -> bool {
-        self.desk.legs.values().any(|leg| matches!(leg.sink, Sink::Open | Sink::Seized(_)))
+    pub fn has_unanswered_calls(&self) -> bool {
+        self.desk.calls.values().any(|leg| matches!(leg.sink, OutgoingSide::Open | OutgoingSide::Seized(_)))
     }
 
     /// Whether a far end that can be reached has yet to complete a release or a reset.
     pub fn awaits_release(&self) -> bool {
         let there = |to: &ExchangeNumber| self.desk.links.get(to).is_some_and(Link::usable);
-        let leaves = |used| matches!(used, Use::Releasing { .. } | Use::Resetting { timer: Some(_) });
+        let leaves =
+            |used| matches!(used, CircuitUse::Releasing { .. } | CircuitUse::Resetting { timer: Some(_) });
         let mut groups = self.desk.groups.iter().filter(|(to, _)| there(to));
         groups.any(|(_, group)| group.all().any(|(_, circuit)| leaves(circuit.used)))
     }
 
     /// Runs one thing that happens, and all that follows from it.
-    pub(crate) fn happens(
+    pub(crate) fn handle_event(
         &mut self,
         now: Duration,
-        plant: &mut dyn Plant,
-        first: impl FnOnce(&mut Controller, &mut Working),
+        plant: &mut dyn CallControlActions,
+        first: impl FnOnce(&mut Controller, &mut EventContext),
     ) {
-        let w = &mut Working { desk: &mut self.desk, plant, now };
+        let w = &mut EventContext { desk: &mut self.desk, plant, now };
         first(&mut self.controller, w);
         loop {
             if let Some(step) = w.desk.after.pop_front() {
@@ -154,8 +156,8 @@
     }
 
     /// The whole roster. `started` is by the same clock as `now`; zero means long ago.
-    pub fn roster(&mut self, now: Duration, plant: &mut dyn Plant, lines: &[ExchangeEntry]) {
-        self.happens(now, plant, |controller, w| {
+    pub fn roster(&mut self, now: Duration, plant: &mut dyn CallControlActions, lines: &[ExchangeEntry]) {
+        self.handle_event(now, plant, |controller, w| {
             w.desk.exchanges.clear();
             w.desk.note_roster(lines);
             controller.on_membership(now, w, lines);
@@ -163,8 +165,13 @@
     }
 
     /// Changed lines of the roster only.
-    pub fn roster_changes(&mut self, now: Duration, plant: &mut dyn Plant, lines: &[ExchangeEntry]) {
-        self.happens(now, plant, |controller, w| {
+    pub fn roster_changes(
+        &mut self,
+        now: Duration,
+        plant: &mut dyn CallControlActions,
+        lines: &[ExchangeEntry],
+    ) {
+        self.handle_event(now, plant, |controller, w| {
             w.desk.note_roster(lines);
             controller.on_membership_changes(now, w, lines);
         });
@@ -192,16 +199,22 @@
     }
 
     /// A subscriber asks for a call; it gets exactly one final answer, maybe before this returns.
-    pub fn offer(&mut self, now: Duration, plant: &mut dyn Plant, call: CallId, order: Order) {
+    pub fn offer(
+        &mut self,
+        now: Duration,
+        plant: &mut dyn CallControlActions,
+        call: CallId,
+        order: CallRequest,
+    ) {
         let closing = self.service == Service::Closing;
-        self.happens(now, plant, |controller, w| {
+        self.handle_event(now, plant, |controller, w| {
             w.desk.tally.offered += 1;
-            let full = w.desk.legs.len() >= w.desk.most_calls;
+            let full = w.desk.calls.len() >= w.desk.max_calls;
             w.desk.tally.overflow += u64::from(full);
             let called = Number::empty().then(order.dest.0.into(), OFFICE_DIGITS);
             let called = called.and_then(|office| office.then(order.dialled.0, 1));
             let width = w.desk.widths.get(usize::from(order.call_type.0)).copied();
-            let until = now.saturating_add(order.left).saturating_sub(ANSWER_WAY);
+            let until = now.saturating_add(order.left).saturating_sub(ANSWER_MARGIN);
             let (Some(called), Some(width)) = (called.filter(|_| !closing && !full && until > now), width)
             else {
                 w.desk.tally.refused += 1;
@@ -218,14 +231,14 @@
                 redial: order.redial,
             };
             w.desk.owed += 1;
-            let step = Step::Offered { left: order.left };
+            let step = TraceStep::Offered { left: order.left };
             w.desk.traces.begin(now, call, identity, order.dest, order.dialled.0, step);
             let guard = w.desk.timers.set(until, Timer::Guard(call));
-            w.desk.legs.insert(
+            w.desk.calls.insert(
                 call,
-                Leg {
-                    source: Source::Subscriber,
-                    sink: Sink::Open,
+                CallRecord {
+                    source: IncomingSide::Subscriber,
+                    sink: OutgoingSide::Open,
                     identity,
                     called,
                     dialled: order.dialled.0,
@@ -244,44 +257,52 @@
     }
 
     /// The caller hangs up, or gives up. `false`: no such call is in hand.
-    pub fn hang_up(&mut self, now: Duration, plant: &mut dyn Plant, call: CallId) -> bool {
-        let leg = self.desk.legs.get(&call);
-        let known = leg.is_some_and(|leg| matches!(leg.source, Source::Subscriber));
+    pub fn hang_up(&mut self, now: Duration, plant: &mut dyn CallControlActions, call: CallId) -> bool {
+        let leg = self.desk.calls.get(&call);
+        let known = leg.is_some_and(|leg| matches!(leg.source, IncomingSide::Subscriber));
         if known {
-            self.happens(now, plant, |controller, w| w.caller_gone(controller, call, normal(Location::User)));
+            self.handle_event(now, plant, |controller, w| {
+                w.caller_gone(controller, call, normal(Location::User))
+            });
         }
         known
     }
 
     /// Circuits to an exchange, from a place in the group on, fail or come back. Calls on those that fail are cut, and
     /// the far end is told (Q.764 clause 2.8.2.2, hardware failure).
-    pub fn circuits(&mut self, now: Duration, plant: &mut dyn Plant, to: ExchangeNumber, in_service: u16) {
-        self.happens(now, plant, |controller, w| {
+    pub fn circuits(
+        &mut self,
+        now: Duration,
+        plant: &mut dyn CallControlActions,
+        to: ExchangeNumber,
+        in_service: u16,
+    ) {
+        self.handle_event(now, plant, |controller, w| {
             let Some(group) = w.desk.groups.get(&to) else { return };
-            let change = |place: u16, here: bool| here != (place >= in_service);
-            let places: Vec<_> =
-                group.all().map(|(place, circuit)| (place, circuit.blocked.here())).collect();
-            let changed: Vec<_> = places.into_iter().filter(|(place, here)| change(*place, *here)).collect();
+            let change = |index: u16, here: bool| here != (index >= in_service);
+            let indices: Vec<_> =
+                group.all().map(|(index, circuit)| (index, circuit.blocked.here())).collect();
+            let changed: Vec<_> = indices.into_iter().filter(|(index, here)| change(*index, *here)).collect();
             for (fails, name) in [(true, "fail"), (false, "come back")] {
-                let places: Vec<_> =
-                    changed.iter().filter(|(_, here)| *here != fails).map(|(place, _)| *place).collect();
-                if places.is_empty() {
+                let indices: Vec<_> =
+                    changed.iter().filter(|(_, here)| *here != fails).map(|(index, _)| *index).collect();
+                if indices.is_empty() {
                     continue;
                 }
                 w.plant.note(&format!(
                     "exchange {}: {} circuits {name}, {in_service} in service",
                     to.0,
-                    places.len()
+                    indices.len()
                 ));
                 // All are blocked before any call is cut: what its end sets free must not seize one that fails next.
                 if let Some(group) = w.desk.groups.get_mut(&to) {
-                    places.iter().for_each(|place| group.block(*place, Some(fails), None));
+                    indices.iter().for_each(|index| group.block(*index, Some(fails), None));
                 }
-                for place in places.iter().filter(|_| fails) {
-                    w.circuit_fails(controller, to, *place);
+                for index in indices.iter().filter(|_| fails) {
+                    w.circuit_fails(controller, to, *index);
                 }
                 w.desk.changed.insert(to);
-                w.tell_blocked(to, &places, fails);
+                w.tell_blocked(to, &indices, fails);
             }
         });
     }
@@ -292,25 +313,27 @@
     }
 
     /// Lets go of all calls that stand; those that wait for an answer fail.
-    pub fn release_all(&mut self, now: Duration, plant: &mut dyn Plant) {
+    pub fn release_all(&mut self, now: Duration, plant: &mut dyn CallControlActions) {
         // Calls that are held go first: what is let go next would give them a way, and set-ups would go out.
-        let holds = |leg: &Leg| !matches!(leg.sink, Sink::Open);
-        let mut calls: Vec<_> = self.desk.legs.iter().map(|(call, leg)| (holds(leg), *call)).collect();
+        let holds = |leg: &CallRecord| !matches!(leg.sink, OutgoingSide::Open);
+        let mut calls: Vec<_> = self.desk.calls.iter().map(|(call, leg)| (holds(leg), *call)).collect();
         calls.sort_unstable();
         for (_, call) in calls {
-            self.happens(now, plant, |controller, w| {
-                let standing = w.desk.legs.get(&call).is_some_and(|leg| {
-                    matches!((&leg.source, &leg.sink), (Source::Subscriber, Sink::Standing(_)))
+            self.handle_event(now, plant, |controller, w| {
+                let standing = w.desk.calls.get(&call).is_some_and(|leg| {
+                    matches!((&leg.source, &leg.sink), (IncomingSide::Subscriber, OutgoingSide::Standing(_)))
                 });
                 w.caller_gone(controller, call, failure(Q850::OutOfOrder));
                 // What is still out may not be cancelled, or its caller had gone before: nobody is left to await its end.
-                if let Some(Leg { sink: Sink::Seized(Out { no, .. }), .. }) = w.desk.legs.get(&call) {
+                if let Some(CallRecord { sink: OutgoingSide::Seized(OutgoingSeizure { no, .. }), .. }) =
+                    w.desk.calls.get(&call)
+                {
                     let no = *no;
                     w.cancel(call, no);
                 }
                 if standing {
                     w.desk.tally.cut += 1;
-                    w.trace(call, Step::Ended(CallEnd::Cut));
+                    w.trace(call, TraceStep::Ended(CallEnd::Cut));
                     w.plant.ended(call, CallEnd::Cut);
                 }
             });
@@ -318,10 +341,10 @@
     }
 
     /// The connection to an exchange is open.
-    pub fn link_up(&mut self, now: Duration, plant: &mut dyn Plant, to: ExchangeNumber) {
-        self.happens(now, plant, |_, w| {
+    pub fn link_up(&mut self, now: Duration, plant: &mut dyn CallControlActions, to: ExchangeNumber) {
+        self.handle_event(now, plant, |_, w| {
             let Some(link) = w.desk.links.get_mut(&to) else { return };
-            link.phase = Phase::Announcing;
+            link.phase = LocalAspState::Announcing;
             link.far = Default::default();
             link.deframer = Default::default();
             link.unanswered = 0;
@@ -330,24 +353,24 @@
     }
 
     /// It is gone.
-    pub fn link_down(&mut self, now: Duration, plant: &mut dyn Plant, to: ExchangeNumber) {
-        self.happens(now, plant, |controller, w| w.link_lost(controller, to));
+    pub fn link_down(&mut self, now: Duration, plant: &mut dyn CallControlActions, to: ExchangeNumber) {
+        self.handle_event(now, plant, |controller, w| w.link_lost(controller, to));
     }
 
     /// Rings all that is due.
-    pub fn ring(&mut self, now: Duration, plant: &mut dyn Plant) {
+    pub fn on_timer(&mut self, now: Duration, plant: &mut dyn CallControlActions) {
         while let Some(timer) = self.desk.timers.due(now) {
-            self.happens(now, plant, |controller, w| match timer {
+            self.handle_event(now, plant, |controller, w| match timer {
                 Timer::Alarm(alarm) => {
-                    if let Some(leg) = w.desk.legs.get_mut(&CallId(alarm.0)) {
+                    if let Some(leg) = w.desk.calls.get_mut(&CallId(alarm.0)) {
                         leg.alarm = None;
                     }
                     controller.on_timer(now, w, alarm);
                 }
                 Timer::Limit(call, no) => w.limit_passed(controller, call, no),
                 Timer::Guard(call) => w.time_up(controller, call),
-                Timer::Circuit(to, place) => w.circuit_timer(to, place),
-                Timer::GroupReset(to, place) => w.reset_system(to, place, w.desk.t.t17),
+                Timer::Circuit(to, index) => w.circuit_timer(to, index),
+                Timer::GroupReset(to, index) => w.reset_system(to, index, w.desk.t.t17),
                 Timer::Link(to) => w.link_timer(to),
                 Timer::Audit(to) => w.audit(to),
                 Timer::LinkGrace(to) => w.link_grace(controller, to),
@@ -360,7 +383,7 @@
     }
 }
 
-impl Desk {
+impl CallControlState {
     fn note_roster(&mut self, lines: &[ExchangeEntry]) {
         for line in lines {
             self.exchanges.insert(line.id, line.number);
@@ -376,9 +399,9 @@
 
     /// What the decisions are told of a call.
     pub fn offer(&self, call: CallId, advised: Option<ExchangeNumber>) -> Option<CallOffer> {
-        let leg = self.legs.get(&call)?;
+        let leg = self.calls.get(&call)?;
         let (transit, advised) = match &leg.source {
-            Source::Trunk(held) => (true, Some(held.to)),
+            IncomingSide::Trunk(held) => (true, Some(held.to)),
             _ => (false, advised),
         };
         Some(CallOffer {
@@ -397,20 +420,20 @@
     }
 }
 
-impl Working<'_> {
+impl EventContext<'_> {
     /// The side a call came from is gone; `rel` goes to what it holds on the other side. A subscriber to whom an
     /// answer is owed gets it at once.
     pub fn caller_gone(&mut self, controller: &mut Controller, call: CallId, rel: Rel) {
         let now = self.now;
-        self.trace(call, Step::CallerGone(rel.cause.cause));
-        let Some(leg) = self.desk.legs.get_mut(&call) else { return };
-        match std::mem::replace(&mut leg.sink, Sink::Open) {
-            Sink::Here => {
+        self.trace(call, TraceStep::CallerGone(rel.cause.cause));
+        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
+        match std::mem::replace(&mut leg.sink, OutgoingSide::Open) {
+            OutgoingSide::OwnSubscriber => {
                 self.line_free(call);
                 self.let_go_source(call, &rel);
                 self.desk.drop_leg(call);
             }
-            Sink::Standing(out) => {
+            OutgoingSide::Standing(out) => {
                 let cut = rel.cause.cause != Q850::NormalClearing;
                 self.release_held(&out.held, rel);
                 self.let_go_source(call, &failure(Q850::OutOfOrder));
@@ -418,19 +441,19 @@
                 let cause = if cut { Cause::Cut } else { Cause::Done };
                 controller.on_seizure_ended(now, self, &out.ended(call, now, cause, true));
             }
-            sink @ (Sink::Open | Sink::Seized(_)) => {
+            sink @ (OutgoingSide::Open | OutgoingSide::Seized(_)) => {
                 leg.sink = sink;
-                let source = std::mem::replace(&mut leg.source, Source::Gone);
+                let source = std::mem::replace(&mut leg.source, IncomingSide::Gone);
                 leg.guard.take().into_iter().for_each(|set| self.desk.timers.stop(set));
                 match source {
-                    Source::Subscriber => {
+                    IncomingSide::Subscriber => {
                         self.desk.owed -= 1;
                         self.desk.tally.failed += 1;
-                        self.trace(call, Step::Answered(Answer::Fails));
+                        self.trace(call, TraceStep::Answered(Answer::Fails));
                         self.plant.answer(call, Answer::Fails);
                     }
-                    Source::Trunk(held) => self.let_go(&held, &rel),
-                    Source::Gone => {}
+                    IncomingSide::Trunk(held) => self.let_go(&held, &rel),
+                    IncomingSide::Gone => {}
                 }
                 controller.on_caller_gone(now, self, call);
                 self.desk.finish(call);
@@ -439,7 +462,7 @@
     }
 
     /// Releases circuits that are still taken by their call; those that the far end let go are left as they are.
-    pub fn let_go(&mut self, held: &Held, rel: &Rel) {
+    pub fn let_go(&mut self, held: &HeldCircuits, rel: &Rel) {
         let group = self.desk.groups.get(&held.to);
         let taken = group
             .and_then(|group| group.get(held.first()))
@@ -450,14 +473,14 @@
     }
 
     fn let_go_source(&mut self, call: CallId, rel: &Rel) {
-        if let Some(Leg { source: Source::Trunk(held), .. }) = self.desk.legs.get(&call) {
+        if let Some(CallRecord { source: IncomingSide::Trunk(held), .. }) = self.desk.calls.get(&call) {
             let held = held.clone();
             self.let_go(&held, rel);
         }
     }
 
     pub fn line_free(&mut self, call: CallId) {
-        let Some(leg) = self.desk.legs.get(&call) else { return };
+        let Some(leg) = self.desk.calls.get(&call) else { return };
         if let Some((_, taken)) = self.desk.lines.get_mut(&leg.dialled) {
             *taken = taken.saturating_sub(1);
         }
@@ -465,12 +488,15 @@
 
     /// A seizure passed its limit: its circuits stay taken until the far end has let go.
     fn limit_passed(&mut self, controller: &mut Controller, call: CallId, no: SeizureNumber) {
-        let Some(leg) = self.desk.legs.get_mut(&call) else { return };
-        match std::mem::replace(&mut leg.sink, Sink::Open) {
-            Sink::Seized(out) if out.no == no => {
+        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
+        match std::mem::replace(&mut leg.sink, OutgoingSide::Open) {
+            OutgoingSide::Seized(out) if out.no == no => {
                 leg.last = Some(Cause::TimedOut);
                 self.desk.tally.timed_out += 1;
-                self.trace(call, Step::SeizureEnded { no, cause: Cause::TimedOut, after: self.now - out.at });
+                self.trace(
+                    call,
+                    TraceStep::SeizureEnded { no, cause: Cause::TimedOut, elapsed: self.now - out.at },
+                );
                 self.release_held(&out.held, failure(Q850::RecoveryOnTimer));
                 let closed = self.desk.closed(call);
                 let now = self.now;
@@ -483,69 +509,76 @@
 
     /// The caller's time is up, and the decisions have not answered: they are told that the caller is gone.
     fn time_up(&mut self, controller: &mut Controller, call: CallId) {
-        if let Some(leg) = self.desk.legs.get_mut(&call) {
+        if let Some(leg) = self.desk.calls.get_mut(&call) {
             leg.guard = None;
-            if matches!(leg.sink, Sink::Open | Sink::Seized(_)) {
+            if matches!(leg.sink, OutgoingSide::Open | OutgoingSide::Seized(_)) {
                 self.caller_gone(controller, call, failure(Q850::RecoveryOnTimer));
             }
         }
     }
 
     /// T1 and T5 of a circuit that is being let go, T16 and T17 of one being reset (Q.764 table A.1).
-    fn circuit_timer(&mut self, to: ExchangeNumber, place: u16) {
+    fn circuit_timer(&mut self, to: ExchangeNumber, index: u16) {
         let (now, t) = (self.now, self.desk.t);
         let Some(group) = self.desk.groups.get(&to) else { return };
-        let Some(used) = group.get(place).map(|circuit| circuit.used) else { return };
-        let held = Held { to, places: group.together(place) };
+        let Some(used) = group.get(index).map(|circuit| circuit.used) else { return };
+        let held = HeldCircuits { to, indices: group.together(index) };
         match used {
-            Use::Releasing { since, .. } if now >= since + t.t5 => {
+            CircuitUse::Releasing { since, .. } if now >= since + t.t5 => {
                 self.plant.note(&format!(
                     "exchange {}: circuit {} not released in {:?}, reset",
                     to.0,
-                    Cic::at(place).0,
+                    Cic::at(index).0,
                     t.t5
                 ));
                 self.reset_held(&held);
             }
-            Use::Releasing { since, .. } => {
+            CircuitUse::Releasing { since, .. } => {
                 self.desk.tally.releases_repeated += 1;
-                self.send(to, Cic::at(place), Body::Rel(normal(Location::Local)));
+                self.send(to, Cic::at(index), Body::Rel(normal(Location::Local)));
                 // The last of these is past T5, and apart from those of others.
-                let again = now + self.desk.spread(t.t1);
-                let timer = self.desk.timers.set(again, Timer::Circuit(to, place));
-                self.put_first(&held, Use::Releasing { since, timer });
+                let again = now + self.desk.with_jitter(t.t1);
+                let timer = self.desk.timers.set(again, Timer::Circuit(to, index));
+                self.put_first(&held, CircuitUse::Releasing { since, timer });
             }
-            Use::Resetting { .. } => {
-                self.send(to, Cic::at(place), Body::Rsc);
-                let timer = Some(self.reset_timer(to, place, t.t17));
-                self.put_first(&held, Use::Resetting { timer });
+            CircuitUse::Resetting { .. } => {
+                self.send(to, Cic::at(index), Body::Rsc);
+                let timer = Some(self.reset_timer(to, index, t.t17));
+                self.put_first(&held, CircuitUse::Resetting { timer });
             }
             _ => {}
         }
     }
 
     /// A circuit's hardware failed: its call is cut and it is idle behind its block, without a release.
-    pub fn circuit_fails(&mut self, controller: &mut Controller, to: ExchangeNumber, place: u16) {
-        let used = self.desk.groups.get(&to).and_then(|group| group.get(place)).map(|circuit| circuit.used);
+    pub fn circuit_fails(&mut self, controller: &mut Controller, to: ExchangeNumber, index: u16) {
+        let used = self.desk.groups.get(&to).and_then(|group| group.get(index)).map(|circuit| circuit.used);
         match used {
-            Some(Use::Idle | Use::Along(_)) | None => {}
-            Some(Use::Releasing { .. } | Use::Resetting { .. }) => self.idle(to, place),
+            Some(CircuitUse::Idle | CircuitUse::ReleasedWith(_)) | None => {}
+            Some(CircuitUse::Releasing { .. } | CircuitUse::Resetting { .. }) => self.idle(to, index),
             Some(used) => {
                 // Both ends see the failure, and let go of all circuits of a wider call at once.
                 let rel = failure(Q850::TemporaryFailure);
                 used.call().into_iter().for_each(|call| {
-                    self.side_lost(controller, call, (to, place), Cause::Cut, &rel, Held::idle);
+                    self.on_circuits_lost(
+                        controller,
+                        call,
+                        (to, index),
+                        Cause::Cut,
+                        &rel,
+                        HeldCircuits::idle,
+                    );
                 });
             }
         }
     }
 
     /// Blocks or unblocks circuits at the far end, a message a system (Q.763 clause 3.13: hardware failure).
-    pub fn tell_blocked(&mut self, to: ExchangeNumber, places: &[u16], blocked: bool) {
+    pub fn tell_blocked(&mut self, to: ExchangeNumber, indices: &[u16], blocked: bool) {
         const HARDWARE: u8 = 1;
-        for system in places.chunk_by(|a, b| a / Cic::SYSTEM == b / Cic::SYSTEM) {
+        for system in indices.chunk_by(|a, b| a / Cic::SYSTEM == b / Cic::SYSTEM) {
             let (first, last) = (system[0], system[system.len() - 1]);
-            let status = system.iter().fold(0u32, |bits, place| bits | 1 << (place - first));
+            let status = system.iter().fold(0u32, |bits, index| bits | 1 << (index - first));
             let range = RangeStatus { count: (last - first + 1) as u8, status };
             let body = match blocked {
                 true => Body::Cgb { kind: HARDWARE, range },
@@ -557,12 +590,12 @@
 
     fn announce(&mut self, to: ExchangeNumber) {
         let own = u32::from(self.desk.own.0);
-        let again = self.now + self.desk.spread(self.desk.t.link_ack);
+        let again = self.now + self.desk.with_jitter(self.desk.t.link_ack);
         let Some(link) = self.desk.links.get_mut(&to) else { return };
         let frame = match link.phase {
-            Phase::Announcing => Frame::AspUp { asp: Some(own) },
-            Phase::Activating => Frame::AspActive,
-            Phase::Down | Phase::Active => return,
+            LocalAspState::Announcing => Frame::AspUp { asp: Some(own) },
+            LocalAspState::Activating => Frame::AspActive,
+            LocalAspState::Down | LocalAspState::Active => return,
         };
         let set = self.desk.timers.set(again, Timer::Link(to));
         link.timer.replace(set).into_iter().for_each(|before| self.desk.timers.stop(before));
@@ -571,24 +604,26 @@
 
     /// The own end is up at the far one: asks to take traffic.
     pub fn activate(&mut self, to: ExchangeNumber) {
-        if let Some(link) = self.desk.links.get_mut(&to).filter(|link| link.phase == Phase::Announcing) {
-            link.phase = Phase::Activating;
+        if let Some(link) =
+            self.desk.links.get_mut(&to).filter(|link| link.phase == LocalAspState::Announcing)
+        {
+            link.phase = LocalAspState::Activating;
             self.announce(to);
         }
     }
 
     /// T(ack), or time for a sign of life.
     fn link_timer(&mut self, to: ExchangeNumber) {
-        let beat = self.desk.spread(self.desk.t.beat);
+        let beat = self.desk.with_jitter(self.desk.t.beat);
         let Some(link) = self.desk.links.get_mut(&to) else { return };
         link.timer = None;
         match link.phase {
-            Phase::Down => {}
-            Phase::Announcing | Phase::Activating => self.announce(to),
-            Phase::Active if link.unanswered >= SILENT_BEATS => {
-                self.plant.close(to, "no sign of life");
+            LocalAspState::Down => {}
+            LocalAspState::Announcing | LocalAspState::Activating => self.announce(to),
+            LocalAspState::Active if link.unanswered >= MAX_UNANSWERED_HEARTBEATS => {
+                self.plant.close_link(to, "no sign of life");
             }
-            Phase::Active => {
+            LocalAspState::Active => {
                 link.unanswered += 1;
                 link.timer = Some(self.desk.timers.set(self.now + beat, Timer::Link(to)));
                 self.send_frame(to, Frame::Beat(b"mintstal"));
@@ -599,7 +634,7 @@
     /// Both ends take traffic. A process that has just started has the far end forget all calls of one before it; a link
     /// that was away has what it missed said again.
     pub fn opened(&mut self, to: ExchangeNumber) {
-        let beat = self.now + self.desk.spread(self.desk.t.beat);
+        let beat = self.now + self.desk.with_jitter(self.desk.t.beat);
         let Some(link) = self.desk.links.get_mut(&to) else { return };
         let set = self.desk.timers.set(beat, Timer::Link(to));
         let before = [link.timer.replace(set), link.grace.take()];
@@ -607,29 +642,29 @@
         before.into_iter().flatten().for_each(|before| self.desk.timers.stop(before));
         self.plant.note(&format!("link to exchange {} is open", to.0));
         let Some(group) = self.desk.groups.get(&to) else { return };
-        let blocked: Vec<_> = group.all().filter(|(_, c)| c.blocked.here()).map(|(place, _)| place).collect();
+        let blocked: Vec<_> = group.all().filter(|(_, c)| c.blocked.here()).map(|(index, _)| index).collect();
         match cleared {
             Cleared::NotYet => {
                 let firsts: Vec<u16> = (0..group.size()).step_by(usize::from(Cic::SYSTEM)).collect();
-                firsts.into_iter().for_each(|place| self.reset_system(to, place, self.desk.t.t22));
+                firsts.into_iter().for_each(|index| self.reset_system(to, index, self.desk.t.t22));
             }
             Cleared::Asked => {
-                let uses: Vec<_> = group.all().map(|(place, circuit)| (place, circuit.used)).collect();
-                for (place, used) in uses {
+                let uses: Vec<_> = group.all().map(|(index, circuit)| (index, circuit.used)).collect();
+                for (index, used) in uses {
                     match used {
-                        Use::Resetting { timer: None } => {
-                            let timer = Some(self.reset_timer(to, place, self.desk.t.t16));
-                            self.send(to, Cic::at(place), Body::Rsc);
-                            let places = self.desk.groups.get(&to).map(|group| group.together(place));
-                            places.iter().for_each(|places| {
+                        CircuitUse::Resetting { timer: None } => {
+                            let timer = Some(self.reset_timer(to, index, self.desk.t.t16));
+                            self.send(to, Cic::at(index), Body::Rsc);
+                            let indices = self.desk.groups.get(&to).map(|group| group.together(index));
+                            indices.iter().for_each(|indices| {
                                 self.put_first(
-                                    &Held { to, places: places.clone() },
-                                    Use::Resetting { timer },
+                                    &HeldCircuits { to, indices: indices.clone() },
+                                    CircuitUse::Resetting { timer },
                                 );
                             });
                         }
-                        Use::Releasing { .. } => {
-                            self.send(to, Cic::at(place), Body::Rel(normal(Location::Local)));
+                        CircuitUse::Releasing { .. } => {
+                            self.send(to, Cic::at(index), Body::Rel(normal(Location::Local)));
                         }
                         _ => {}
                     }
@@ -645,27 +680,27 @@
     fn reset_system(&mut self, to: ExchangeNumber, first: u16, again: Duration) {
         let Some(group) = self.desk.groups.get_mut(&to) else { return };
         let end = (first + Cic::SYSTEM).min(group.size());
-        let waiting = |used| matches!(used, Use::Idle | Use::Resetting { timer: None });
+        let waiting = |used| matches!(used, CircuitUse::Idle | CircuitUse::Resetting { timer: None });
         let open: Vec<_> =
-            (first..end).filter(|place| group.get(*place).is_some_and(|c| waiting(c.used))).collect();
+            (first..end).filter(|index| group.get(*index).is_some_and(|c| waiting(c.used))).collect();
         // What is acknowledged is idle, and reset no more.
-        let again_due = group.all().any(|(place, c)| {
-            (first..end).contains(&place) && matches!(c.used, Use::Resetting { timer: None })
+        let again_due = group.all().any(|(index, c)| {
+            (first..end).contains(&index) && matches!(c.used, CircuitUse::Resetting { timer: None })
         });
         if again == self.desk.t.t17 && !again_due || open.is_empty() {
             return;
         }
         if again != self.desk.t.t17 {
-            open.iter().for_each(|place| group.put(*place, Use::Resetting { timer: None }));
+            open.iter().for_each(|index| group.put(*index, CircuitUse::Resetting { timer: None }));
         }
         self.desk.tally.resets += 1;
-        let again = self.desk.spread(again);
+        let again = self.desk.with_jitter(again);
         self.desk.timers.set(self.now + again, Timer::GroupReset(to, first));
         self.send(to, Cic::at(first), Body::Grs { count: (end - first) as u8 });
     }
 }
 
-impl Out {
+impl OutgoingSeizure {
     pub fn ended(&self, call: CallId, now: Duration, cause: Cause, closed: bool) -> SeizureEnded {
         SeizureEnded {
             call,
--- a/crates/office/src/circuits.rs
+++ b/crates/callcontrol/src/circuits.rs
@@ -6,11 +6,11 @@
 use mintstall::interface::{CallId, ExchangeNumber};
 use mintstall_isup::{Cic, CircuitState};
 
-use crate::timers::Set;
+use crate::timers::TimerHandle;
 
 /// What a circuit is doing, apart from whether it is blocked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Use {
+pub(crate) enum CircuitUse {
     Idle,
     /// A set-up went out on it and has no answer.
     SeizedOut(CallId),
@@ -22,31 +22,31 @@
     /// A release went out and is not completed: it counts as taken. `since` for T5, `timer` for T1.
     Releasing {
         since: Duration,
-        timer: Set,
+        timer: TimerHandle,
     },
     /// A reset of it went out, or waits for its link; it is repeated by `timer`, where there is one of its own.
     Resetting {
-        timer: Option<Set>,
+        timer: Option<TimerHandle>,
     },
     /// Let go together with the circuit at this place, on which the signalling is.
-    Along(u16),
+    ReleasedWith(u16),
 }
 
-impl Use {
+impl CircuitUse {
     pub fn call(self) -> Option<CallId> {
         match self {
             Self::SeizedOut(call)
             | Self::SeizedIn(call)
             | Self::StandingOut(call)
             | Self::StandingIn(call) => Some(call),
-            Self::Idle | Self::Releasing { .. } | Self::Resetting { .. } | Self::Along(_) => None,
+            Self::Idle | Self::Releasing { .. } | Self::Resetting { .. } | Self::ReleasedWith(_) => None,
         }
     }
 }
 
 /// Who took a circuit out of service. It may still carry a call that was there before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Blocked {
+pub(crate) enum Blocking {
     #[default]
     Open,
     Here,
@@ -54,7 +54,7 @@
     Both,
 }
 
-impl Blocked {
+impl Blocking {
     fn parts(self) -> (bool, bool) {
         (matches!(self, Self::Here | Self::Both), matches!(self, Self::There | Self::Both))
     }
@@ -75,15 +75,15 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Circuit {
-    pub used: Use,
-    pub blocked: Blocked,
+    pub used: CircuitUse,
+    pub blocked: Blocking,
     /// How often its use has changed.
     pub turns: u32,
 }
 
 /// The circuits to one other exchange, by their places in the group.
 #[derive(Debug)]
-pub(crate) struct Group {
+pub(crate) struct TrunkGroup {
     circuits: Vec<Circuit>,
     /// Whether this exchange has the higher point code, and so controls the even circuits (Q.764 clause 2.9.1.4).
     controls_even: bool,
@@ -92,16 +92,16 @@
     free_other: BTreeSet<u16>,
 }
 
-impl Group {
+impl TrunkGroup {
     pub fn new(own: ExchangeNumber, to: ExchangeNumber, count: u16) -> Self {
-        let circuit = Circuit { used: Use::Idle, blocked: Blocked::Open, turns: 0 };
+        let circuit = Circuit { used: CircuitUse::Idle, blocked: Blocking::Open, turns: 0 };
         let mut group = Self {
             circuits: vec![circuit; usize::from(count.min(Cic::IN_GROUP))],
             controls_even: own > to,
             free_own: BTreeSet::new(),
             free_other: BTreeSet::new(),
         };
-        (0..group.size()).for_each(|place| group.keep_in_step(place));
+        (0..group.size()).for_each(|index| group.keep_in_step(index));
         group
     }
 
@@ -111,7 +111,7 @@
 
     /// Circuits that no one has taken out of service.
     pub fn open(&self) -> usize {
-        self.circuits.iter().filter(|circuit| circuit.blocked == Blocked::Open).count()
+        self.circuits.iter().filter(|circuit| circuit.blocked == Blocking::Open).count()
     }
 
     pub fn free(&self) -> usize {
@@ -122,44 +122,44 @@
         (0..).zip(&self.circuits)
     }
 
-    pub fn get(&self, place: u16) -> Option<&Circuit> {
-        self.circuits.get(usize::from(place))
+    pub fn get(&self, index: u16) -> Option<&Circuit> {
+        self.circuits.get(usize::from(index))
     }
 
     /// The place of a circuit that this group has.
-    pub fn place(&self, cic: Cic) -> Option<u16> {
-        cic.place().filter(|place| *place < self.size())
+    pub fn index_of(&self, cic: Cic) -> Option<u16> {
+        cic.place().filter(|index| *index < self.size())
     }
 
-    pub fn put(&mut self, place: u16, used: Use) {
-        if let Some(circuit) = self.circuits.get_mut(usize::from(place)) {
+    pub fn put(&mut self, index: u16, used: CircuitUse) {
+        if let Some(circuit) = self.circuits.get_mut(usize::from(index)) {
             circuit.used = used;
             circuit.turns = circuit.turns.wrapping_add(1);
-            self.keep_in_step(place);
+            self.keep_in_step(index);
         }
     }
 
-    pub fn block(&mut self, place: u16, here: Option<bool>, there: Option<bool>) {
-        if let Some(circuit) = self.circuits.get_mut(usize::from(place)) {
+    pub fn block(&mut self, index: u16, here: Option<bool>, there: Option<bool>) {
+        if let Some(circuit) = self.circuits.get_mut(usize::from(index)) {
             let was = circuit.blocked.parts();
-            circuit.blocked = Blocked::of(here.unwrap_or(was.0), there.unwrap_or(was.1));
-            self.keep_in_step(place);
+            circuit.blocked = Blocking::of(here.unwrap_or(was.0), there.unwrap_or(was.1));
+            self.keep_in_step(index);
         }
     }
 
-    fn keep_in_step(&mut self, place: u16) {
-        let Some(circuit) = self.circuits.get(usize::from(place)) else { return };
-        let free = circuit.used == Use::Idle && circuit.blocked == Blocked::Open;
-        let half = if self.controls(place) { &mut self.free_own } else { &mut self.free_other };
+    fn keep_in_step(&mut self, index: u16) {
+        let Some(circuit) = self.circuits.get(usize::from(index)) else { return };
+        let free = circuit.used == CircuitUse::Idle && circuit.blocked == Blocking::Open;
+        let half = if self.controls(index) { &mut self.free_own } else { &mut self.free_other };
         match free {
-            true => half.insert(place),
-            false => half.remove(&place),
+            true => half.insert(index),
+            false => half.remove(&index),
         };
     }
 
     /// Whether this exchange prevails on a circuit that both ends seize at once.
-    pub fn controls(&self, place: u16) -> bool {
-        Cic::at(place).0.is_multiple_of(2) == self.controls_even
+    pub fn controls(&self, index: u16) -> bool {
+        Cic::at(index).0.is_multiple_of(2) == self.controls_even
     }
 
     /// The circuits for a call, none taken yet: the lowest free one that is controlled here, else the highest of the
@@ -167,38 +167,42 @@
     /// system, as its circuit map speaks of one; of those with room, the fullest.
     pub fn select(&self, width: u16) -> Option<Vec<u16>> {
         if width <= 1 {
-            let place = self.free_own.first().or(self.free_other.last())?;
-            return Some(vec![*place]);
+            let index = self.free_own.first().or(self.free_other.last())?;
+            return Some(vec![*index]);
         }
         let systems = self.size().div_ceil(Cic::SYSTEM);
         let free_in = |system: u16| {
-            let places = system * Cic::SYSTEM..(system + 1) * Cic::SYSTEM;
-            let own = self.free_own.range(places.clone()).copied();
-            own.chain(self.free_other.range(places).rev().copied()).collect::<Vec<_>>()
+            let indices = system * Cic::SYSTEM..(system + 1) * Cic::SYSTEM;
+            let own = self.free_own.range(indices.clone()).copied();
+            own.chain(self.free_other.range(indices).rev().copied()).collect::<Vec<_>>()
         };
         let enough = (0..systems).map(free_in).filter(|free| free.len() >= usize::from(width));
-        let mut places = enough.min_by_key(Vec::len)?;
-        places.truncate(usize::from(width));
-        places.sort_unstable();
-        Some(places)
+        let mut indices = enough.min_by_key(Vec::len)?;
+        indices.truncate(usize::from(width));
+        indices.sort_unstable();
+        Some(indices)
     }
 
     /// A circuit and those let go along with it.
     pub fn together(&self, first: u16) -> Vec<u16> {
         let system = first / Cic::SYSTEM * Cic::SYSTEM;
-        let along = |place: &u16| self.get(*place).is_some_and(|circuit| circuit.used == Use::Along(first));
+        let along = |index: &u16| {
+            self.get(*index).is_some_and(|circuit| circuit.used == CircuitUse::ReleasedWith(first))
+        };
         std::iter::once(first).chain((system..system + Cic::SYSTEM).filter(along)).collect()
     }
 
     /// What is said of a circuit to a query (Q.764 clause 2.8.3).
-    pub fn state(&self, place: u16) -> CircuitState {
-        let Some(circuit) = self.get(place) else { return CircuitState::Unequipped };
-        let blocked = circuit.blocked != Blocked::Open;
+    pub fn state(&self, index: u16) -> CircuitState {
+        let Some(circuit) = self.get(index) else { return CircuitState::Unequipped };
+        let blocked = circuit.blocked != Blocking::Open;
         match circuit.used {
-            Use::Idle => CircuitState::Idle { blocked },
-            Use::SeizedOut(_) | Use::StandingOut(_) => CircuitState::OutgoingBusy { blocked },
-            Use::SeizedIn(_) | Use::StandingIn(_) => CircuitState::IncomingBusy { blocked },
-            Use::Releasing { .. } | Use::Resetting { .. } | Use::Along(_) => CircuitState::Transient,
+            CircuitUse::Idle => CircuitState::Idle { blocked },
+            CircuitUse::SeizedOut(_) | CircuitUse::StandingOut(_) => CircuitState::OutgoingBusy { blocked },
+            CircuitUse::SeizedIn(_) | CircuitUse::StandingIn(_) => CircuitState::IncomingBusy { blocked },
+            CircuitUse::Releasing { .. } | CircuitUse::Resetting { .. } | CircuitUse::ReleasedWith(_) => {
+                CircuitState::Transient
+            }
         }
     }
 }
@@ -210,25 +214,25 @@
     #[test]
     fn both_ends_agree_who_controls_each_circuit() {
         let (low, high) = (
-            Group::new(ExchangeNumber(3), ExchangeNumber(8), 70),
-            Group::new(ExchangeNumber(8), ExchangeNumber(3), 70),
+            TrunkGroup::new(ExchangeNumber(3), ExchangeNumber(8), 70),
+            TrunkGroup::new(ExchangeNumber(8), ExchangeNumber(3), 70),
         );
-        assert!((0..70).all(|place| low.controls(place) != high.controls(place)));
+        assert!((0..70).all(|index| low.controls(index) != high.controls(index)));
         assert!(high.controls(1), "circuit 2 is even, the higher point code controls it");
     }
 
     #[test]
     fn the_ends_meet_on_the_last_circuits_only() {
         let (mut low, mut high) = (
-            Group::new(ExchangeNumber(3), ExchangeNumber(8), 10),
-            Group::new(ExchangeNumber(8), ExchangeNumber(3), 10),
+            TrunkGroup::new(ExchangeNumber(3), ExchangeNumber(8), 10),
+            TrunkGroup::new(ExchangeNumber(8), ExchangeNumber(3), 10),
         );
         let mut taken = BTreeSet::new();
         for call in 0..5 {
             for group in [&mut low, &mut high] {
-                let place = group.select(1).unwrap()[0];
-                assert!(taken.insert(place), "circuit {place} is seized by both ends");
-                group.put(place, Use::SeizedOut(CallId(call)));
+                let index = group.select(1).unwrap()[0];
+                assert!(taken.insert(index), "circuit {index} is seized by both ends");
+                group.put(index, CircuitUse::SeizedOut(CallId(call)));
             }
         }
         assert_eq!((low.free(), high.free(), taken.len()), (5, 5, 10));
@@ -236,11 +240,11 @@
 
     #[test]
     fn a_wide_call_takes_the_fullest_system_with_room() {
-        let mut group = Group::new(ExchangeNumber(1), ExchangeNumber(2), 62);
-        (31..55).for_each(|place| group.put(place, Use::SeizedIn(CallId(1))));
+        let mut group = TrunkGroup::new(ExchangeNumber(1), ExchangeNumber(2), 62);
+        (31..55).for_each(|index| group.put(index, CircuitUse::SeizedIn(CallId(1))));
         assert_eq!(group.select(4).unwrap().len(), 4);
-        assert!(group.select(4).unwrap().iter().all(|place| *place >= 55));
-        assert!(group.select(8).unwrap().iter().all(|place| *place < 31));
+        assert!(group.select(4).unwrap().iter().all(|index| *index >= 55));
+        assert!(group.select(8).unwrap().iter().all(|index| *index < 31));
         assert_eq!(group.select(32), None);
     }
 }
--- a/crates/office/src/plan.rs
+++ b/crates/callcontrol/src/config.rs
@@ -6,24 +6,24 @@
 
 /// Everything that one exchange's controller is told before its first call.
 #[derive(Clone, Debug)]
-pub struct OfficePlan {
+pub struct CallControlConfig {
     /// The own exchange's number, also its point code (14 bits).
     pub own: ExchangeNumber,
     /// What the decisions read.
     pub data: ControllerConfig,
-    pub groups: Vec<GroupPlan>,
+    pub groups: Vec<GroupConfig>,
     /// Numbers of the own exchange that have few lines; others have as many as are called.
     pub numbers: Vec<NumberPlan>,
     pub timers: Timers,
     /// Calls and calls in transit that may be in hand at a time; what comes beyond is refused.
-    pub most_calls: usize,
+    pub max_calls: usize,
     /// Calls of which what became of them is remembered, step by step; some 500 octets each.
     pub traces: usize,
 }
 
 /// The trunk group to one other exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GroupPlan {
+pub struct GroupConfig {
     pub to: ExchangeNumber,
     /// Circuits, at most [`mintstall_isup::Cic::IN_GROUP`].
     pub circuits: u16,
@@ -84,6 +84,6 @@
 
 /// Half a second before the caller's time is up nothing is decided any more on lines that are slow; within one machine or
 /// site a fiftieth does: an answer needs its way back.
-pub(crate) const ANSWER_WAY: Duration = Duration::from_millis(20);
+pub(crate) const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 /// Exchanges that a call may still pass when it leaves its own: one tandem.
 pub(crate) const HOPS: u8 = 1;
--- a/crates/office/src/desk.rs
+++ b/crates/callcontrol/src/context.rs
@@ -17,31 +17,31 @@
     Report, TurnedBack, m3ua,
 };
 
-use crate::circuits::{Group, Use};
-use crate::legs::{Held, Leg, Out, Sink, Source};
+use crate::actions::{Answer, CallControlActions};
+use crate::audit::Audit;
+use crate::calls::{CallRecord, HeldCircuits, IncomingSide, OutgoingSeizure, OutgoingSide};
+use crate::circuits::{CircuitUse, TrunkGroup};
+use crate::config::{HOPS, SPREAD, Timers};
 use crate::links::Link;
-use crate::plan::{HOPS, SPREAD, Timers};
-use crate::plant::{Answer, Plant};
-use crate::queries::Audit;
-use crate::state::Tally;
-use crate::timers::{Set, Timer, TimerQueue};
-use crate::trace::{Step as Traced, Traces};
+use crate::status::Counters;
+use crate::timers::{Timer, TimerHandle, TimerQueue};
+use crate::trace::{TraceStep, Traces};
 
-pub(crate) type Step = Box<dyn FnOnce(&mut Controller, &mut Working)>;
+pub(crate) type Step = Box<dyn FnOnce(&mut Controller, &mut EventContext)>;
 
 /// All that an office holds besides the decisions.
-pub(crate) struct Desk {
+pub(crate) struct CallControlState {
     pub own: ExchangeNumber,
     pub t: Timers,
-    pub most_calls: usize,
+    pub max_calls: usize,
     pub widths: Vec<u16>,
     /// Fixed at start.
-    pub groups: BTreeMap<ExchangeNumber, Group>,
+    pub groups: BTreeMap<ExchangeNumber, TrunkGroup>,
     pub links: BTreeMap<ExchangeNumber, Link>,
     /// One a link at the most.
     pub audits: BTreeMap<ExchangeNumber, Audit>,
-    /// At most `most_calls`; emptied as calls end.
-    pub legs: BTreeMap<CallId, Leg>,
+    /// At most `max_calls`; emptied as calls end.
+    pub calls: BTreeMap<CallId, CallRecord>,
     pub timers: TimerQueue,
     /// For timers that must not run in step with those of others.
     pub chance: MwcRng,
@@ -57,7 +57,7 @@
     pub next_call: u64,
     /// Calls of subscribers whose final answer is owed.
     pub owed: usize,
-    pub tally: Tally,
+    pub tally: Counters,
     pub traces: Traces,
     /// Octets being written, kept for their room.
     pub frame: Vec<u8>,
@@ -65,13 +65,13 @@
 }
 
 /// The desk while something happens: what the decisions act on.
-pub(crate) struct Working<'a> {
-    pub desk: &'a mut Desk,
-    pub plant: &'a mut dyn Plant,
+pub(crate) struct EventContext<'a> {
+    pub desk: &'a mut CallControlState,
+    pub plant: &'a mut dyn CallControlActions,
     pub now: Duration,
 }
 
-impl Desk {
+impl CallControlState {
     pub fn exchanges_at(&self, office: ExchangeNumber) -> impl Iterator<Item = ExchangeId> {
         self.exchanges.iter().filter(move |(_, at)| **at == office).map(|(id, _)| *id)
     }
@@ -84,13 +84,13 @@
     }
 
     /// A span that is drawn out a little.
-    pub fn spread(&mut self, span: Duration) -> Duration {
+    pub fn with_jitter(&mut self, span: Duration) -> Duration {
         span.mul_f64(1.0 + SPREAD * self.chance.next_f64())
     }
 
     /// Forgets a call of which nothing is left.
     pub fn drop_leg(&mut self, call: CallId) {
-        if let Some(leg) = self.legs.remove(&call) {
+        if let Some(leg) = self.calls.remove(&call) {
             leg.guard.into_iter().chain(leg.alarm).for_each(|set| self.timers.stop(set));
         }
     }
@@ -98,9 +98,9 @@
     /// A call whose caller is gone and whose last seizure has ended is forgotten.
     pub fn finish(&mut self, call: CallId) {
         if self
-            .legs
+            .calls
             .get(&call)
-            .is_some_and(|leg| matches!((&leg.source, &leg.sink), (Source::Gone, Sink::Open)))
+            .is_some_and(|leg| matches!((&leg.source, &leg.sink), (IncomingSide::Gone, OutgoingSide::Open)))
         {
             self.drop_leg(call);
         }
@@ -108,16 +108,16 @@
 
     /// Whether a call has its final answer.
     pub fn closed(&self, call: CallId) -> bool {
-        self.legs.get(&call).is_none_or(|leg| matches!(leg.source, Source::Gone))
+        self.calls.get(&call).is_none_or(|leg| matches!(leg.source, IncomingSide::Gone))
     }
 }
 
-impl Working<'_> {
+impl EventContext<'_> {
     pub fn send(&mut self, to: ExchangeNumber, cic: Cic, body: Body) {
         if !self.desk.links.get(&to).is_some_and(Link::usable) {
             return;
         }
-        let Desk { frame, message, own, .. } = &mut *self.desk;
+        let CallControlState { frame, message, own, .. } = &mut *self.desk;
         frame.clear();
         message.clear();
         Message::new(cic, body).write(message);
@@ -135,56 +135,57 @@
         self.plant.send(to, &self.desk.frame);
     }
 
-    pub fn trace(&mut self, call: CallId, step: Traced) {
+    pub fn trace(&mut self, call: CallId, step: TraceStep) {
         self.desk.traces.step(self.now, call, step);
     }
 
-    pub fn put(&mut self, held: &Held, used: Use) {
+    pub fn put(&mut self, held: &HeldCircuits, used: CircuitUse) {
         if let Some(group) = self.desk.groups.get_mut(&held.to) {
-            held.places.iter().for_each(|place| group.put(*place, used));
+            held.indices.iter().for_each(|index| group.put(*index, used));
         }
         self.desk.changed.insert(held.to);
     }
 
     /// One circuit in a state, those that go along with it beside it.
-    pub fn put_first(&mut self, held: &Held, used: Use) {
-        self.put(held, Use::Along(held.first()));
+    pub fn put_first(&mut self, held: &HeldCircuits, used: CircuitUse) {
+        self.put(held, CircuitUse::ReleasedWith(held.first()));
         if let Some(group) = self.desk.groups.get_mut(&held.to) {
             group.put(held.first(), used);
         }
     }
 
     /// Lets go of circuits from this end: a release goes out, they stay taken until it is completed.
-    pub fn release_held(&mut self, held: &Held, rel: Rel) {
+    pub fn release_held(&mut self, held: &HeldCircuits, rel: Rel) {
         let rel = Rel { report: rel.report.or(self.desk.report), ..rel };
         self.send(held.to, Cic::at(held.first()), Body::Rel(rel));
-        let (since, t1) = (self.now, self.desk.spread(self.desk.t.t1));
+        let (since, t1) = (self.now, self.desk.with_jitter(self.desk.t.t1));
         let timer = self.desk.timers.set(since + t1, Timer::Circuit(held.to, held.first()));
-        self.put_first(held, Use::Releasing { since, timer });
+        self.put_first(held, CircuitUse::Releasing { since, timer });
     }
 
     /// Circuits of which nothing is known any more: reset, at once or when their link is back.
-    pub fn reset_held(&mut self, held: &Held) {
+    pub fn reset_held(&mut self, held: &HeldCircuits) {
         self.desk.tally.resets += 1;
         let usable = self.desk.links.get(&held.to).is_some_and(Link::usable);
         let timer = usable.then(|| self.reset_timer(held.to, held.first(), self.desk.t.t16));
         self.send(held.to, Cic::at(held.first()), Body::Rsc);
-        self.put_first(held, Use::Resetting { timer });
+        self.put_first(held, CircuitUse::Resetting { timer });
     }
 
-    pub fn reset_timer(&mut self, to: ExchangeNumber, place: u16, after: Duration) -> Set {
-        let after = self.desk.spread(after);
-        self.desk.timers.set(self.now + after, Timer::Circuit(to, place))
+    pub fn reset_timer(&mut self, to: ExchangeNumber, index: u16, after: Duration) -> TimerHandle {
+        let after = self.desk.with_jitter(after);
+        self.desk.timers.set(self.now + after, Timer::Circuit(to, index))
     }
 
     /// One circuit and what goes along with it is idle again.
-    pub fn idle(&mut self, to: ExchangeNumber, place: u16) {
+    pub fn idle(&mut self, to: ExchangeNumber, index: u16) {
         let Some(group) = self.desk.groups.get_mut(&to) else { return };
-        let used = group.get(place).map(|circuit| circuit.used);
-        if let Some(Use::Releasing { timer, .. } | Use::Resetting { timer: Some(timer) }) = used {
+        let used = group.get(index).map(|circuit| circuit.used);
+        if let Some(CircuitUse::Releasing { timer, .. } | CircuitUse::Resetting { timer: Some(timer) }) = used
+        {
             self.desk.timers.stop(timer);
         }
-        group.together(place).into_iter().for_each(|place| group.put(place, Use::Idle));
+        group.together(index).into_iter().for_each(|index| group.put(index, CircuitUse::Idle));
         self.desk.changed.insert(to);
     }
 
@@ -199,10 +200,10 @@
     ) {
         self.desk.after.push_back(Box::new(move |controller, w| {
             let closed = w.desk.closed(call);
-            if let Some(leg) = w.desk.legs.get_mut(&call) {
+            if let Some(leg) = w.desk.calls.get_mut(&call) {
                 leg.last = Some(cause);
             }
-            w.trace(call, Traced::SeizureEnded { no: seizure, cause, after });
+            w.trace(call, TraceStep::SeizureEnded { no: seizure, cause, elapsed: after });
             controller.on_seizure_ended(
                 w.now,
                 w,
@@ -214,21 +215,21 @@
 
     /// The final answer of a call, from the decisions or for want of time.
     pub fn close(&mut self, call: CallId, answer: Answer) {
-        let Some(leg) = self.desk.legs.get_mut(&call) else { return };
-        match std::mem::replace(&mut leg.source, Source::Gone) {
-            Source::Subscriber => {
+        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
+        match std::mem::replace(&mut leg.source, IncomingSide::Gone) {
+            IncomingSide::Subscriber => {
                 let tally = &mut self.desk.tally;
                 *(if answer == Answer::Fails { &mut tally.failed } else { &mut tally.refused }) += 1;
                 self.desk.owed -= 1;
-                self.trace(call, Traced::Answered(answer));
+                self.trace(call, TraceStep::Answered(answer));
                 self.plant.answer(call, answer);
             }
-            Source::Trunk(held) => {
+            IncomingSide::Trunk(held) => {
                 let rel = turn_back(leg.last);
-                self.trace(call, Traced::TurnedBack(rel.cause.cause));
+                self.trace(call, TraceStep::TurnedBack(rel.cause.cause));
                 self.release_held(&held, rel);
             }
-            Source::Gone => {}
+            IncomingSide::Gone => {}
         }
         self.desk.finish(call);
     }
@@ -246,35 +247,35 @@
     }
 }
 
-impl ControllerActions for Working<'_> {
+impl ControllerActions for EventContext<'_> {
     fn seize(&mut self, call: CallId, to: ExchangeId, limit: Duration) {
         let now = self.now;
         let office = self.desk.exchanges.get(&to).copied();
-        let Some(leg) = self.desk.legs.get_mut(&call) else { return };
+        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
         let no = SeizureNumber(leg.seizures);
         leg.seizures = leg.seizures.saturating_add(1);
         let linked = office.filter(|office| self.desk.links.get(office).is_some_and(Link::usable));
         let Some(office) = linked else {
             return self.ends_later(call, no, to, Duration::ZERO, Cause::Unreachable);
         };
-        let places = self.desk.groups.get(&office).and_then(|group| group.select(leg.width));
-        let Some(places) = places else {
+        let indices = self.desk.groups.get(&office).and_then(|group| group.select(leg.width));
+        let Some(indices) = indices else {
             return self.ends_later(call, no, to, Duration::ZERO, Cause::NotSent { own_down: false });
         };
-        let held = Held { to: office, places };
+        let held = HeldCircuits { to: office, indices };
         let set = self.desk.timers.set(now + limit.min(self.desk.t.t7), Timer::Limit(call, no));
         let mut identity = leg.identity;
         let hops = match leg.source {
-            Source::Trunk(_) => 0,
+            IncomingSide::Trunk(_) => 0,
             _ => {
                 identity.seizure = no.0;
                 HOPS
             }
         };
         identity.left_ms = u32::try_from(leg.until.saturating_sub(now).as_millis()).unwrap_or(u32::MAX);
-        let bit = |place: &u16| 1 << (place % Cic::SYSTEM);
-        let map = (held.places.len() > 1)
-            .then(|| CircuitMap(held.places.iter().map(bit).fold(0, |map, bit| map | bit)));
+        let bit = |index: &u16| 1 << (index % Cic::SYSTEM);
+        let map = (held.indices.len() > 1)
+            .then(|| CircuitMap(held.indices.iter().map(bit).fold(0, |map, bit| map | bit)));
         let iam = Iam {
             nature: 0,
             // National call, ISUP all the way.
@@ -290,24 +291,31 @@
             other: Vec::new(),
         };
         let first = Cic::at(held.first());
-        let circuits = held.places.len() as u16;
+        let circuits = held.indices.len() as u16;
         let span = limit.min(self.desk.t.t7);
         self.desk.tally.seizures += 1;
         self.desk.traces.step(
             now,
             call,
-            Traced::Seized { no, exchange: to, to: office, cic: first, circuits, limit: span },
+            TraceStep::Seized { no, exchange: to, to: office, cic: first, circuits, limit: span },
         );
         let (at, limit, prevailed) = (now, Some(set), false);
-        leg.sink = Sink::Seized(Out { no, exchange: to, held: held.clone(), at, limit, prevailed });
-        self.put(&held, Use::SeizedOut(call));
+        leg.sink = OutgoingSide::Seized(OutgoingSeizure {
+            no,
+            exchange: to,
+            held: held.clone(),
+            at,
+            limit,
+            prevailed,
+        });
+        self.put(&held, CircuitUse::SeizedOut(call));
         self.send(office, first, Body::Iam(iam));
     }
 
     fn cancel(&mut self, call: CallId, seizure: SeizureNumber) {
-        let Some(leg) = self.desk.legs.get_mut(&call) else { return };
-        match std::mem::replace(&mut leg.sink, Sink::Open) {
-            Sink::Seized(out) if out.no == seizure => {
+        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
+        match std::mem::replace(&mut leg.sink, OutgoingSide::Open) {
+            OutgoingSide::Seized(out) if out.no == seizure => {
                 out.limit.into_iter().for_each(|set| self.desk.timers.stop(set));
                 self.release_held(
                     &out.held,
@@ -329,7 +337,7 @@
 
     fn set_timer(&mut self, after: Duration, timer: TimerId) {
         let set = self.desk.timers.set(self.now + after, Timer::Alarm(timer));
-        if let Some(leg) = self.desk.legs.get_mut(&CallId(timer.0))
+        if let Some(leg) = self.desk.calls.get_mut(&CallId(timer.0))
             && let Some(before) = leg.alarm.replace(set)
         {
             self.desk.timers.stop(before);
@@ -357,8 +365,8 @@
 }
 
 /// The circuits that a range speaks of, by their places in a group, and their status bits.
-pub(crate) fn in_range(group: &Group, first: Cic, range: RangeStatus) -> Vec<(u16, bool)> {
+pub(crate) fn in_range(group: &TrunkGroup, first: Cic, range: RangeStatus) -> Vec<(u16, bool)> {
     let codes =
         (0..u16::from(range.count)).map(|at| (Cic(first.0.saturating_add(at)), range.status >> at & 1 == 1));
-    codes.filter_map(|(cic, status)| Some((group.place(cic)?, status))).collect()
+    codes.filter_map(|(cic, status)| Some((group.index_of(cic)?, status))).collect()
 }
--- a/crates/office/src/links.rs
+++ b/crates/callcontrol/src/links.rs
@@ -3,10 +3,10 @@
 
 use mintstall_isup::Deframer;
 
-use crate::timers::Set;
+use crate::timers::TimerHandle;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Phase {
+pub(crate) enum LocalAspState {
     /// No connection.
     #[default]
     Down,
@@ -19,7 +19,7 @@
 
 /// Whether the far end said that it takes traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Far {
+pub(crate) enum RemoteAspState {
     #[default]
     Inactive,
     Active,
@@ -27,11 +27,11 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Link {
-    pub phase: Phase,
-    pub far: Far,
+    pub phase: LocalAspState,
+    pub far: RemoteAspState,
     pub deframer: Deframer,
-    pub timer: Option<Set>,
-    pub grace: Option<Set>,
+    pub timer: Option<TimerHandle>,
+    pub grace: Option<TimerHandle>,
     /// Signs of life asked for since anything came.
     pub unanswered: u8,
     /// Whether this process has reset the group's circuits at the far end, which may hold calls of one before it.
@@ -48,10 +48,10 @@
 }
 
 /// Signs of life without an answer after which a link is given up.
-pub(crate) const SILENT_BEATS: u8 = 3;
+pub(crate) const MAX_UNANSWERED_HEARTBEATS: u8 = 3;
 
 impl Link {
     pub fn usable(&self) -> bool {
-        self.phase == Phase::Active && self.far == Far::Active
+        self.phase == LocalAspState::Active && self.far == RemoteAspState::Active
     }
 }
--- a/crates/office/src/signalling.rs
+++ b/crates/callcontrol/src/signalling.rs
@@ -12,23 +12,30 @@
     RangeStatus, Rel, Report, m3ua,
 };
 
-use crate::circuits::Use;
-use crate::desk::{Working, in_range};
-use crate::legs::{Held, Leg, Out, Sink, Source};
-use crate::links::{Far, Phase};
-use crate::office::{OFFICE_DIGITS, Office, failure, normal};
-use crate::plan::ANSWER_WAY;
-use crate::plant::{Answer, CallEnd, Plant};
+use crate::actions::{Answer, CallControlActions, CallEnd};
+use crate::callcontrol::{CallControl, OFFICE_DIGITS, failure, normal};
+use crate::calls::{CallRecord, HeldCircuits, IncomingSide, OutgoingSeizure, OutgoingSide};
+use crate::circuits::CircuitUse;
+use crate::config::ANSWER_MARGIN;
+use crate::context::{EventContext, in_range};
+use crate::links::{LocalAspState, RemoteAspState};
 use crate::timers::Timer;
-use crate::trace::Step;
+use crate::trace::TraceStep;
 
 /// No charge, subscriber free, ISUP all the way, terminating access ISDN.
 const BACKWARD: [u8; 2] = [0x16, 0x34];
 
-impl Office {
+impl CallControl {
     /// Octets came on the link from an exchange, cut anywhere.
-    pub fn octets(&mut self, now: Duration, plant: &mut dyn Plant, from: ExchangeNumber, octets: &[u8]) {
-        let Some(link) = self.desk.links.get_mut(&from).filter(|link| link.phase != Phase::Down) else {
+    pub fn on_octets(
+        &mut self,
+        now: Duration,
+        plant: &mut dyn CallControlActions,
+        from: ExchangeNumber,
+        octets: &[u8],
+    ) {
+        let Some(link) = self.desk.links.get_mut(&from).filter(|link| link.phase != LocalAspState::Down)
+        else {
             return;
         };
         // Taken out while its frames are handled, which may act on the link.
@@ -39,7 +46,7 @@
         let broken: Option<FrameError> = loop {
             match deframer.next().and_then(|frame| frame.map(Frame::read).transpose()) {
                 Ok(Some(frame)) => {
-                    self.happens(now, plant, |controller, w| w.frame(controller, from, frame, closing))
+                    self.handle_event(now, plant, |controller, w| w.frame(controller, from, frame, closing))
                 }
                 Ok(None) => break None,
                 Err(error) => break Some(error),
@@ -50,32 +57,34 @@
         }
         if let Some(error) = broken {
             self.desk.tally.unexpected += 1;
-            plant.close(from, &error.to_string());
+            plant.close_link(from, &error.to_string());
         }
     }
 }
 
-impl Working<'_> {
+impl EventContext<'_> {
     fn frame(&mut self, controller: &mut Controller, from: ExchangeNumber, frame: Frame, closing: bool) {
         let Some(link) = self.desk.links.get_mut(&from) else { return };
         let was = link.usable();
         match frame {
             Frame::AspUp { .. } => {
-                link.far = Far::Inactive;
+                link.far = RemoteAspState::Inactive;
                 self.send_frame(from, Frame::AspUpAck { asp: Some(self.desk.own.0.into()) });
             }
             Frame::AspUpAck { .. } => self.activate(from),
             Frame::AspActive => {
-                link.far = Far::Active;
+                link.far = RemoteAspState::Active;
                 self.send_frame(from, Frame::AspActiveAck);
             }
-            Frame::AspActiveAck if link.phase == Phase::Activating => link.phase = Phase::Active,
+            Frame::AspActiveAck if link.phase == LocalAspState::Activating => {
+                link.phase = LocalAspState::Active
+            }
             Frame::AspInactive => {
-                link.far = Far::Inactive;
+                link.far = RemoteAspState::Inactive;
                 self.send_frame(from, Frame::AspInactiveAck);
             }
             Frame::AspDown => {
-                link.far = Far::Inactive;
+                link.far = RemoteAspState::Inactive;
                 self.send_frame(from, Frame::AspDownAck);
             }
             Frame::Beat(data) => self.send_frame(from, Frame::BeatAck(data)),
@@ -114,7 +123,7 @@
         if let Body::Peer(octets) = message.body {
             return controller.on_peer_message(self.now, self, PeerId(from.0), octets);
         }
-        let Some(place) = self.desk.groups.get(&from).and_then(|group| group.place(cic)) else {
+        let Some(index) = self.desk.groups.get(&from).and_then(|group| group.index_of(cic)) else {
             self.desk.tally.unexpected += 1;
             // A set-up for a circuit that is not equipped here.
             if let Body::Iam(_) = message.body {
@@ -122,15 +131,17 @@
             }
             return;
         };
-        let used = self.desk.groups[&from].get(place).map_or(Use::Idle, |circuit| circuit.used);
+        let used = self.desk.groups[&from].get(index).map_or(CircuitUse::Idle, |circuit| circuit.used);
         match message.body {
-            Body::Iam(iam) => self.initial_address(controller, from, place, &iam, closing),
+            Body::Iam(iam) => self.initial_address(controller, from, index, &iam, closing),
             Body::Acm { report, .. } => {
                 self.reported(controller, from, &report);
-                if let Use::SeizedOut(call) = used {
-                    if let Some(Leg { sink: Sink::Seized(out), .. }) = self.desk.legs.get(&call) {
+                if let CircuitUse::SeizedOut(call) = used {
+                    if let Some(CallRecord { sink: OutgoingSide::Seized(out), .. }) =
+                        self.desk.calls.get(&call)
+                    {
                         let no = out.no;
-                        self.trace(call, Step::Alerted { no });
+                        self.trace(call, TraceStep::Alerted { no });
                     }
                     self.pass_back(
                         call,
@@ -139,14 +150,14 @@
                 }
             }
             Body::Cpg { event, .. } => {
-                if let Use::SeizedOut(call) = used {
+                if let CircuitUse::SeizedOut(call) = used {
                     self.pass_back(call, Body::Cpg { event, other: Vec::new() });
                 }
             }
             Body::Anm { report, .. } => {
                 self.reported(controller, from, &report);
                 match used {
-                    Use::SeizedOut(call) => self.answered(controller, call),
+                    CircuitUse::SeizedOut(call) => self.answered(controller, call),
                     _ => self.desk.tally.unexpected += 1,
                 }
             }
@@ -155,92 +166,108 @@
                 // Also where a release of ours is on its way: each end completes the other's (Q.764 clause 2.3.1).
                 self.send(from, cic, Body::Rlc { other: Vec::new() });
                 let cause = match used {
-                    Use::SeizedOut(call) => match self.prevailed_on(call) {
+                    CircuitUse::SeizedOut(call) => match self.prevailed_on(call) {
                         // Beside the circuit on which it signals: the far end gives up its own set-up.
-                        Some(first) if first != place => return,
+                        Some(first) if first != index => return,
                         Some(_) => crossed_cause(&rel),
                         None => seizure_cause(&rel),
                     },
                     _ => end_cause(&rel),
                 };
                 if let Some(call) = used.call() {
-                    self.side_lost(controller, call, (from, place), cause, &onward(&rel), Held::idle);
+                    self.on_circuits_lost(
+                        controller,
+                        call,
+                        (from, index),
+                        cause,
+                        &onward(&rel),
+                        HeldCircuits::idle,
+                    );
                 }
             }
             Body::Rlc { .. } => match used {
-                Use::Releasing { .. } | Use::Resetting { timer: Some(_) } => self.idle(from, place),
-                Use::Idle | Use::Along(_) | Use::Resetting { timer: None } => {}
+                CircuitUse::Releasing { .. } | CircuitUse::Resetting { timer: Some(_) } => {
+                    self.idle(from, index)
+                }
+                CircuitUse::Idle | CircuitUse::ReleasedWith(_) | CircuitUse::Resetting { timer: None } => {}
                 // The far end thinks that a call is over which here is not: nothing on this circuit is known any more.
                 _ => {
                     self.desk.tally.unexpected += 1;
                     let rel = failure(Q850::ProtocolError);
                     used.call().into_iter().for_each(|call| {
-                        self.side_lost(controller, call, (from, place), Cause::Cut, &rel, Held::reset);
+                        self.on_circuits_lost(
+                            controller,
+                            call,
+                            (from, index),
+                            Cause::Cut,
+                            &rel,
+                            HeldCircuits::reset,
+                        );
                     });
                 }
             },
             Body::Rsc => {
-                if self.desk.groups[&from].get(place).is_some_and(|circuit| circuit.blocked.here()) {
+                if self.desk.groups[&from].get(index).is_some_and(|circuit| circuit.blocked.here()) {
                     self.send(from, cic, Body::Blo);
                 }
                 self.send(from, cic, Body::Rlc { other: Vec::new() });
-                self.far_reset(controller, from, place, used);
+                self.far_reset(controller, from, index, used);
             }
             Body::Grs { count } => {
                 let meant = in_range(&self.desk.groups[&from], cic, RangeStatus { count, status: 0 });
-                let meant: Vec<u16> = meant.into_iter().map(|(place, _)| place).collect();
+                let meant: Vec<u16> = meant.into_iter().map(|(index, _)| index).collect();
                 // None may be seized until all are reset and that is acknowledged: what the end of one call sets free
                 // would be reset with the next, its set-up on the way.
-                meant.iter().for_each(|place| self.block_there(from, *place, true));
+                meant.iter().for_each(|index| self.block_there(from, *index, true));
                 let mut status = 0;
-                for (at, place) in meant.iter().enumerate() {
-                    let Some(circuit) = self.desk.groups[&from].get(*place).copied() else { continue };
+                for (at, index) in meant.iter().enumerate() {
+                    let Some(circuit) = self.desk.groups[&from].get(*index).copied() else { continue };
                     status |= u32::from(circuit.blocked.here()) << at;
-                    self.carried_no_more(controller, from, *place, circuit.used);
+                    self.carried_no_more(controller, from, *index, circuit.used);
                 }
                 self.send(from, cic, Body::Gra(RangeStatus { count, status }));
-                meant.iter().for_each(|place| self.block_there(from, *place, false));
+                meant.iter().for_each(|index| self.block_there(from, *index, false));
             }
             Body::Gra(range) => {
-                for (place, blocked) in in_range(&self.desk.groups[&from], cic, range) {
-                    self.block_there(from, place, blocked);
-                    let used = self.desk.groups[&from].get(place).map(|circuit| circuit.used);
-                    if let Some(Use::Resetting { timer: None }) = used {
-                        self.idle(from, place);
+                for (index, blocked) in in_range(&self.desk.groups[&from], cic, range) {
+                    self.block_there(from, index, blocked);
+                    let used = self.desk.groups[&from].get(index).map(|circuit| circuit.used);
+                    if let Some(CircuitUse::Resetting { timer: None }) = used {
+                        self.idle(from, index);
                     }
                 }
             }
             Body::Blo => {
-                self.block_there(from, place, true);
+                self.block_there(from, index, true);
                 self.send(from, cic, Body::Bla);
             }
             Body::Ubl => {
-                self.block_there(from, place, false);
+                self.block_there(from, index, false);
                 self.send(from, cic, Body::Uba);
             }
             Body::Cgb { kind, range } => {
                 const HARDWARE: u8 = 1;
                 let meant = in_range(&self.desk.groups[&from], cic, range);
                 let meant: Vec<_> =
-                    meant.into_iter().filter(|(_, status)| *status).map(|(place, _)| place).collect();
-                meant.iter().for_each(|place| self.block_there(from, *place, true));
-                for place in meant.into_iter().filter(|_| kind == HARDWARE) {
-                    self.circuit_fails(controller, from, place);
+                    meant.into_iter().filter(|(_, status)| *status).map(|(index, _)| index).collect();
+                meant.iter().for_each(|index| self.block_there(from, *index, true));
+                for index in meant.into_iter().filter(|_| kind == HARDWARE) {
+                    self.circuit_fails(controller, from, index);
                 }
                 self.send(from, cic, Body::Cgba { kind, range });
             }
             Body::Cgu { kind, range } => {
-                for (place, _) in in_range(&self.desk.groups[&from], cic, range).into_iter().filter(|at| at.1)
+                for (index, _) in in_range(&self.desk.groups[&from], cic, range).into_iter().filter(|at| at.1)
                 {
-                    self.block_there(from, place, false);
+                    self.block_there(from, index, false);
                 }
                 self.send(from, cic, Body::Cgua { kind, range });
             }
             Body::Cqm { count } => {
                 let states = (0..u16::from(count)).map(|at| {
                     let group = &self.desk.groups[&from];
-                    let place = group.place(Cic(cic.0.saturating_add(at)));
-                    place.map_or(mintstall_isup::CircuitState::Unequipped, |place| group.state(place))
+                    let index = group.index_of(Cic(cic.0.saturating_add(at)));
+                    index.map_or(mintstall_isup::CircuitState::Unequipped, |index| group.state(index))
                 });
                 let states = states.collect();
                 self.send(from, cic, Body::Cqr { states });
@@ -254,8 +281,8 @@
 
     /// The circuit on which a seizure signals, if it prevailed over a set-up of the far end.
     fn prevailed_on(&self, call: CallId) -> Option<u16> {
-        match &self.desk.legs.get(&call)?.sink {
-            Sink::Seized(out) if out.prevailed => Some(out.held.first()),
+        match &self.desk.calls.get(&call)?.sink {
+            OutgoingSide::Seized(out) if out.prevailed => Some(out.held.first()),
             _ => None,
         }
     }
@@ -270,26 +297,39 @@
         there.into_iter().for_each(|id| controller.on_capacity_report(self.now, self, id, &far));
     }
 
-    fn block_there(&mut self, from: ExchangeNumber, place: u16, blocked: bool) {
+    fn block_there(&mut self, from: ExchangeNumber, index: u16, blocked: bool) {
         if let Some(group) = self.desk.groups.get_mut(&from) {
-            group.block(place, None, Some(blocked));
+            group.block(index, None, Some(blocked));
             self.desk.changed.insert(from);
         }
     }
 
     /// The far end resets a circuit: what it carried is cut, and its block there is forgotten (Q.764 clause 2.9.3).
-    fn far_reset(&mut self, controller: &mut Controller, from: ExchangeNumber, place: u16, used: Use) {
-        self.block_there(from, place, false);
-        self.carried_no_more(controller, from, place, used);
+    fn far_reset(&mut self, controller: &mut Controller, from: ExchangeNumber, index: u16, used: CircuitUse) {
+        self.block_there(from, index, false);
+        self.carried_no_more(controller, from, index, used);
     }
 
-    fn carried_no_more(&mut self, controller: &mut Controller, from: ExchangeNumber, place: u16, used: Use) {
+    fn carried_no_more(
+        &mut self,
+        controller: &mut Controller,
+        from: ExchangeNumber,
+        index: u16,
+        used: CircuitUse,
+    ) {
         match used {
-            Use::Releasing { .. } => self.idle(from, place),
+            CircuitUse::Releasing { .. } => self.idle(from, index),
             _ => {
                 let rel = failure(Q850::TemporaryFailure);
                 used.call().into_iter().for_each(|call| {
-                    self.side_lost(controller, call, (from, place), Cause::Cut, &rel, Held::idle);
+                    self.on_circuits_lost(
+                        controller,
+                        call,
+                        (from, index),
+                        Cause::Cut,
+                        &rel,
+                        HeldCircuits::idle,
+                    );
                 });
             }
         }
@@ -297,7 +337,7 @@
 
     /// Something to say backwards to where a call in transit came from.
     fn pass_back(&mut self, call: CallId, body: Body) {
-        if let Some(Leg { source: Source::Trunk(held), .. }) = self.desk.legs.get(&call) {
+        if let Some(CallRecord { source: IncomingSide::Trunk(held), .. }) = self.desk.calls.get(&call) {
             let (to, cic) = (held.to, Cic::at(held.first()));
             self.send(to, cic, body);
         }
@@ -306,27 +346,27 @@
     /// A call's seizure led to where it stands.
     fn answered(&mut self, controller: &mut Controller, call: CallId) {
         let now = self.now;
-        let Some(leg) = self.desk.legs.get_mut(&call) else { return };
-        let Sink::Seized(out) = std::mem::replace(&mut leg.sink, Sink::Open) else { return };
-        self.desk.traces.step(now, call, Step::Stands);
+        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
+        let OutgoingSide::Seized(out) = std::mem::replace(&mut leg.sink, OutgoingSide::Open) else { return };
+        self.desk.traces.step(now, call, TraceStep::Stands);
         let (exchange, seizure, after, held) = (out.exchange, out.no, now - out.at, out.held.clone());
         let set = [leg.guard.take(), leg.alarm.take(), out.limit];
         set.into_iter().flatten().for_each(|set| self.desk.timers.stop(set));
-        leg.sink = Sink::Standing(Out { limit: None, ..out });
+        leg.sink = OutgoingSide::Standing(OutgoingSeizure { limit: None, ..out });
         let source = match &leg.source {
-            Source::Trunk(held) => Some(held.clone()),
-            Source::Subscriber => {
+            IncomingSide::Trunk(held) => Some(held.clone()),
+            IncomingSide::Subscriber => {
                 self.desk.owed -= 1;
                 self.desk.tally.stood += 1;
-                self.desk.traces.step(now, call, Step::Answered(Answer::Stands));
+                self.desk.traces.step(now, call, TraceStep::Answered(Answer::Stands));
                 self.plant.answer(call, Answer::Stands);
                 None
             }
-            Source::Gone => None,
+            IncomingSide::Gone => None,
         };
-        self.put(&held, Use::StandingOut(call));
+        self.put(&held, CircuitUse::StandingOut(call));
         if let Some(source) = source {
-            self.put(&source, Use::StandingIn(call));
+            self.put(&source, CircuitUse::StandingIn(call));
             self.send(
                 source.to,
                 Cic::at(source.first()),
@@ -339,39 +379,39 @@
             &SeizureAnswered { call, seizure, exchange, elapsed: after },
         );
         // Where a seizure could not be cancelled, its caller had gone long ago.
-        if let Some(Leg { source: Source::Gone, .. }) = self.desk.legs.get(&call) {
+        if let Some(CallRecord { source: IncomingSide::Gone, .. }) = self.desk.calls.get(&call) {
             self.caller_gone(controller, call, normal(Location::Local));
         }
     }
 
     /// The circuits that a call holds at one side are lost to it; `then` says what becomes of them, `rel` goes to its
     /// other side.
-    pub fn side_lost(
+    pub fn on_circuits_lost(
         &mut self,
         controller: &mut Controller,
         call: CallId,
-        (to, place): (ExchangeNumber, u16),
+        (to, index): (ExchangeNumber, u16),
         cause: Cause,
         rel: &Rel,
-        then: fn(&Held, &mut Self),
+        then: fn(&HeldCircuits, &mut Self),
     ) {
         let now = self.now;
-        let Some(leg) = self.desk.legs.get_mut(&call) else { return };
-        let here = |held: &Held| held.to == to && held.places.contains(&place);
-        if let Source::Trunk(held) = &leg.source
+        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
+        let here = |held: &HeldCircuits| held.to == to && held.indices.contains(&index);
+        if let IncomingSide::Trunk(held) = &leg.source
             && here(held)
         {
             let held = held.clone();
             then(&held, self);
             return self.caller_gone(controller, call, Rel { other: Vec::new(), ..rel.clone() });
         }
-        match std::mem::replace(&mut leg.sink, Sink::Open) {
-            Sink::Seized(out) if here(&out.held) => {
+        match std::mem::replace(&mut leg.sink, OutgoingSide::Open) {
+            OutgoingSide::Seized(out) if here(&out.held) => {
                 leg.last = Some(cause);
                 self.desk.traces.step(
                     now,
                     call,
-                    Step::SeizureEnded { no: out.no, cause, after: now - out.at },
+                    TraceStep::SeizureEnded { no: out.no, cause, elapsed: now - out.at },
                 );
                 out.limit.into_iter().for_each(|set| self.desk.timers.stop(set));
                 then(&out.held, self);
@@ -379,7 +419,7 @@
                 controller.on_seizure_ended(now, self, &out.ended(call, now, cause, closed));
                 self.desk.finish(call);
             }
-            Sink::Standing(out) if here(&out.held) => {
+            OutgoingSide::Standing(out) if here(&out.held) => {
                 then(&out.held, self);
                 match &leg_source(self, call) {
                     Some(held) => self.let_go(held, rel),
@@ -387,7 +427,7 @@
                         let cut = cause != Cause::Done;
                         self.desk.tally.cut += u64::from(cut);
                         let end = if cut { CallEnd::Cut } else { CallEnd::Released };
-                        self.trace(call, Step::Ended(end));
+                        self.trace(call, TraceStep::Ended(end));
                         self.plant.ended(call, end);
                     }
                 }
@@ -401,15 +441,17 @@
     /// A link is gone: set-ups on it are lost, and whether the far end worked on them is not known.
     pub fn link_lost(&mut self, controller: &mut Controller, to: ExchangeNumber) {
         let grace = self.now + self.desk.t.link_grace;
-        let Some(link) = self.desk.links.get_mut(&to).filter(|link| link.phase != Phase::Down) else {
+        let Some(link) = self.desk.links.get_mut(&to).filter(|link| link.phase != LocalAspState::Down) else {
             return;
         };
-        (link.phase, link.far) = (Phase::Down, Far::Inactive);
+        (link.phase, link.far) = (LocalAspState::Down, RemoteAspState::Inactive);
         link.timer.take().into_iter().for_each(|set| self.desk.timers.stop(set));
         let set = self.desk.timers.set(grace, Timer::LinkGrace(to));
         link.grace.replace(set).into_iter().for_each(|set| self.desk.timers.stop(set));
         self.plant.note(&format!("link to exchange {} is gone", to.0));
-        self.drop_calls(controller, to, |used| matches!(used, Use::SeizedOut(_) | Use::SeizedIn(_)));
+        self.drop_calls(controller, to, |used| {
+            matches!(used, CircuitUse::SeizedOut(_) | CircuitUse::SeizedIn(_))
+        });
     }
 
     /// Standing calls have outlived their link for as long as they may.
@@ -420,16 +462,16 @@
         }
     }
 
-    fn drop_calls(&mut self, controller: &mut Controller, to: ExchangeNumber, which: fn(Use) -> bool) {
+    fn drop_calls(&mut self, controller: &mut Controller, to: ExchangeNumber, which: fn(CircuitUse) -> bool) {
         let Some(group) = self.desk.groups.get(&to) else { return };
         let lost: Vec<_> =
-            group.all().filter(|(_, circuit)| which(circuit.used)).map(|(place, _)| place).collect();
+            group.all().filter(|(_, circuit)| which(circuit.used)).map(|(index, _)| index).collect();
         let rel = failure(Q850::NetworkOutOfOrder);
-        for place in lost {
+        for index in lost {
             let used =
-                self.desk.groups.get(&to).and_then(|group| group.get(place)).map(|circuit| circuit.used);
-            if let Some(call) = used.and_then(Use::call) {
-                self.side_lost(controller, call, (to, place), Cause::Cut, &rel, Held::reset);
+                self.desk.groups.get(&to).and_then(|group| group.get(index)).map(|circuit| circuit.used);
+            if let Some(call) = used.and_then(CircuitUse::call) {
+                self.on_circuits_lost(controller, call, (to, index), Cause::Cut, &rel, HeldCircuits::reset);
             }
         }
     }
@@ -442,8 +484,8 @@
         iam: &Iam,
         closing: bool,
     ) {
-        let Some(places) = self.incoming(controller, from, first, iam) else { return };
-        let held = Held { to: from, places };
+        let Some(indices) = self.incoming(controller, from, first, iam) else { return };
+        let held = HeldCircuits { to: from, indices };
         let digits = iam.called.digits();
         let (office, number) = digits.split_at(OFFICE_DIGITS.min(digits.len()));
         let dest = Number::value(office).and_then(|dest| u16::try_from(dest).ok());
@@ -455,7 +497,7 @@
         };
         let turned_away = if closing {
             Some(Q850::OutOfOrder)
-        } else if self.desk.legs.len() >= self.desk.most_calls {
+        } else if self.desk.calls.len() >= self.desk.max_calls {
             self.desk.tally.overflow += 1;
             Some(Q850::Congestion)
         } else if ExchangeNumber(dest) != self.desk.own && iam.hops == Some(0) {
@@ -479,16 +521,16 @@
             cut: false,
             redial: false,
         });
-        let width = held.places.len() as u16;
-        let mut leg = Leg {
-            source: Source::Trunk(held.clone()),
-            sink: Sink::Open,
+        let width = held.indices.len() as u16;
+        let mut leg = CallRecord {
+            source: IncomingSide::Trunk(held.clone()),
+            sink: OutgoingSide::Open,
             identity,
             called: iam.called,
             dialled,
             dest: ExchangeNumber(dest),
             width,
-            until: self.now.saturating_add(identity.left()).saturating_sub(ANSWER_WAY),
+            until: self.now.saturating_add(identity.left()).saturating_sub(ANSWER_MARGIN),
             guard: None,
             alarm: None,
             seizures: 0,
@@ -498,17 +540,17 @@
             return self.terminate(call, leg, held);
         }
         self.desk.tally.transit += 1;
-        let arrived = Step::Arrived { from, cic: Cic::at(first) };
+        let arrived = TraceStep::Arrived { from, cic: Cic::at(first) };
         self.desk.traces.begin(self.now, call, identity, ExchangeNumber(dest), dialled, arrived);
         leg.guard = Some(self.desk.timers.set(leg.until, Timer::Guard(call)));
-        self.desk.legs.insert(call, leg);
-        self.put(&held, Use::SeizedIn(call));
+        self.desk.calls.insert(call, leg);
+        self.put(&held, CircuitUse::SeizedIn(call));
         let offer = self.desk.offer(call, None);
         offer.into_iter().for_each(|offer| controller.on_offer(self.now, self, offer));
     }
 
     /// A call for a number here: it stands at once, if the number has a line free.
-    fn terminate(&mut self, call: CallId, mut leg: Leg, held: Held) {
+    fn terminate(&mut self, call: CallId, mut leg: CallRecord, held: HeldCircuits) {
         let cic = Cic::at(held.first());
         if let Some((lines, taken)) = self.desk.lines.get_mut(&leg.dialled) {
             if taken >= lines {
@@ -521,12 +563,12 @@
             *taken += 1;
         }
         self.desk.tally.terminated += 1;
-        let arrived = Step::Arrived { from: held.to, cic };
+        let arrived = TraceStep::Arrived { from: held.to, cic };
         self.desk.traces.begin(self.now, call, leg.identity, leg.dest, leg.dialled, arrived);
-        self.trace(call, Step::StandsHere);
-        leg.sink = Sink::Here;
-        self.desk.legs.insert(call, leg);
-        self.put(&held, Use::StandingIn(call));
+        self.trace(call, TraceStep::StandsHere);
+        leg.sink = OutgoingSide::OwnSubscriber;
+        self.desk.calls.insert(call, leg);
+        self.put(&held, CircuitUse::StandingIn(call));
         let report = self.desk.report;
         self.send(held.to, cic, Body::Acm { backward: BACKWARD, report: None, other: Vec::new() });
         self.send(held.to, cic, Body::Anm { report, other: Vec::new() });
@@ -543,90 +585,104 @@
     ) -> Option<Vec<u16>> {
         let group = self.desk.groups.get(&from)?;
         let cic = Cic::at(first);
-        let places: Option<Vec<u16>> = match iam.map {
+        let indices: Option<Vec<u16>> = match iam.map {
             None => Some(vec![first]),
-            Some(map) => map.circuits(cic).map(|cic| group.place(cic)).collect(),
+            Some(map) => map.circuits(cic).map(|cic| group.index_of(cic)).collect(),
         };
-        let places = places.filter(|places| places.first() == Some(&first));
-        let Some(places) = places else {
+        let indices = indices.filter(|indices| indices.first() == Some(&first));
+        let Some(indices) = indices else {
             self.desk.tally.unexpected += 1;
-            if group.get(first).is_some_and(|circuit| circuit.used == Use::Idle) {
-                let held = Held { to: from, places: vec![first] };
+            if group.get(first).is_some_and(|circuit| circuit.used == CircuitUse::Idle) {
+                let held = HeldCircuits { to: from, indices: vec![first] };
                 self.release_held(&held, failure(Q850::CircuitNotAvailable));
             }
             return None;
         };
-        let uses: Vec<_> = places.iter().filter_map(|place| group.get(*place).copied()).collect();
+        let uses: Vec<_> = indices.iter().filter_map(|index| group.get(*index).copied()).collect();
         // A release or a reset of ours is on its way: the far end gives the set-up up once it has that, if it is for
         // the circuit that it signals on; of another it is told here, or it would wait until its limit.
-        let closing = |used| matches!(used, Use::Releasing { .. } | Use::Resetting { .. } | Use::Along(_));
+        let closing = |used| {
+            matches!(
+                used,
+                CircuitUse::Releasing { .. } | CircuitUse::Resetting { .. } | CircuitUse::ReleasedWith(_)
+            )
+        };
         if uses.iter().any(|circuit| closing(circuit.used)) {
             self.desk.tally.unexpected += 1;
-            if matches!(uses[0].used, Use::Idle | Use::Along(_)) {
-                let held = Held { to: from, places: vec![first] };
+            if matches!(uses[0].used, CircuitUse::Idle | CircuitUse::ReleasedWith(_)) {
+                let held = HeldCircuits { to: from, indices: vec![first] };
                 self.release_held(&held, failure(Q850::CircuitNotAvailable));
             }
             return None;
         }
         let mut yielding = Vec::new();
         let mut stale = Vec::new();
-        for (place, circuit) in places.iter().zip(&uses) {
+        for (index, circuit) in indices.iter().zip(&uses) {
             match circuit.used {
-                Use::SeizedOut(call) => {
+                CircuitUse::SeizedOut(call) => {
                     self.desk.tally.dual_seizures += 1;
-                    let ours = self.desk.legs.get(&call).map_or(0, |leg| usize::from(leg.width));
-                    let prevails = match ours.cmp(&places.len()) {
-                        std::cmp::Ordering::Equal => group.controls(*place),
+                    let ours = self.desk.calls.get(&call).map_or(0, |leg| usize::from(leg.width));
+                    let prevails = match ours.cmp(&indices.len()) {
+                        std::cmp::Ordering::Equal => group.controls(*index),
                         order => order.is_gt(),
                     };
                     if prevails {
                         // The far end finds the same and yields.
-                        if let Some(Leg { sink: Sink::Seized(out), .. }) = self.desk.legs.get_mut(&call) {
+                        if let Some(CallRecord { sink: OutgoingSide::Seized(out), .. }) =
+                            self.desk.calls.get_mut(&call)
+                        {
                             out.prevailed = true;
                         }
                         return None;
                     }
-                    yielding.push((*place, call));
+                    yielding.push((*index, call));
                 }
-                Use::Idle => {}
+                CircuitUse::Idle => {}
                 // The far end answered this call, and so had yielded: its set-up was overtaken by its answer.
-                Use::StandingOut(_) => return None,
-                used => stale.extend(used.call().map(|call| (*place, call))),
+                CircuitUse::StandingOut(_) => return None,
+                used => stale.extend(used.call().map(|call| (*index, call))),
             }
         }
         if !stale.is_empty() {
             // The far end holds idle what here is busy: what it carried is over, and both start afresh.
             self.desk.tally.unexpected += 1;
             let rel = failure(Q850::TemporaryFailure);
-            for (place, call) in stale {
-                self.side_lost(controller, call, (from, place), Cause::Cut, &rel, Held::reset);
+            for (index, call) in stale {
+                self.on_circuits_lost(controller, call, (from, index), Cause::Cut, &rel, HeldCircuits::reset);
             }
             return None;
         }
         let blocked = uses.iter().any(|circuit| circuit.blocked.here());
         if blocked {
             self.send(from, cic, Body::Blo);
-            self.release_held(&Held { to: from, places }, failure(Q850::CircuitNotAvailable));
+            self.release_held(&HeldCircuits { to: from, indices }, failure(Q850::CircuitNotAvailable));
             return None;
         }
         // The decisions must not take again at once what is yielded: it is let go once they know.
-        for (place, call) in yielding {
+        for (index, call) in yielding {
             self.desk.tally.yielded += 1;
             let rel = failure(Q850::CircuitNotAvailable);
-            let held = match self.desk.legs.get(&call).map(|leg| &leg.sink) {
-                Some(Sink::Seized(out)) => out.held.clone(),
-                _ => Held { to: from, places: vec![place] },
+            let held = match self.desk.calls.get(&call).map(|leg| &leg.sink) {
+                Some(OutgoingSide::Seized(out)) => out.held.clone(),
+                _ => HeldCircuits { to: from, indices: vec![index] },
             };
-            self.side_lost(controller, call, (from, place), Cause::NoCircuit, &rel, Held::keep);
+            self.on_circuits_lost(
+                controller,
+                call,
+                (from, index),
+                Cause::NoCircuit,
+                &rel,
+                HeldCircuits::keep,
+            );
             held.idle(self);
         }
-        Some(places)
+        Some(indices)
     }
 }
 
-fn leg_source(w: &Working, call: CallId) -> Option<Held> {
-    match w.desk.legs.get(&call).map(|leg| &leg.source) {
-        Some(Source::Trunk(held)) => Some(held.clone()),
+fn leg_source(w: &EventContext, call: CallId) -> Option<HeldCircuits> {
+    match w.desk.calls.get(&call).map(|leg| &leg.source) {
+        Some(IncomingSide::Trunk(held)) => Some(held.clone()),
         _ => None,
     }
 }
--- a/crates/office/src/state.rs
+++ b/crates/callcontrol/src/status.rs
@@ -4,14 +4,14 @@
 
 use mintstall::interface::ExchangeNumber;
 
-use crate::circuits::{Blocked, Use};
-use crate::legs::{Leg, Sink, Source};
-use crate::links::{Link, Phase};
-use crate::office::Office;
+use crate::callcontrol::CallControl;
+use crate::calls::{CallRecord, IncomingSide, OutgoingSide};
+use crate::circuits::{Blocking, CircuitUse};
+use crate::links::{Link, LocalAspState};
 
 /// Counts since start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Counters {
     pub offered: u64,
     pub transit: u64,
     pub seizures: u64,
@@ -38,16 +38,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkState {
+pub enum LinkStatus {
     Down,
     Opening,
     Up,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GroupState {
+pub struct GroupStatus {
     pub to: ExchangeNumber,
-    pub link: LinkState,
+    pub link: LinkStatus,
     pub circuits: usize,
     pub free: usize,
     pub seized: usize,
@@ -58,58 +58,61 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OfficeState {
+pub struct CallControlStatus {
     pub own: ExchangeNumber,
-    pub tally: Tally,
+    pub tally: Counters,
     /// Calls in hand, and those of them that wait for their final answer.
     pub calls: usize,
     pub owed: usize,
     pub timers: usize,
     pub traces: usize,
-    pub groups: Vec<GroupState>,
+    pub groups: Vec<GroupStatus>,
 }
 
 impl Link {
-    fn state(&self) -> LinkState {
+    fn state(&self) -> LinkStatus {
         match self.phase {
-            Phase::Down => LinkState::Down,
-            _ if self.usable() => LinkState::Up,
-            _ => LinkState::Opening,
+            LocalAspState::Down => LinkStatus::Down,
+            _ if self.usable() => LinkStatus::Up,
+            _ => LinkStatus::Opening,
         }
     }
 }
 
-impl Office {
+impl CallControl {
     /// What its books hold against each other: circuits that carry a call that does not hold them, calls that hold circuits
     /// which do not carry them, answers owed that nobody counts. None, ever; for tests and for a look from outside.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn inconsistencies(&self) -> Vec<String> {
         let mut faults = Vec::new();
-        let held = |leg: &Leg| {
+        let held = |leg: &CallRecord| {
             let source = match &leg.source {
-                Source::Trunk(held) => Some(held.clone()),
+                IncomingSide::Trunk(held) => Some(held.clone()),
                 _ => None,
             };
             let sink = match &leg.sink {
-                Sink::Seized(out) | Sink::Standing(out) => Some(out.held.clone()),
+                OutgoingSide::Seized(out) | OutgoingSide::Standing(out) => Some(out.held.clone()),
                 _ => None,
             };
             source.into_iter().chain(sink)
         };
         let mut holds = BTreeSet::new();
-        for (call, leg) in &self.desk.legs {
-            let places =
-                held(leg).flat_map(|held| held.places.into_iter().map(move |place| (held.to, place)));
-            holds.extend(places.map(|(to, place)| (to, place, *call)));
+        for (call, leg) in &self.desk.calls {
+            let indices =
+                held(leg).flat_map(|held| held.indices.into_iter().map(move |index| (held.to, index)));
+            holds.extend(indices.map(|(to, index)| (to, index, *call)));
         }
         let circuits =
             self.desk.groups.iter().flat_map(|(to, group)| group.all().map(move |(no, c)| (*to, no, c.used)));
         let carries: BTreeSet<_> =
             circuits.filter_map(|(to, no, used)| Some((to, no, used.call()?))).collect();
-        for (to, place, call) in carries.symmetric_difference(&holds) {
-            faults.push(format!("{call:?} and circuit {place} to {to:?} do not agree"));
+        for (to, index, call) in carries.symmetric_difference(&holds) {
+            faults.push(format!("{call:?} and circuit {index} to {to:?} do not agree"));
         }
-        let owed = self.desk.legs.values().filter(|leg| {
-            matches!((&leg.source, &leg.sink), (Source::Subscriber, Sink::Open | Sink::Seized(_)))
+        let owed = self.desk.calls.values().filter(|leg| {
+            matches!(
+                (&leg.source, &leg.sink),
+                (IncomingSide::Subscriber, OutgoingSide::Open | OutgoingSide::Seized(_))
+            )
         });
         let (owed, counted) = (owed.count(), self.desk.owed);
         if owed != counted {
@@ -118,11 +121,11 @@
         faults
     }
 
-    pub fn state(&self) -> OfficeState {
+    pub fn state(&self) -> CallControlStatus {
         let groups = self.desk.groups.iter().map(|(to, group)| {
-            let mut state = GroupState {
+            let mut state = GroupStatus {
                 to: *to,
-                link: self.desk.links.get(to).map_or(LinkState::Down, Link::state),
+                link: self.desk.links.get(to).map_or(LinkStatus::Down, Link::state),
                 circuits: usize::from(group.size()),
                 free: group.free(),
                 seized: 0,
@@ -132,21 +135,21 @@
                 blocked: 0,
             };
             for (_, circuit) in group.all() {
-                state.blocked += usize::from(circuit.blocked != Blocked::Open);
+                state.blocked += usize::from(circuit.blocked != Blocking::Open);
                 match circuit.used {
-                    Use::Idle => {}
-                    Use::SeizedOut(_) | Use::SeizedIn(_) => state.seized += 1,
-                    Use::StandingOut(_) | Use::StandingIn(_) => state.standing += 1,
-                    Use::Releasing { .. } | Use::Along(_) => state.releasing += 1,
-                    Use::Resetting { .. } => state.resetting += 1,
+                    CircuitUse::Idle => {}
+                    CircuitUse::SeizedOut(_) | CircuitUse::SeizedIn(_) => state.seized += 1,
+                    CircuitUse::StandingOut(_) | CircuitUse::StandingIn(_) => state.standing += 1,
+                    CircuitUse::Releasing { .. } | CircuitUse::ReleasedWith(_) => state.releasing += 1,
+                    CircuitUse::Resetting { .. } => state.resetting += 1,
                 }
             }
             state
         });
-        OfficeState {
+        CallControlStatus {
             own: self.desk.own,
             tally: self.desk.tally,
-            calls: self.desk.legs.len(),
+            calls: self.desk.calls.len(),
             owed: self.desk.owed,
             timers: self.desk.timers.len(),
             traces: self.desk.traces.len(),
--- a/crates/office/src/timers.rs
+++ b/crates/callcontrol/src/timers.rs
@@ -7,7 +7,7 @@
 
 /// Names a timer that is set; good until it rings or is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Set(Duration, u64);
+pub(crate) struct TimerHandle(Duration, u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
@@ -37,13 +37,13 @@
 }
 
 impl TimerQueue {
-    pub fn set(&mut self, at: Duration, timer: Timer) -> Set {
+    pub fn set(&mut self, at: Duration, timer: Timer) -> TimerHandle {
         self.count += 1;
         self.queue.insert((at, self.count), timer);
-        Set(at, self.count)
+        TimerHandle(at, self.count)
     }
 
-    pub fn stop(&mut self, set: Set) {
+    pub fn stop(&mut self, set: TimerHandle) {
         self.queue.remove(&(set.0, set.1));
     }
 
--- a/crates/office/src/trace.rs
+++ b/crates/callcontrol/src/trace.rs
@@ -9,11 +9,11 @@
 use mintstall::interface::{CallId, Cause, ExchangeId, ExchangeNumber, SeizureNumber};
 use mintstall_isup::{Cic, Identity, Q850};
 
-use crate::plant::{Answer, CallEnd};
+use crate::actions::{Answer, CallEnd};
 
 /// One thing that happened to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum TraceStep {
     /// A subscriber asked for it, waiting for so long.
     Offered {
         left: Duration,
@@ -40,7 +40,7 @@
     SeizureEnded {
         no: SeizureNumber,
         cause: Cause,
-        after: Duration,
+        elapsed: Duration,
     },
     /// It stands: through this exchange, or at a number here.
     Stands,
@@ -63,14 +63,14 @@
     pub dest: ExchangeNumber,
     pub dialled: u64,
     /// With the time of each, on the office's clock.
-    pub steps: Vec<(Duration, Step)>,
+    pub steps: Vec<(Duration, TraceStep)>,
     /// Steps that there was no room for.
     pub left_out: u32,
 }
 
 impl Trace {
     /// What a caller sees last, or would.
-    pub fn last(&self) -> Option<&(Duration, Step)> {
+    pub fn last(&self) -> Option<&(Duration, TraceStep)> {
         self.steps.last()
     }
 
@@ -80,8 +80,8 @@
             .iter()
             .fold((0usize, 0usize), |(out, most), (_, step)| {
                 let out = match step {
-                    Step::Seized { .. } => out + 1,
-                    Step::SeizureEnded { .. } => out.saturating_sub(1),
+                    TraceStep::Seized { .. } => out + 1,
+                    TraceStep::SeizureEnded { .. } => out.saturating_sub(1),
                     _ => out,
                 };
                 (out, most.max(out))
@@ -114,7 +114,7 @@
         identity: Identity,
         dest: ExchangeNumber,
         dialled: u64,
-        step: Step,
+        step: TraceStep,
     ) {
         if self.most == 0 {
             return;
@@ -132,7 +132,7 @@
         self.calls.insert(call, Trace { call, identity, dest, dialled, steps, left_out: 0 });
     }
 
-    pub fn step(&mut self, at: Duration, call: CallId, step: Step) {
+    pub fn step(&mut self, at: Duration, call: CallId, step: TraceStep) {
         if let Some(trace) = self.calls.get_mut(&call) {
             if trace.steps.len() < STEPS {
                 trace.steps.push((at, step));
@@ -175,7 +175,7 @@
     }
 
     fn begin(traces: &mut Traces, call: u64) {
-        let step = Step::Offered { left: Duration::from_secs(3) };
+        let step = TraceStep::Offered { left: Duration::from_secs(3) };
         traces.begin(Duration::ZERO, CallId(call), identity(call), ExchangeNumber(2), 5, step);
     }
 
@@ -194,7 +194,7 @@
     fn a_call_that_does_too_much_says_how_much_was_left_out() {
         let mut traces = Traces::new(3);
         begin(&mut traces, 1);
-        (0..40).for_each(|_| traces.step(Duration::ZERO, CallId(1), Step::Stands));
+        (0..40).for_each(|_| traces.step(Duration::ZERO, CallId(1), TraceStep::Stands));
         let trace = traces.get(CallId(1)).unwrap();
         assert_eq!((trace.steps.len(), trace.left_out), (STEPS, 17));
         assert_eq!(traces.of(ExchangeNumber(7), 1).count(), 1);
--- a/crates/office/tests/common/mod.rs
+++ b/crates/callcontrol/tests/common/mod.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use mintstall::interface::*;
+use mintstall_callcontrol::*;
 use mintstall_isup::{Data, Deframer, Frame, Message};
-use mintstall_office::*;
 
 #[derive(Default)]
 pub struct Wires {
@@ -18,11 +18,11 @@
     pub closed: Vec<(ExchangeNumber, String)>,
 }
 
-impl Plant for Wires {
+impl CallControlActions for Wires {
     fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push_back((to, octets.to_vec()));
     }
-    fn close(&mut self, to: ExchangeNumber, why: &str) {
+    fn close_link(&mut self, to: ExchangeNumber, why: &str) {
         self.closed.push((to, why.to_string()));
     }
     fn answer(&mut self, call: CallId, answer: Answer) {
@@ -36,14 +36,14 @@
 
 pub struct Table {
     pub now: Duration,
-    pub offices: BTreeMap<u16, (Office, Wires)>,
+    pub offices: BTreeMap<u16, (CallControl, Wires)>,
 }
 
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-pub fn plan(own: u16, others: &[u16], circuits: u16) -> OfficePlan {
+pub fn plan(own: u16, others: &[u16], circuits: u16) -> CallControlConfig {
     let call_type = |revenue, width| CallTypeConfig {
         setup_target: ms(2000),
         guard_time: ms(9000),
@@ -53,7 +53,7 @@
         repeats: RepeatPolicy::Freely,
         pools: Vec::new(),
     };
-    OfficePlan {
+    CallControlConfig {
         own: ExchangeNumber(own),
         data: ControllerConfig {
             own: Some(ExchangeNumber(own)),
@@ -69,10 +69,10 @@
             release_wait: ms(200),
             retransmit_after: Duration::ZERO,
         },
-        groups: others.iter().map(|to| GroupPlan { to: ExchangeNumber(*to), circuits }).collect(),
+        groups: others.iter().map(|to| GroupConfig { to: ExchangeNumber(*to), circuits }).collect(),
         numbers: vec![NumberPlan { dialled: 77, lines: 1 }],
         timers: Timers { t1: ms(1000), t5: ms(5000), ..Timers::default() },
-        most_calls: 1000,
+        max_calls: 1000,
         traces: 100,
     }
 }
@@ -84,7 +84,7 @@
         let all: Vec<u16> = (1..=count).collect();
         for own in &all {
             let others: Vec<_> = all.iter().copied().filter(|other| other != own).collect();
-            let office = Office::new(table.now, &plan(*own, &others, circuits), 1, (*own).into());
+            let office = CallControl::new(table.now, &plan(*own, &others, circuits), 1, (*own).into());
             table.offices.insert(*own, (office, Wires::default()));
         }
         all.iter().for_each(|own| table.listed(*own));
@@ -107,19 +107,19 @@
         self.with(own, |office, now, wires| office.roster(now, wires, &lines));
     }
 
-    pub fn with<R>(&mut self, own: u16, f: impl FnOnce(&mut Office, Duration, &mut Wires) -> R) -> R {
+    pub fn with<R>(&mut self, own: u16, f: impl FnOnce(&mut CallControl, Duration, &mut Wires) -> R) -> R {
         let now = self.now;
         let (office, wires) = self.offices.get_mut(&own).unwrap();
         let result = f(office, now, wires);
         // After whatever happens its books agree.
-        assert_eq!(office.faults(), Vec::<String>::new(), "at {own}");
+        assert_eq!(office.inconsistencies(), Vec::<String>::new(), "at {own}");
         result
     }
 
     pub fn call(&mut self, from: u16, dest: u16, dialled: u64, call_type: u8) -> CallId {
         self.with(from, |office, now, wires| {
             let call = office.next_call();
-            let order = Order {
+            let order = CallRequest {
                 call_type: CallType(call_type),
                 customer: CustomerId(0),
                 dest: ExchangeNumber(dest),
@@ -143,7 +143,7 @@
     }
 
     pub fn give(&mut self, from: u16, to: u16, octets: &[u8]) {
-        self.with(to, |office, now, wires| office.octets(now, wires, ExchangeNumber(from), octets));
+        self.with(to, |office, now, wires| office.on_octets(now, wires, ExchangeNumber(from), octets));
     }
 
     /// Carries all over until nothing is left to carry; returns the names of the messages, in order.
@@ -163,10 +163,10 @@
         let end = self.now + span;
         loop {
             let due =
-                self.offices.iter().filter_map(|(no, (office, _))| Some((office.next_alarm()?, *no))).min();
+                self.offices.iter().filter_map(|(no, (office, _))| Some((office.next_timer()?, *no))).min();
             let Some((at, no)) = due.filter(|(at, _)| *at <= end) else { break };
             self.now = at;
-            self.with(no, |office, now, wires| office.ring(now, wires));
+            self.with(no, |office, now, wires| office.on_timer(now, wires));
         }
         self.now = end;
     }
@@ -191,19 +191,19 @@
         std::mem::take(&mut self.offices.get_mut(&own).unwrap().1.ended)
     }
 
-    pub fn group(&self, own: u16, to: u16) -> GroupState {
+    pub fn group(&self, own: u16, to: u16) -> GroupStatus {
         let state = self.offices[&own].0.state();
         state.groups.into_iter().find(|group| group.to.0 == to).unwrap()
     }
 
-    pub fn tally(&self, own: u16) -> Tally {
+    pub fn tally(&self, own: u16) -> Counters {
         self.offices[&own].0.state().tally
     }
 
     /// Every circuit idle and every call forgotten, at all offices.
     pub fn all_quiet(&self) {
         for (office, _) in self.offices.values() {
-            assert_eq!(office.faults(), Vec::<String>::new());
+            assert_eq!(office.inconsistencies(), Vec::<String>::new());
             let state = office.state();
             assert_eq!((state.calls, state.owed), (0, 0), "calls left at {:?}", state.own);
             let busy: Vec<_> = state.groups.iter().filter(|group| group.free != group.circuits).collect();
--- a/crates/office/tests/fuzz.rs
+++ b/crates/callcontrol/tests/fuzz.rs
@@ -23,7 +23,7 @@
             table.pass(ms(50));
         }
         // And raw, which may break the link.
-        table.with(1, |office, now, wires| office.octets(now, wires, ExchangeNumber(2), input));
+        table.with(1, |office, now, wires| office.on_octets(now, wires, ExchangeNumber(2), input));
         table.carry();
         table.pass(ms(5000));
         let answers = table.answers(1);
--- a/crates/office/tests/stories.rs
+++ b/crates/callcontrol/tests/stories.rs
@@ -6,8 +6,8 @@
 
 use common::{Table, ms, name};
 use mintstall::interface::ExchangeNumber;
+use mintstall_callcontrol::{Answer, CallEnd, LinkStatus};
 use mintstall_isup::{Body, Cic, Data, Frame, Message, m3ua};
-use mintstall_office::{Answer, CallEnd, LinkState};
 
 fn frame(from: u16, to: u16, cic: Cic, body: Body) -> Vec<u8> {
     let (mut user, mut octets) = (Vec::new(), Vec::new());
@@ -240,7 +240,7 @@
     table.carry();
     // 1 dies without a word and comes back with nothing.
     let (office, wires) = table.offices.get_mut(&1).unwrap();
-    *office = mintstall_office::Office::new(table.now, &common::plan(1, &[2, 3], 31), 2, 9);
+    *office = mintstall_callcontrol::CallControl::new(table.now, &common::plan(1, &[2, 3], 31), 2, 9);
     wires.sent.clear();
     table.listed(1);
     for far in [2, 3] {
@@ -303,7 +303,7 @@
         Data { opc: 3, dpc: 2, service: m3ua::ISUP, network: 2, priority: 0, sls: 0, user: &[1, 0, 1, 0] };
     Frame::Data(data).write(&mut octets);
     table.give(3, 2, &octets);
-    assert_eq!((table.tally(2).unexpected, table.group(2, 3).link), (2, LinkState::Up));
+    assert_eq!((table.tally(2).unexpected, table.group(2, 3).link), (2, LinkStatus::Up));
 }
 
 #[test]
@@ -430,7 +430,7 @@
 
 #[test]
 fn a_call_is_followed_by_its_number_from_the_caller_over_the_tandem_to_the_number_called() {
-    use mintstall_office::Step;
+    use mintstall_callcontrol::TraceStep;
     let mut table = Table::new(3, 4);
     let calls: Vec<_> = (0..5)
         .map(|no| {
@@ -445,7 +445,8 @@
         let traces: Vec<_> = office.traces_of(ExchangeNumber(1), round.0).collect();
         assert_eq!(traces.len(), 1, "at {own}");
         assert!(traces[0].seizures_out() <= 1);
-        let kind = |step: &Step| format!("{step:?}").split([' ', '(']).next().unwrap_or_default().to_string();
+        let kind =
+            |step: &TraceStep| format!("{step:?}").split([' ', '(']).next().unwrap_or_default().to_string();
         traces[0].steps.iter().map(|(_, step)| kind(step)).collect()
     };
     table.with(1, |office, now, wires| office.hang_up(now, wires, round));
@@ -457,7 +458,7 @@
 
 #[test]
 fn a_trace_tells_every_seizure_and_why_it_ended_and_one_answer() {
-    use mintstall_office::Step;
+    use mintstall_callcontrol::TraceStep;
     let mut table = Table::new(2, 31);
     let call = table.call(1, 2, 5, 0);
     table.take(1, 2);
@@ -473,12 +474,12 @@
         }
     }
     let trace = table.offices[&1].0.trace(call).unwrap().clone();
-    let seized = trace.steps.iter().filter(|(_, step)| matches!(step, Step::Seized { .. })).count();
-    let ended = trace.steps.iter().filter(|(_, step)| matches!(step, Step::SeizureEnded { .. })).count();
-    let answered = trace.steps.iter().filter(|(_, step)| matches!(step, Step::Answered(_))).count();
+    let seized = trace.steps.iter().filter(|(_, step)| matches!(step, TraceStep::Seized { .. })).count();
+    let ended = trace.steps.iter().filter(|(_, step)| matches!(step, TraceStep::SeizureEnded { .. })).count();
+    let answered = trace.steps.iter().filter(|(_, step)| matches!(step, TraceStep::Answered(_))).count();
     assert!(seized >= 1 && seized == ended && trace.seizures_out() == 1, "{trace:?}");
     assert_eq!(answered, 1);
-    assert!(matches!(trace.last(), Some((_, Step::Answered(_)))));
+    assert!(matches!(trace.last(), Some((_, TraceStep::Answered(_)))));
 }
 
 #[test]
@@ -501,7 +502,7 @@
     let mut table = Table::new(2, 31);
     let mut plan = common::plan(1, &[2], 31);
     plan.data.may_cancel = false;
-    table.offices.get_mut(&1).unwrap().0 = mintstall_office::Office::new(table.now, &plan, 2, 9);
+    table.offices.get_mut(&1).unwrap().0 = mintstall_callcontrol::CallControl::new(table.now, &plan, 2, 9);
     table.listed(1);
     table.cut(1, 2);
     table.mend(1, 2);
@@ -529,11 +530,11 @@
     table.give(1, 3, &iam);
     // The tandem is told to stop while its onward set-up is out.
     table.with(3, |office, _, _| office.stop());
-    assert!(table.offices[&3].0.unsettled() && !table.offices[&3].0.owes());
+    assert!(table.offices[&3].0.has_unanswered_calls() && !table.offices[&3].0.owes());
     table.answers(1);
     table.carry();
     assert_eq!(table.answers(1), [(round, Answer::Stands)]);
-    assert!(!table.offices[&3].0.unsettled());
+    assert!(!table.offices[&3].0.has_unanswered_calls());
     table.with(3, |office, now, wires| office.release_all(now, wires));
     assert!(table.offices[&3].0.awaits_release());
     table.carry();
@@ -641,7 +642,7 @@
     table.pass(ms(3000));
     // The far end comes back as a new process. Silent so far, it is tried with one call; one three circuits wide is held.
     let (office, wires) = table.offices.get_mut(&2).unwrap();
-    *office = mintstall_office::Office::new(table.now, &common::plan(2, &[1], 4), 4096, 9);
+    *office = mintstall_callcontrol::CallControl::new(table.now, &common::plan(2, &[1], 4), 4096, 9);
     wires.sent.clear();
     table.listed(2);
     table.mend(1, 2);
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use mintstall::interface::{CallTypeConfig, ControllerConfig, ExchangeNumber, RepeatPolicy};
+use mintstall_callcontrol::{CallControlConfig, GroupConfig, NumberPlan, Timers};
 use mintstall_isup::Cic;
 use mintstall_limits::{Limits, Patience, TokenFile, Tokens};
-use mintstall_office::{GroupPlan, NumberPlan, OfficePlan, Timers};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -554,7 +554,7 @@
     }
 
     /// What the office reads at start.
-    pub fn plan(&self) -> OfficePlan {
+    pub fn plan(&self) -> CallControlConfig {
         let ms = Duration::from_millis;
         let call_type = |of: &CallType| CallTypeConfig {
             setup_target: ms(of.setup_target_ms),
@@ -566,7 +566,7 @@
             pools: Vec::new(),
         };
         let (rules, t) = (&self.rules, &self.timers);
-        OfficePlan {
+        CallControlConfig {
             own: ExchangeNumber(self.exchange),
             data: ControllerConfig {
                 own: Some(ExchangeNumber(self.exchange)),
@@ -586,7 +586,7 @@
                 .signalling
                 .links
                 .iter()
-                .map(|link| GroupPlan { to: ExchangeNumber(link.to), circuits: link.circuits })
+                .map(|link| GroupConfig { to: ExchangeNumber(link.to), circuits: link.circuits })
                 .collect(),
             numbers: self.numbers.iter().map(|n| NumberPlan { dialled: n.number, lines: n.lines }).collect(),
             timers: Timers {
@@ -601,7 +601,7 @@
                 link_grace: ms(t.link_grace_ms),
                 audit: ms(t.audit_ms),
             },
-            most_calls: self.most_calls,
+            max_calls: self.most_calls,
             traces: self.traces,
         }
     }
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -12,12 +12,15 @@
     LineCutter, MissedNote, NewsNote, Offer, Request, SessionLimits, State, Subscribed, TraceGet, Traced,
     Welcome, code, ended_text, fault_text, notice_text, result_text,
 };
+use mintstall_callcontrol::{
+    Answer, CallControl, CallControlActions, CallControlStatus, CallEnd, CallRequest, LinkStatus, Trace,
+    TraceStep,
+};
 use mintstall_isup::Report;
 use mintstall_limits::{
     Admission, Backlog, Denied, Fate, Grant, News, Opening, Refusal, Repeat, Repeats, Resumable, Scope, Sees,
     SessionKey, SessionNo, Tokens, Verdict,
 };
-use mintstall_office::{Answer, CallEnd, LinkState, Office, OfficeState, Order, Plant, Step, Trace};
 use mintstall_roster::{
     Ask, FeedNote, Limits, Refusal as RosterRefusal, Reply, Roster, Standing, Told, Verdict as RosterVerdict,
 };
@@ -119,7 +122,7 @@
 }
 
 pub struct Exchange {
-    pub office: Office,
+    pub office: CallControl,
     admission: Admission<Pending>,
     tokens: Tokens,
     resumable: Resumable,
@@ -173,11 +176,11 @@
     ends: Vec<(CallId, CallEnd)>,
 }
 
-impl Plant for Wire<'_> {
+impl CallControlActions for Wire<'_> {
     fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.port.send(to, octets);
     }
-    fn close(&mut self, to: ExchangeNumber, why: &str) {
+    fn close_link(&mut self, to: ExchangeNumber, why: &str) {
         self.port.close_link(to, why);
     }
     fn answer(&mut self, call: CallId, answer: Answer) {
@@ -197,7 +200,7 @@
         let seed = own_seed(config.exchange, seed);
         let shares = (0..).map(CustomerId).zip(config.customers.iter().map(|customer| customer.share));
         Self {
-            office: Office::new(now, &config.plan(), incarnation, seed),
+            office: CallControl::new(now, &config.plan(), incarnation, seed),
             admission: Admission::new(now, config.limits.limits(), shares.collect(), seed),
             tokens: Tokens::open(),
             resumable: Resumable::new(
@@ -225,7 +228,7 @@
         &mut self,
         now: Duration,
         port: &mut dyn Port,
-        f: impl FnOnce(&mut Office, &mut Wire) -> R,
+        f: impl FnOnce(&mut CallControl, &mut Wire) -> R,
     ) -> R {
         let mut wire = Wire { port, answers: Vec::new(), ends: Vec::new() };
         let result = f(&mut self.office, &mut wire);
@@ -301,7 +304,7 @@
     }
 
     pub fn link_octets(&mut self, now: Duration, port: &mut dyn Port, from: ExchangeNumber, octets: &[u8]) {
-        self.with(now, port, |office, wire| office.octets(now, wire, from, octets));
+        self.with(now, port, |office, wire| office.on_octets(now, wire, from, octets));
         self.take_ready(now, port);
     }
 
@@ -313,13 +316,13 @@
         if !over.is_empty() {
             self.end_sessions(now, port, &over);
         }
-        self.with(now, port, |office, wire| office.ring(now, wire));
+        self.with(now, port, |office, wire| office.on_timer(now, wire));
         self.take_ready(now, port);
     }
 
     /// When [`Exchange::ring`] is next to be called.
     pub fn next_alarm(&self) -> Option<Duration> {
-        let all = [self.office.next_alarm(), self.admission.next_alarm(), self.resumable.next_alarm()];
+        let all = [self.office.next_timer(), self.admission.next_alarm(), self.resumable.next_alarm()];
         all.into_iter().flatten().min()
     }
 
@@ -891,14 +894,14 @@
     }
 
     pub fn status(&self) -> Value {
-        let OfficeState { own, tally, calls, owed, timers, traces, groups } = self.office.state();
+        let CallControlStatus { own, tally, calls, owed, timers, traces, groups } = self.office.state();
         let groups: Vec<Value> = groups
             .iter()
             .map(|group| {
                 let link = match group.link {
-                    LinkState::Down => "down",
-                    LinkState::Opening => "opening",
-                    LinkState::Up => "up",
+                    LinkStatus::Down => "down",
+                    LinkStatus::Opening => "opening",
+                    LinkStatus::Up => "up",
                 };
                 json!({
                     "to": group.to.0, "link": link, "circuits": group.circuits, "free": group.free,
@@ -950,31 +953,31 @@
     }
 }
 
-fn step_json(step: &Step) -> Value {
+fn step_json(step: &TraceStep) -> Value {
     let ms = |span: &Duration| span.as_micros() as f64 / 1e3;
     match step {
-        Step::Offered { left } => json!({ "step": "offered", "left_ms": ms(left) }),
-        Step::Arrived { from, cic } => json!({ "step": "arrived", "from": from.0, "circuit": cic.0 }),
-        Step::Seized { no, exchange, to, cic, circuits, limit } => json!({
+        TraceStep::Offered { left } => json!({ "step": "offered", "left_ms": ms(left) }),
+        TraceStep::Arrived { from, cic } => json!({ "step": "arrived", "from": from.0, "circuit": cic.0 }),
+        TraceStep::Seized { no, exchange, to, cic, circuits, limit } => json!({
             "step": "seized", "seizure": no.0, "exchange": exchange.0, "to": to.0, "circuit": cic.0,
             "circuits": circuits, "limit_ms": ms(limit),
         }),
-        Step::Alerted { no } => json!({ "step": "address complete", "seizure": no.0 }),
-        Step::SeizureEnded { no, cause, after } => {
-            json!({ "step": "seizure ended", "seizure": no.0, "cause": format!("{cause:?}"), "after_ms": ms(after) })
+        TraceStep::Alerted { no } => json!({ "step": "address complete", "seizure": no.0 }),
+        TraceStep::SeizureEnded { no, cause, elapsed } => {
+            json!({ "step": "seizure ended", "seizure": no.0, "cause": format!("{cause:?}"), "after_ms": ms(elapsed) })
         }
-        Step::Stands => json!({ "step": "stands" }),
-        Step::StandsHere => json!({ "step": "stands here" }),
-        Step::Answered(answer) => json!({ "step": "answered", "answer": final_answer(*answer) }),
-        Step::TurnedBack(cause) => json!({ "step": "turned back", "cause": cause.value() }),
-        Step::CallerGone(cause) => json!({ "step": "caller gone", "cause": cause.value() }),
-        Step::Ended(end) => json!({ "step": "ended", "how": how_ended(*end) }),
+        TraceStep::Stands => json!({ "step": "stands" }),
+        TraceStep::StandsHere => json!({ "step": "stands here" }),
+        TraceStep::Answered(answer) => json!({ "step": "answered", "answer": final_answer(*answer) }),
+        TraceStep::TurnedBack(cause) => json!({ "step": "turned back", "cause": cause.value() }),
+        TraceStep::CallerGone(cause) => json!({ "step": "caller gone", "cause": cause.value() }),
+        TraceStep::Ended(end) => json!({ "step": "ended", "how": how_ended(*end) }),
     }
 }
 
 /// A call as its subscriber's message asks for it.
-pub fn order(offer: &Offer) -> Order {
-    Order {
+pub fn order(offer: &Offer) -> CallRequest {
+    CallRequest {
         call_type: CallType(offer.call_type),
         customer: CustomerId(offer.customer),
         dest: ExchangeNumber(offer.dest),
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -511,7 +511,7 @@
     fn stopped(&mut self) -> bool {
         let Some(since) = self.stopping else { return false };
         let Some(let_go) = self.let_go else {
-            if !self.exchange.office.unsettled() || since.elapsed() >= STOP_WITHIN {
+            if !self.exchange.office.has_unanswered_calls() || since.elapsed() >= STOP_WITHIN {
                 self.let_all_go();
             }
             return false;
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -319,7 +319,7 @@
         let status = self.exchange.status();
         assert_eq!(status["calls"], standing, "{status}");
         assert_eq!(status["admission"]["unanswered"], 0);
-        assert_eq!(self.exchange.office.faults(), Vec::<String>::new());
+        assert_eq!(self.exchange.office.inconsistencies(), Vec::<String>::new());
     }
 }
 
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 use mintstall_callapi::{Asked, Hangup, Heard, LineCutter, Request};
+use mintstall_callcontrol::Counters;
 use mintstall_daemon::wires::Outbox;
-use mintstall_office::Tally;
 use mintstall_roster::{FeedNote, ProcessorNote, Reply};
 use mintstall_standin::{Act, Day, Score, Wiring, Witness, World};
 use mio::net::{TcpListener, TcpStream};
@@ -52,7 +52,7 @@
 pub struct Played {
     pub score: Score,
     pub ended: Duration,
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<Counters>,
     /// Controllers that ended without being asked to, and that did not stop in order when told.
     pub crashes: u64,
     pub stuck: usize,
@@ -652,9 +652,9 @@
     }
 }
 
-fn tally(status: &Value) -> Tally {
+fn tally(status: &Value) -> Counters {
     let count = |what: &str| status["counts"][what].as_u64().unwrap_or(0);
-    Tally {
+    Counters {
         offered: count("offered"),
         transit: count("transit"),
         seizures: count("seizures"),
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use mintstall_office::Tally;
+use mintstall_callcontrol::Counters;
 use mintstall_standin::{Day, Score};
 use serde::Serialize;
 
@@ -39,8 +39,14 @@
 }
 
 impl Report {
-    pub fn new(day: &Day, played: &'static str, score: Score, verdict: Verdict, tallies: &[Tally]) -> Self {
-        let sum = |of: fn(&Tally) -> u64| tallies.iter().map(of).sum();
+    pub fn new(
+        day: &Day,
+        played: &'static str,
+        score: Score,
+        verdict: Verdict,
+        tallies: &[Counters],
+    ) -> Self {
+        let sum = |of: fn(&Counters) -> u64| tallies.iter().map(of).sum();
         Self {
             day: day.name.clone(),
             seed: day.seed,
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -6,9 +6,9 @@
 
 use mintstall::interface::{CallId, ExchangeNumber};
 use mintstall_callapi::Final;
+use mintstall_callcontrol::{Answer, CallControl, CallControlActions, CallEnd};
 use mintstall_daemon::exchange::{final_answer, how_ended, order, processor_report};
 use mintstall_daemon::roster_lines;
-use mintstall_office::{Answer, CallEnd, Office, Plant};
 use mintstall_roster::{Limits, Roster, Told};
 use mintstall_standin::{Act, Day, Score, Wiring, Witness, World};
 
@@ -21,7 +21,7 @@
 
 /// One exchange's controller in virtual time.
 struct Seat {
-    office: Office,
+    office: CallControl,
     roster: Roster,
     /// The subscribers' numbers of the calls in hand, both ways. Emptied as calls end.
     calls: BTreeMap<u64, CallId>,
@@ -43,11 +43,11 @@
     notes: u64,
 }
 
-impl Plant for Notebook {
+impl CallControlActions for Notebook {
     fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.did.push(Did::Octets(to.0, octets.to_vec()));
     }
-    fn close(&mut self, to: ExchangeNumber, _: &str) {
+    fn close_link(&mut self, to: ExchangeNumber, _: &str) {
         self.did.push(Did::Closed(to.0));
     }
     fn answer(&mut self, call: CallId, answer: Answer) {
@@ -91,7 +91,7 @@
     /// When the last event was, on the day's clock.
     pub ended: Duration,
     pub events: u64,
-    pub tallies: Vec<mintstall_office::Tally>,
+    pub tallies: Vec<mintstall_callcontrol::Counters>,
     /// Circuits that carry nothing and are not free at the end, with offices and calls left.
     pub stuck: usize,
     pub calls_left: usize,
@@ -147,7 +147,7 @@
                 self.world.advance(now, w, &mut acts);
                 self.carry_out(now, &mut acts, w);
             } else if let Some((_, office)) = office {
-                self.with(now, office, w, |seat, now, plant| seat.office.ring(now, plant));
+                self.with(now, office, w, |seat, now, plant| seat.office.on_timer(now, plant));
                 self.carry_out(now, &mut acts, w);
             }
         }
@@ -164,12 +164,12 @@
                 self.world.advance(now, w, &mut acts);
                 self.carry_out(now, &mut acts, w);
             } else if let Some((_, office)) = self.alarms.first().copied() {
-                self.with(now, office, w, |seat, now, plant| seat.office.ring(now, plant));
+                self.with(now, office, w, |seat, now, plant| seat.office.on_timer(now, plant));
             }
         }
         let states: Vec<_> = self.seats.iter().flatten().map(|seat| seat.office.state()).collect();
         let stuck = states.iter().flat_map(|state| &state.groups);
-        let faults = self.seats.iter().flatten().flat_map(|seat| seat.office.faults());
+        let faults = self.seats.iter().flatten().flat_map(|seat| seat.office.inconsistencies());
         Played {
             faults: faults.collect(),
             score: self.world.score.clone(),
@@ -195,7 +195,7 @@
                 let config = config(&self.world, office, &Places::default());
                 let seed = config.seed.unwrap_or(0).wrapping_add(u64::from(incarnation) << 32);
                 let seat = Seat {
-                    office: Office::new(
+                    office: CallControl::new(
                         now + CLOCK_START,
                         &config.plan(),
                         u64::from(incarnation) << 11,
@@ -225,7 +225,7 @@
             }
             Act::Octets { office, from, octets } => {
                 self.with(now, office, w, |seat, now, plant| {
-                    seat.office.octets(now, plant, ExchangeNumber(from), &octets)
+                    seat.office.on_octets(now, plant, ExchangeNumber(from), &octets)
                 });
             }
             Act::Offer { office, offer } => self.with(now, office, w, |seat, now, plant| {
@@ -278,11 +278,11 @@
         now: Duration,
         no: u16,
         w: &mut dyn Witness,
-        f: impl FnOnce(&mut Seat, Duration, &mut dyn Plant),
+        f: impl FnOnce(&mut Seat, Duration, &mut dyn CallControlActions),
     ) {
         let Some(seat) = self.seats[usize::from(no) - 1].as_mut() else { return };
         f(seat, now + CLOCK_START, &mut self.book);
-        let alarm = seat.office.next_alarm().map(|at| at.saturating_sub(CLOCK_START));
+        let alarm = seat.office.next_timer().map(|at| at.saturating_sub(CLOCK_START));
         if alarm != seat.alarm {
             seat.alarm.into_iter().for_each(|at| _ = self.alarms.remove(&(at, no)));
             alarm.into_iter().for_each(|at| _ = self.alarms.insert((at, no)));
--- a/crates/lab/tests/model/offices.rs
+++ b/crates/lab/tests/model/offices.rs
@@ -5,10 +5,11 @@
 use std::time::Duration;
 
 use mintstall::interface::*;
-use mintstall_isup::{Body, Cic, Deframer, Frame, Iam, Message, Q850};
-use mintstall_office::{
-    Answer as Final, CallEnd, GroupPlan, NumberPlan, Office, OfficePlan, Order, Plant, Tally, Timers,
+use mintstall_callcontrol::{
+    Answer as Final, CallControl, CallControlActions, CallControlConfig, CallEnd, CallRequest, Counters,
+    GroupConfig, NumberPlan, Timers,
 };
+use mintstall_isup::{Body, Cic, Deframer, Frame, Iam, Message, Q850};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -34,7 +35,7 @@
 /// What a run has shown, besides the rules.
 pub struct Played {
     pub model: Model,
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<Counters>,
     pub seen: Seen,
 }
 
@@ -57,11 +58,11 @@
     closed: Vec<u16>,
 }
 
-impl Plant for Notebook {
+impl CallControlActions for Notebook {
     fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push((to.0, octets.to_vec()));
     }
-    fn close(&mut self, to: ExchangeNumber, _: &str) {
+    fn close_link(&mut self, to: ExchangeNumber, _: &str) {
         self.closed.push(to.0);
     }
     fn answer(&mut self, call: CallId, answer: Final) {
@@ -107,7 +108,7 @@
 }
 
 struct Seat {
-    office: Office,
+    office: CallControl,
     life: u32,
     stopping: Option<Duration>,
     let_go: Option<Duration>,
@@ -134,7 +135,7 @@
     dead_since: BTreeMap<u16, Duration>,
     open: BTreeSet<Whose>,
     seen: Seen,
-    tallies: Vec<Tally>,
+    tallies: Vec<Counters>,
     run: Run,
 }
 
@@ -157,20 +158,20 @@
     }
 }
 
-fn plan(own: u16, count: u16) -> OfficePlan {
+fn plan(own: u16, count: u16) -> CallControlConfig {
     let kinds = vec![
         call_type(1.0, 1, RepeatPolicy::Freely),
         call_type(3.0, 3, RepeatPolicy::Freely),
         call_type(8.0, 1, RepeatPolicy::Never),
     ];
     let others = (1..=count).filter(|other| *other != own);
-    OfficePlan {
+    CallControlConfig {
         own: ExchangeNumber(own),
         data: ControllerConfig { may_message_peers: true, ..office_data(own, kinds) },
-        groups: others.map(|to| GroupPlan { to: ExchangeNumber(to), circuits: CIRCUITS }).collect(),
+        groups: others.map(|to| GroupConfig { to: ExchangeNumber(to), circuits: CIRCUITS }).collect(),
         numbers: vec![NumberPlan { dialled: 77, lines: 1 }],
         timers: timers(),
-        most_calls: 1000,
+        max_calls: 1000,
         traces: 10,
     }
 }
@@ -284,9 +285,9 @@
                 self.with(no, |office, now, plant| _ = office.hang_up(now, plant, call));
             }
             Next::Ring(no) => {
-                let due = self.seats.get(&no).and_then(|seat| seat.office.next_alarm());
+                let due = self.seats.get(&no).and_then(|seat| seat.office.next_timer());
                 if due.is_some_and(|due| due <= self.now) {
-                    self.with(no, |office, now, plant| office.ring(now, plant));
+                    self.with(no, |office, now, plant| office.on_timer(now, plant));
                 }
             }
             Next::Octets { from, to, link: carried, octets } => {
@@ -298,7 +299,9 @@
                     return self.after(span, Next::Octets { from, to, link: carried, octets });
                 }
                 with_message(&octets, &mut |message| self.came(from, to, message));
-                self.with(to, |office, now, plant| office.octets(now, plant, ExchangeNumber(from), &octets));
+                self.with(to, |office, now, plant| {
+                    office.on_octets(now, plant, ExchangeNumber(from), &octets)
+                });
             }
             Next::Up(a, b) => {
                 if self.links[&link(a, b)].is_some() {
@@ -335,7 +338,8 @@
                 let life = self.life(no) + 1;
                 self.lives.insert(no, life);
                 let seed = self.chance.random();
-                let office = Office::new(self.now, &plan(no, self.run.offices), u64::from(life) << 11, seed);
+                let office =
+                    CallControl::new(self.now, &plan(no, self.run.offices), u64::from(life) << 11, seed);
                 self.seats.insert(no, Seat { office, life, stopping: None, let_go: None });
                 let lines: Vec<_> = self.lists[&no].values().copied().collect();
                 lines.iter().for_each(|line| self.note_told(no, line.number.0));
@@ -354,13 +358,13 @@
         self.model.note(self.now, who, What::Told { exchange: at.into(), takes });
     }
 
-    fn with(&mut self, no: u16, f: impl FnOnce(&mut Office, Duration, &mut Notebook)) {
+    fn with(&mut self, no: u16, f: impl FnOnce(&mut CallControl, Duration, &mut Notebook)) {
         let now = self.now;
         let Some(seat) = self.seats.get_mut(&no) else { return };
         let mut book = Notebook::default();
         f(&mut seat.office, now, &mut book);
-        assert_eq!(seat.office.faults(), Vec::<String>::new(), "seed {}, at {no}", self.run.seed);
-        if let Some(at) = seat.office.next_alarm() {
+        assert_eq!(seat.office.inconsistencies(), Vec::<String>::new(), "seed {}, at {no}", self.run.seed);
+        if let Some(at) = seat.office.next_timer() {
             self.after(at.saturating_sub(now), Next::Ring(no));
         }
         for (to, octets) in book.sent {
@@ -609,7 +613,7 @@
         };
         let left = [15, 60, 110, 500, 2000, 4000, 4000, 60_000][self.chance.random_range(0..8)];
         let dialled = if self.chance.random_bool(0.05) { 77 } else { self.chance.random_range(1000..1400) };
-        let order = Order {
+        let order = CallRequest {
             call_type: CallType(self.chance.random_range(0..3)),
             customer: CustomerId(0),
             dest: ExchangeNumber(dest),
@@ -674,7 +678,7 @@
             let seat = self.seats.get_mut(&no).unwrap();
             let since = seat.stopping.unwrap_or(now);
             match seat.let_go {
-                None if !seat.office.unsettled() || now >= since + STOP_WITHIN => {
+                None if !seat.office.has_unanswered_calls() || now >= since + STOP_WITHIN => {
                     seat.let_go = Some(now);
                     self.with(no, |office, now, plant| office.release_all(now, plant));
                     let seat = &self.seats[&no];
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -6,11 +6,11 @@
 
 use mintstall::interface::*;
 use mintstall_callapi::{Asked, Final, Heard, Offer, Request};
+use mintstall_callcontrol::{Answer, CallControl, CallControlActions, CallEnd};
 use mintstall_client::{Redial, RedialPlan};
 use mintstall_daemon::Config;
 use mintstall_daemon::exchange::{Exchange, LineNo, Port};
 use mintstall_isup::{Body, CauseIndicators, Cic, Data, Deframer, Frame, Location, Message, Q850, Rel};
-use mintstall_office::{Answer, CallEnd, Office, Plant};
 use serde_json::json;
 
 const START: Duration = Duration::from_secs(3600);
@@ -45,11 +45,11 @@
     fn note(&mut self, _: &str) {}
 }
 
-impl Plant for Wires {
+impl CallControlActions for Wires {
     fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push_back((self.from, to.0, octets.to_vec()));
     }
-    fn close(&mut self, _: ExchangeNumber, why: &str) {
+    fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
     fn answer(&mut self, _: CallId, _: Answer) {}
@@ -68,7 +68,7 @@
 struct Net {
     now: Duration,
     first: Exchange,
-    tandems: BTreeMap<u16, Office>,
+    tandems: BTreeMap<u16, CallControl>,
     wires: Wires,
     far: Far,
     line: LineNo,
@@ -107,7 +107,8 @@
         let news = json!({ "version": 1, "entries": [entry(1), entry(2), entry(3), entry(4)] });
         let note = mintstall_roster::FeedNote::Roster(serde_json::from_value(news).unwrap());
         first.feed_note(START, &mut wires, &note);
-        let tandem = |no: u16| Office::new(START, &config(no, &[(1, 310), (DEST, 310)]).plan(), 1, no.into());
+        let tandem =
+            |no: u16| CallControl::new(START, &config(no, &[(1, 310), (DEST, 310)]).plan(), 1, no.into());
         let (tandems, set_ups) = (TANDEMS.map(|no| (no, tandem(no))).into(), BTreeMap::new());
         let mut net = Self { now: START, first, tandems, wires, far, line, set_ups };
         for to in [DEST, TANDEMS[0], TANDEMS[1]] {
@@ -182,7 +183,7 @@
                     self.wires.sent.push_back((DEST, from, back));
                 }
             }
-            tandem => self.tandems.get_mut(&tandem).unwrap().octets(now, &mut self.wires, far, octets),
+            tandem => self.tandems.get_mut(&tandem).unwrap().on_octets(now, &mut self.wires, far, octets),
         }
     }
 
@@ -201,7 +202,7 @@
 
     fn pass_until(&mut self, end: Duration) {
         loop {
-            let tandems = self.tandems.iter().filter_map(|(no, office)| Some((office.next_alarm()?, *no)));
+            let tandems = self.tandems.iter().filter_map(|(no, office)| Some((office.next_timer()?, *no)));
             let next = tandems.chain(self.first.next_alarm().map(|at| (at, 1))).min();
             let Some((at, no)) = next.filter(|(at, _)| *at <= end) else { break };
             self.now = self.now.max(at);
@@ -209,7 +210,7 @@
             self.wires.from = no;
             match no {
                 1 => self.first.ring(now, &mut self.wires),
-                tandem => self.tandems.get_mut(&tandem).unwrap().ring(now, &mut self.wires),
+                tandem => self.tandems.get_mut(&tandem).unwrap().on_timer(now, &mut self.wires),
             }
             self.carry();
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -6,6 +6,7 @@
 use std::fmt;
 use std::time::Duration;
 
+// `logged as` gives the name that Debug writes, where log lines have another than the type.
 macro_rules! id {
     ($($(#[$doc:meta])* $name:ident($raw:ty) $(logged as $logged:literal)?;)*) => {$(
         $(#[$doc])*
