--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -101,11 +101,11 @@
         controller.on_offer(desk.now, &mut desk, offer);
         let now = desk.now;
         for (call, exchange) in std::mem::take(&mut desk.seized) {
-            let (seizure, after) = (SeizureNumber(0), Duration::from_millis(20));
+            let (seizure, elapsed) = (SeizureNumber(0), Duration::from_millis(20));
             controller.on_seizure_answered(
                 now,
                 &mut desk,
-                &SeizureAnswered { call, seizure, exchange, elapsed: after },
+                &SeizureAnswered { call, seizure, exchange, elapsed },
             );
             controller.on_capacity_report(now, &mut desk, exchange, &report);
         }
--- a/crates/benchlink/src/batch.rs
+++ b/crates/benchlink/src/batch.rs
@@ -140,7 +140,7 @@
     let call_type = CallType(fields.u8()?);
     let customer = CustomerId(fields.u16()?);
     let dialled = DialledNumber(fields.u64()?);
-    let until = fields.time()?;
+    let deadline = fields.time()?;
     let _predicted = fields.take(8)?;
     let Some(dest) = whole(fields.f32()?) else {
         return bad("work_item: dest is no number of an exchange");
@@ -153,7 +153,7 @@
         call_type,
         customer,
         dialled,
-        deadline: until,
+        deadline,
         dest: ExchangeNumber(dest),
         width,
         advised,
@@ -272,14 +272,14 @@
             let (call, seizure) = (CallId(f.u64()?), SeizureNumber(f.u8()?));
             let exchange = ExchangeId(f.u32()?);
             let code = f.u16()?;
-            let after = f.time()?;
+            let elapsed = f.time()?;
             let closed = f.u8()? != 0;
             let cause = cause(code, f.u32()?)?;
             controller.on_capacity_report(now, actions, exchange, &report(f, layout)?);
             controller.on_seizure_ended(
                 now,
                 actions,
-                &SeizureEnded { call, seizure, exchange, cause, elapsed: after, closed },
+                &SeizureEnded { call, seizure, exchange, cause, elapsed, closed },
             );
         }
         5 => controller.on_caller_gone(now, actions, CallId(f.u64()?)),
--- a/crates/callcontrol/src/context.rs
+++ b/crates/callcontrol/src/context.rs
@@ -195,7 +195,7 @@
         call: CallId,
         seizure: SeizureNumber,
         exchange: ExchangeId,
-        after: Duration,
+        elapsed: Duration,
         cause: Cause,
     ) {
         self.desk.after.push_back(Box::new(move |controller, w| {
@@ -203,11 +203,11 @@
             if let Some(leg) = w.desk.calls.get_mut(&call) {
                 leg.last = Some(cause);
             }
-            w.trace(call, TraceStep::SeizureEnded { no: seizure, cause, elapsed: after });
+            w.trace(call, TraceStep::SeizureEnded { no: seizure, cause, elapsed });
             controller.on_seizure_ended(
                 w.now,
                 w,
-                &SeizureEnded { call, seizure, exchange, cause, elapsed: after, closed },
+                &SeizureEnded { call, seizure, exchange, cause, elapsed, closed },
             );
             w.desk.finish(call);
         }));
--- a/crates/callcontrol/src/signalling.rs
+++ b/crates/callcontrol/src/signalling.rs
@@ -349,7 +349,7 @@
         let Some(leg) = self.desk.calls.get_mut(&call) else { return };
         let OutgoingSide::Seized(out) = std::mem::replace(&mut leg.sink, OutgoingSide::Open) else { return };
         self.desk.traces.step(now, call, TraceStep::Stands);
-        let (exchange, seizure, after, held) = (out.exchange, out.no, now - out.at, out.held.clone());
+        let (exchange, seizure, elapsed, held) = (out.exchange, out.no, now - out.at, out.held.clone());
         let set = [leg.guard.take(), leg.alarm.take(), out.limit];
         set.into_iter().flatten().for_each(|set| self.desk.timers.stop(set));
         leg.sink = OutgoingSide::Standing(OutgoingSeizure { limit: None, ..out });
@@ -373,11 +373,7 @@
                 Body::Anm { report: self.desk.report, other: Vec::new() },
             );
         }
-        controller.on_seizure_answered(
-            now,
-            self,
-            &SeizureAnswered { call, seizure, exchange, elapsed: after },
-        );
+        controller.on_seizure_answered(now, self, &SeizureAnswered { call, seizure, exchange, elapsed });
         // Where a seizure could not be cancelled, its caller had gone long ago.
         if let Some(CallRecord { source: IncomingSide::Gone, .. }) = self.desk.calls.get(&call) {
             self.caller_gone(controller, call, normal(Location::Local));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -212,9 +212,9 @@
         self.did();
     }
 
-    pub fn stands(&mut self, call: u64, seizure: u8, exchange: u32, after: Duration) {
+    pub fn stands(&mut self, call: u64, seizure: u8, exchange: u32, elapsed: Duration) {
         let (call, seizure, exchange) = (CallId(call), SeizureNumber(seizure), ExchangeId(exchange));
-        let stood = SeizureAnswered { call, seizure, exchange, elapsed: after };
+        let stood = SeizureAnswered { call, seizure, exchange, elapsed };
         self.controller.on_seizure_answered(self.notes.now, &mut self.notes, &stood);
     }
 
