--- a/crates/office/src/trace.rs
+++ b/crates/callcontrol/src/trace.rs
@@ -6,41 +6,41 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use mintstall::host::{CallId, Cause, ExchangeId, OfficeNo, SeizureNo};
+use mintstall::interface::{CallId, Cause, ExchangeId, ExchangeNumber, SeizureNumber};
 use mintstall_isup::{Cic, Identity, Q850};
 
-use crate::plant::{Answer, CallEnd};
+use crate::actions::{Answer, CallEnd};
 
 /// One thing that happened to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum TraceStep {
     /// A subscriber asked for it, waiting for so long.
     Offered {
         left: Duration,
     },
     /// It came in on a circuit.
     Arrived {
-        from: OfficeNo,
+        from: ExchangeNumber,
         cic: Cic,
     },
     /// Its seizure went out on the first of so many circuits, to be given up after `limit`.
     Seized {
-        no: SeizureNo,
+        no: SeizureNumber,
         exchange: ExchangeId,
-        to: OfficeNo,
+        to: ExchangeNumber,
         cic: Cic,
         circuits: u16,
         limit: Duration,
     },
     /// The far end has all digits.
     Alerted {
-        no: SeizureNo,
+        no: SeizureNumber,
     },
     /// A seizure ended, or was never sent.
     SeizureEnded {
-        no: SeizureNo,
+        no: SeizureNumber,
         cause: Cause,
-        after: Duration,
+        elapsed: Duration,
     },
     /// It stands: through this exchange, or at a number here.
     Stands,
@@ -60,17 +60,17 @@
 pub struct Trace {
     pub call: CallId,
     pub identity: Identity,
-    pub dest: OfficeNo,
+    pub dest: ExchangeNumber,
     pub dialled: u64,
     /// With the time of each, on the office's clock.
-    pub steps: Vec<(Duration, Step)>,
+    pub steps: Vec<(Duration, TraceStep)>,
     /// Steps that there was no room for.
     pub left_out: u32,
 }
 
 impl Trace {
     /// What a caller sees last, or would.
-    pub fn last(&self) -> Option<&(Duration, Step)> {
+    pub fn last(&self) -> Option<&(Duration, TraceStep)> {
         self.steps.last()
     }
 
@@ -80,8 +80,8 @@
             .iter()
             .fold((0usize, 0usize), |(out, most), (_, step)| {
                 let out = match step {
-                    Step::Seized { .. } => out + 1,
-                    Step::SeizureEnded { .. } => out.saturating_sub(1),
+                    TraceStep::Seized { .. } => out + 1,
+                    TraceStep::SeizureEnded { .. } => out.saturating_sub(1),
                     _ => out,
                 };
                 (out, most.max(out))
@@ -112,9 +112,9 @@
         at: Duration,
         call: CallId,
         identity: Identity,
-        dest: OfficeNo,
+        dest: ExchangeNumber,
         dialled: u64,
-        step: Step,
+        step: TraceStep,
     ) {
         if self.most == 0 {
             return;
@@ -132,7 +132,7 @@
         self.calls.insert(call, Trace { call, identity, dest, dialled, steps, left_out: 0 });
     }
 
-    pub fn step(&mut self, at: Duration, call: CallId, step: Step) {
+    pub fn step(&mut self, at: Duration, call: CallId, step: TraceStep) {
         if let Some(trace) = self.calls.get_mut(&call) {
             if trace.steps.len() < STEPS {
                 trace.steps.push((at, step));
@@ -147,7 +147,7 @@
     }
 
     /// The traces here of a call that another exchange took: more than one if it came again.
-    pub fn of(&self, origin: OfficeNo, call: u64) -> impl Iterator<Item = &Trace> {
+    pub fn of(&self, origin: ExchangeNumber, call: u64) -> impl Iterator<Item = &Trace> {
         let same = move |trace: &&Trace| trace.identity.origin == origin.0 && trace.identity.call == call;
         self.calls.values().filter(same)
     }
@@ -175,8 +175,8 @@
     }
 
     fn begin(traces: &mut Traces, call: u64) {
-        let step = Step::Offered { left: Duration::from_secs(3) };
-        traces.begin(Duration::ZERO, CallId(call), identity(call), OfficeNo(2), 5, step);
+        let step = TraceStep::Offered { left: Duration::from_secs(3) };
+        traces.begin(Duration::ZERO, CallId(call), identity(call), ExchangeNumber(2), 5, step);
     }
 
     #[test]
@@ -194,10 +194,10 @@
     fn a_call_that_does_too_much_says_how_much_was_left_out() {
         let mut traces = Traces::new(3);
         begin(&mut traces, 1);
-        (0..40).for_each(|_| traces.step(Duration::ZERO, CallId(1), Step::Stands));
+        (0..40).for_each(|_| traces.step(Duration::ZERO, CallId(1), TraceStep::Stands));
         let trace = traces.get(CallId(1)).unwrap();
         assert_eq!((trace.steps.len(), trace.left_out), (STEPS, 17));
-        assert_eq!(traces.of(OfficeNo(7), 1).count(), 1);
-        assert_eq!(traces.of(OfficeNo(8), 1).count(), 0);
+        assert_eq!(traces.of(ExchangeNumber(7), 1).count(), 1);
+        assert_eq!(traces.of(ExchangeNumber(8), 1).count(), 0);
     }
 }
--- a/crates/office/tests/common/mod.rs
+++ b/crates/callcontrol/tests/common/mod.rs
@@ -6,23 +6,23 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use mintstall::host::*;
+use mintstall::interface::*;
+use mintstall_callcontrol::*;
 use mintstall_isup::{Data, Deframer, Frame, Message};
-use mintstall_office::*;
 
 #[derive(Default)]
 pub struct Wires {
-    pub sent: VecDeque<(OfficeNo, Vec<u8>)>,
+    pub sent: VecDeque<(ExchangeNumber, Vec<u8>)>,
     pub answers: Vec<(CallId, Answer)>,
     pub ended: Vec<(CallId, CallEnd)>,
-    pub closed: Vec<(OfficeNo, String)>,
+    pub closed: Vec<(ExchangeNumber, String)>,
 }
 
-impl Plant for Wires {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+impl CallControlActions for Wires {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push_back((to, octets.to_vec()));
     }
-    fn close(&mut self, to: OfficeNo, why: &str) {
+    fn close_link(&mut self, to: ExchangeNumber, why: &str) {
         self.closed.push((to, why.to_string()));
     }
     fn answer(&mut self, call: CallId, answer: Answer) {
@@ -36,43 +36,43 @@
 
 pub struct Table {
     pub now: Duration,
-    pub offices: BTreeMap<u16, (Office, Wires)>,
+    pub offices: BTreeMap<u16, (CallControl, Wires)>,
 }
 
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-pub fn plan(own: u16, others: &[u16], circuits: u16) -> OfficePlan {
-    let call_type = |revenue, width| CallTypeData {
+pub fn plan(own: u16, others: &[u16], circuits: u16) -> CallControlConfig {
+    let call_type = |revenue, width| CallTypeConfig {
         setup_target: ms(2000),
         guard_time: ms(9000),
         revenue,
         width,
         mean_hold: ms(10_000),
-        repeats: Repeats::Freely,
+        repeats: RepeatPolicy::Freely,
         pools: Vec::new(),
     };
-    OfficePlan {
-        own: OfficeNo(own),
-        data: OfficeData {
-            own: Some(OfficeNo(own)),
+    CallControlConfig {
+        own: ExchangeNumber(own),
+        data: ControllerConfig {
+            own: Some(ExchangeNumber(own)),
             call_types: vec![call_type(1.0, 1), call_type(3.0, 3)],
             seizure_limit: 4,
             may_cancel: true,
-            longest_come_back: ms(2000),
+            max_retry_after: ms(2000),
             must_subscribe: false,
-            may_tell: false,
-            fall_multiple: 2.0,
+            may_message_peers: false,
+            overload_multiple: 2.0,
             cold_share: 0.3,
             warm_up: ms(10_000),
             release_wait: ms(200),
-            repeat_after: Duration::ZERO,
+            retransmit_after: Duration::ZERO,
         },
-        groups: others.iter().map(|to| GroupPlan { to: OfficeNo(*to), circuits }).collect(),
+        groups: others.iter().map(|to| GroupConfig { to: ExchangeNumber(*to), circuits }).collect(),
         numbers: vec![NumberPlan { dialled: 77, lines: 1 }],
         timers: Timers { t1: ms(1000), t5: ms(5000), ..Timers::default() },
-        most_calls: 1000,
+        max_calls: 1000,
         traces: 100,
     }
 }
@@ -84,46 +84,46 @@
         let all: Vec<u16> = (1..=count).collect();
         for own in &all {
             let others: Vec<_> = all.iter().copied().filter(|other| other != own).collect();
-            let office = Office::new(table.now, &plan(*own, &others, circuits), 1, (*own).into());
+            let office = CallControl::new(table.now, &plan(*own, &others, circuits), 1, (*own).into());
             table.offices.insert(*own, (office, Wires::default()));
         }
         all.iter().for_each(|own| table.listed(*own));
         for (a, b) in all.iter().flat_map(|a| all.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b) {
-            table.with(a, |office, now, wires| office.link_up(now, wires, OfficeNo(b)));
+            table.with(a, |office, now, wires| office.link_up(now, wires, ExchangeNumber(b)));
         }
         table.carry();
         table
     }
 
     pub fn listed(&mut self, own: u16) {
-        let line = |no: &u16| RosterLine {
-            exchange: ExchangeId(u32::from(*no) * 10),
-            office: OfficeNo(*no),
+        let line = |no: &u16| ExchangeEntry {
+            id: ExchangeId(u32::from(*no) * 10),
+            number: ExchangeNumber(*no),
             zone: Zone(0),
-            standing: Standing::Ready,
+            status: ExchangeStatus::Ready,
             started: Duration::ZERO,
         };
         let lines: Vec<_> = self.offices.keys().map(line).collect();
         self.with(own, |office, now, wires| office.roster(now, wires, &lines));
     }
 
-    pub fn with<R>(&mut self, own: u16, f: impl FnOnce(&mut Office, Duration, &mut Wires) -> R) -> R {
+    pub fn with<R>(&mut self, own: u16, f: impl FnOnce(&mut CallControl, Duration, &mut Wires) -> R) -> R {
         let now = self.now;
         let (office, wires) = self.offices.get_mut(&own).unwrap();
         let result = f(office, now, wires);
         // After whatever happens its books agree.
-        assert_eq!(office.faults(), Vec::<String>::new(), "at {own}");
+        assert_eq!(office.inconsistencies(), Vec::<String>::new(), "at {own}");
         result
     }
 
     pub fn call(&mut self, from: u16, dest: u16, dialled: u64, call_type: u8) -> CallId {
         self.with(from, |office, now, wires| {
             let call = office.next_call();
-            let order = Order {
+            let order = CallRequest {
                 call_type: CallType(call_type),
-                customer: CustomerNo(0),
-                dest: OfficeNo(dest),
-                dialled: Dialled(dialled),
+                customer: CustomerId(0),
+                dest: ExchangeNumber(dest),
+                dialled: DialledNumber(dialled),
                 left: ms(3000),
                 advised: None,
                 cut: false,
@@ -143,7 +143,7 @@
     }
 
     pub fn give(&mut self, from: u16, to: u16, octets: &[u8]) {
-        self.with(to, |office, now, wires| office.octets(now, wires, OfficeNo(from), octets));
+        self.with(to, |office, now, wires| office.on_octets(now, wires, ExchangeNumber(from), octets));
     }
 
     /// Carries all over until nothing is left to carry; returns the names of the messages, in order.
@@ -163,10 +163,10 @@
         let end = self.now + span;
         loop {
             let due =
-                self.offices.iter().filter_map(|(no, (office, _))| Some((office.next_alarm()?, *no))).min();
+                self.offices.iter().filter_map(|(no, (office, _))| Some((office.next_timer()?, *no))).min();
             let Some((at, no)) = due.filter(|(at, _)| *at <= end) else { break };
             self.now = at;
-            self.with(no, |office, now, wires| office.ring(now, wires));
+            self.with(no, |office, now, wires| office.on_timer(now, wires));
         }
         self.now = end;
     }
@@ -174,13 +174,13 @@
     pub fn cut(&mut self, a: u16, b: u16) {
         self.take(a, b);
         self.take(b, a);
-        self.with(a, |office, now, wires| office.link_down(now, wires, OfficeNo(b)));
-        self.with(b, |office, now, wires| office.link_down(now, wires, OfficeNo(a)));
+        self.with(a, |office, now, wires| office.link_down(now, wires, ExchangeNumber(b)));
+        self.with(b, |office, now, wires| office.link_down(now, wires, ExchangeNumber(a)));
     }
 
     pub fn mend(&mut self, a: u16, b: u16) {
-        self.with(a, |office, now, wires| office.link_up(now, wires, OfficeNo(b)));
-        self.with(b, |office, now, wires| office.link_up(now, wires, OfficeNo(a)));
+        self.with(a, |office, now, wires| office.link_up(now, wires, ExchangeNumber(b)));
+        self.with(b, |office, now, wires| office.link_up(now, wires, ExchangeNumber(a)));
     }
 
     pub fn answers(&mut self, own: u16) -> Vec<(CallId, Answer)> {
@@ -191,19 +191,19 @@
         std::mem::take(&mut self.offices.get_mut(&own).unwrap().1.ended)
     }
 
-    pub fn group(&self, own: u16, to: u16) -> GroupState {
+    pub fn group(&self, own: u16, to: u16) -> GroupStatus {
         let state = self.offices[&own].0.state();
         state.groups.into_iter().find(|group| group.to.0 == to).unwrap()
     }
 
-    pub fn tally(&self, own: u16) -> Tally {
+    pub fn tally(&self, own: u16) -> Counters {
         self.offices[&own].0.state().tally
     }
 
     /// Every circuit idle and every call forgotten, at all offices.
     pub fn all_quiet(&self) {
         for (office, _) in self.offices.values() {
-            assert_eq!(office.faults(), Vec::<String>::new());
+            assert_eq!(office.inconsistencies(), Vec::<String>::new());
             let state = office.state();
             assert_eq!((state.calls, state.owed), (0, 0), "calls left at {:?}", state.own);
             let busy: Vec<_> = state.groups.iter().filter(|group| group.free != group.circuits).collect();
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -3,20 +3,24 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use mintstall::host::{
-    CallId, CallType, CustomerNo, Dialled, ExchangeId, OfficeNo, RosterLine, Standing as HostStanding, Zone,
+use mintstall::interface::{
+    CallId, CallType, CustomerId, DialledNumber, ExchangeEntry, ExchangeId, ExchangeNumber, ExchangeStatus,
+    Zone,
 };
 use mintstall_callapi::{
     Answered, Asked, CallEvent, CallState, CallTrace, Done, EndedNote, Fault, Final, Happened, Hello, How,
     LineCutter, MissedNote, NewsNote, Offer, Request, SessionLimits, State, Subscribed, TraceGet, Traced,
     Welcome, code, ended_text, fault_text, notice_text, result_text,
 };
+use mintstall_callcontrol::{
+    Answer, CallControl, CallControlActions, CallControlStatus, CallEnd, CallRequest, LinkStatus, Trace,
+    TraceStep,
+};
 use mintstall_isup::Report;
 use mintstall_limits::{
     Admission, Backlog, Denied, Fate, Grant, News, Opening, Refusal, Repeat, Repeats, Resumable, Scope, Sees,
     SessionKey, SessionNo, Tokens, Verdict,
 };
-use mintstall_office::{Answer, CallEnd, LinkState, Office, OfficeState, Order, Plant, Step, Trace};
 use mintstall_roster::{
     Ask, FeedNote, Limits, Refusal as RosterRefusal, Reply, Roster, Standing, Told, Verdict as RosterVerdict,
 };
@@ -34,8 +38,8 @@
 
 /// What an exchange acts through.
 pub trait Port {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]);
-    fn close_link(&mut self, to: OfficeNo, why: &str);
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]);
+    fn close_link(&mut self, to: ExchangeNumber, why: &str);
     /// A text for a subscriber line, its end not included.
     fn say(&mut self, line: LineNo, text: &str);
     fn close_line(&mut self, line: LineNo, why: &str);
@@ -83,7 +87,7 @@
 struct Asker {
     line: LineNo,
     session: SessionNo,
-    customer: CustomerNo,
+    customer: CustomerId,
     progress: Progress,
     call: u64,
     id: Option<Value>,
@@ -118,7 +122,7 @@
 }
 
 pub struct Exchange {
-    pub office: Office,
+    pub office: CallControl,
     admission: Admission<Pending>,
     tokens: Tokens,
     resumable: Resumable,
@@ -150,15 +154,15 @@
 }
 
 /// A roster's lines as the decisions read them.
-pub fn roster_lines(held: &[mintstall_roster::Held]) -> Vec<RosterLine> {
-    let line = |held: &mintstall_roster::Held| RosterLine {
-        exchange: ExchangeId(held.entry.exchange),
-        office: OfficeNo(held.entry.office),
+pub fn roster_lines(held: &[mintstall_roster::Held]) -> Vec<ExchangeEntry> {
+    let line = |held: &mintstall_roster::Held| ExchangeEntry {
+        id: ExchangeId(held.entry.exchange),
+        number: ExchangeNumber(held.entry.office),
         zone: Zone(held.entry.region),
-        standing: match held.entry.standing {
-            Standing::Ready => HostStanding::Ready,
-            Standing::Draining => HostStanding::Draining,
-            Standing::Gone => HostStanding::Gone,
+        status: match held.entry.standing {
+            Standing::Ready => ExchangeStatus::Ready,
+            Standing::Draining => ExchangeStatus::Draining,
+            Standing::Gone => ExchangeStatus::Gone,
         },
         started: held.started,
     };
@@ -172,11 +176,11 @@
     ends: Vec<(CallId, CallEnd)>,
 }
 
-impl Plant for Wire<'_> {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+impl CallControlActions for Wire<'_> {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.port.send(to, octets);
     }
-    fn close(&mut self, to: OfficeNo, why: &str) {
+    fn close_link(&mut self, to: ExchangeNumber, why: &str) {
         self.port.close_link(to, why);
     }
     fn answer(&mut self, call: CallId, answer: Answer) {
@@ -194,9 +198,9 @@
     /// `now` must be well above zero: it is the clock on which processors that started earlier are told.
     pub fn new(now: Duration, config: &Config, incarnation: u64, seed: u64) -> Self {
         let seed = own_seed(config.exchange, seed);
-        let shares = (0..).map(CustomerNo).zip(config.customers.iter().map(|customer| customer.share));
+        let shares = (0..).map(CustomerId).zip(config.customers.iter().map(|customer| customer.share));
         Self {
-            office: Office::new(now, &config.plan(), incarnation, seed),
+            office: CallControl::new(now, &config.plan(), incarnation, seed),
             admission: Admission::new(now, config.limits.limits(), shares.collect(), seed),
             tokens: Tokens::open(),
             resumable: Resumable::new(
@@ -224,7 +228,7 @@
         &mut self,
         now: Duration,
         port: &mut dyn Port,
-        f: impl FnOnce(&mut Office, &mut Wire) -> R,
+        f: impl FnOnce(&mut CallControl, &mut Wire) -> R,
     ) -> R {
         let mut wire = Wire { port, answers: Vec::new(), ends: Vec::new() };
         let result = f(&mut self.office, &mut wire);
@@ -290,17 +294,17 @@
         Some(asker)
     }
 
-    pub fn link_up(&mut self, now: Duration, port: &mut dyn Port, to: OfficeNo) {
+    pub fn link_up(&mut self, now: Duration, port: &mut dyn Port, to: ExchangeNumber) {
         self.with(now, port, |office, wire| office.link_up(now, wire, to));
     }
 
-    pub fn link_down(&mut self, now: Duration, port: &mut dyn Port, to: OfficeNo) {
+    pub fn link_down(&mut self, now: Duration, port: &mut dyn Port, to: ExchangeNumber) {
         self.with(now, port, |office, wire| office.link_down(now, wire, to));
         self.take_ready(now, port);
     }
 
-    pub fn link_octets(&mut self, now: Duration, port: &mut dyn Port, from: OfficeNo, octets: &[u8]) {
-        self.with(now, port, |office, wire| office.octets(now, wire, from, octets));
+    pub fn link_octets(&mut self, now: Duration, port: &mut dyn Port, from: ExchangeNumber, octets: &[u8]) {
+        self.with(now, port, |office, wire| office.on_octets(now, wire, from, octets));
         self.take_ready(now, port);
     }
 
@@ -312,13 +316,13 @@
         if !over.is_empty() {
             self.end_sessions(now, port, &over);
         }
-        self.with(now, port, |office, wire| office.ring(now, wire));
+        self.with(now, port, |office, wire| office.on_timer(now, wire));
         self.take_ready(now, port);
     }
 
     /// When [`Exchange::ring`] is next to be called.
     pub fn next_alarm(&self) -> Option<Duration> {
-        let all = [self.office.next_alarm(), self.admission.next_alarm(), self.resumable.next_alarm()];
+        let all = [self.office.next_timer(), self.admission.next_alarm(), self.resumable.next_alarm()];
         all.into_iter().flatten().min()
     }
 
@@ -589,7 +593,7 @@
     /// An offer goes to the decisions, with the time that its caller has left.
     fn take(&mut self, now: Duration, port: &mut dyn Port, pending: Pending) {
         let Pending { line, session, id, offer, since } = pending;
-        let customer = CustomerNo(offer.customer);
+        let customer = CustomerId(offer.customer);
         let Some(held) = self.lines.get_mut(&line) else {
             // Its line closed as its turn came: its place goes on.
             let log = &mut |text: &str| port.note(text);
@@ -687,7 +691,7 @@
     ) -> Result<(), Fault> {
         let held = self.lines.get_mut(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed =
-            self.tokens.check(held.token.as_deref(), Scope::Offer, Some(CustomerNo(offer.customer)));
+            self.tokens.check(held.token.as_deref(), Scope::Offer, Some(CustomerId(offer.customer)));
         allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
         if let Repeat::Answered(answered) = self.repeats.offer(now, held.session, offer.call) {
             id.iter().for_each(|id| port.say(line, &result_text(id, answered)));
@@ -698,7 +702,7 @@
         }
         let session = held.session;
         let pending = Pending { line, session, id: id.clone(), offer: offer.clone(), since: now };
-        let (customer, left) = (CustomerNo(offer.customer), Duration::from_millis(offer.time_left_ms.into()));
+        let (customer, left) = (CustomerId(offer.customer), Duration::from_millis(offer.time_left_ms.into()));
         let log = &mut |text: &str| port.note(text);
         let (verdict, displaced) = self.admission.offer(now, session, customer, left, pending, log);
         match verdict {
@@ -776,7 +780,7 @@
         allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
         let sees = self.tokens.named(held.token.as_deref()).map_or(Sees::All, Grant::sees);
         let mut traces = self.traces(get.origin, get.exchange_call);
-        traces.retain(|trace| sees.includes(CustomerNo(trace.customer)));
+        traces.retain(|trace| sees.includes(CustomerId(trace.customer)));
         if traces.is_empty() {
             let why = format!("call {} is not among the last calls", get.exchange_call);
             return Err(Fault::new(code::UNKNOWN_CALL, why));
@@ -841,7 +845,9 @@
                 new
             }
             FeedNote::Circuits { to, in_service } => {
-                self.with(now, port, |office, wire| office.circuits(now, wire, OfficeNo(*to), *in_service));
+                self.with(now, port, |office, wire| {
+                    office.circuits(now, wire, ExchangeNumber(*to), *in_service)
+                });
                 false
             }
             FeedNote::Processor(note) => {
@@ -882,20 +888,20 @@
     /// What became here of a call that an exchange took; of one taken here, where none is named.
     pub fn traces(&self, origin: Option<u16>, call: u64) -> Vec<CallTrace> {
         match origin.filter(|origin| *origin != self.office.own().0) {
-            Some(origin) => self.office.traces_of(OfficeNo(origin), call).map(trace_json).collect(),
+            Some(origin) => self.office.traces_of(ExchangeNumber(origin), call).map(trace_json).collect(),
             None => self.office.trace(CallId(call)).into_iter().map(trace_json).collect(),
         }
     }
 
     pub fn status(&self) -> Value {
-        let OfficeState { own, tally, calls, owed, timers, traces, groups } = self.office.state();
+        let CallControlStatus { own, tally, calls, owed, timers, traces, groups } = self.office.state();
         let groups: Vec<Value> = groups
             .iter()
             .map(|group| {
                 let link = match group.link {
-                    LinkState::Down => "down",
-                    LinkState::Opening => "opening",
-                    LinkState::Up => "up",
+                    LinkStatus::Down => "down",
+                    LinkStatus::Opening => "opening",
+                    LinkStatus::Up => "up",
                 };
                 json!({
                     "to": group.to.0, "link": link, "circuits": group.circuits, "free": group.free,
@@ -947,37 +953,37 @@
     }
 }
 
-fn step_json(step: &Step) -> Value {
+fn step_json(step: &TraceStep) -> Value {
     let ms = |span: &Duration| span.as_micros() as f64 / 1e3;
     match step {
-        Step::Offered { left } => json!({ "step": "offered", "left_ms": ms(left) }),
-        Step::Arrived { from, cic } => json!({ "step": "arrived", "from": from.0, "circuit": cic.0 }),
-        Step::Seized { no, exchange, to, cic, circuits, limit } => json!({
+        TraceStep::Offered { left } => json!({ "step": "offered", "left_ms": ms(left) }),
+        TraceStep::Arrived { from, cic } => json!({ "step": "arrived", "from": from.0, "circuit": cic.0 }),
+        TraceStep::Seized { no, exchange, to, cic, circuits, limit } => json!({
             "step": "seized", "seizure": no.0, "exchange": exchange.0, "to": to.0, "circuit": cic.0,
             "circuits": circuits, "limit_ms": ms(limit),
         }),
-        Step::Alerted { no } => json!({ "step": "address complete", "seizure": no.0 }),
-        Step::SeizureEnded { no, cause, after } => {
-            json!({ "step": "seizure ended", "seizure": no.0, "cause": format!("{cause:?}"), "after_ms": ms(after) })
+        TraceStep::Alerted { no } => json!({ "step": "address complete", "seizure": no.0 }),
+        TraceStep::SeizureEnded { no, cause, elapsed } => {
+            json!({ "step": "seizure ended", "seizure": no.0, "cause": format!("{cause:?}"), "after_ms": ms(elapsed) })
         }
-        Step::Stands => json!({ "step": "stands" }),
-        Step::StandsHere => json!({ "step": "stands here" }),
-        Step::Answered(answer) => json!({ "step": "answered", "answer": final_answer(*answer) }),
-        Step::TurnedBack(cause) => json!({ "step": "turned back", "cause": cause.value() }),
-        Step::CallerGone(cause) => json!({ "step": "caller gone", "cause": cause.value() }),
-        Step::Ended(end) => json!({ "step": "ended", "how": how_ended(*end) }),
+        TraceStep::Stands => json!({ "step": "stands" }),
+        TraceStep::StandsHere => json!({ "step": "stands here" }),
+        TraceStep::Answered(answer) => json!({ "step": "answered", "answer": final_answer(*answer) }),
+        TraceStep::TurnedBack(cause) => json!({ "step": "turned back", "cause": cause.value() }),
+        TraceStep::CallerGone(cause) => json!({ "step": "caller gone", "cause": cause.value() }),
+        TraceStep::Ended(end) => json!({ "step": "ended", "how": how_ended(*end) }),
     }
 }
 
 /// A call as its subscriber's message asks for it.
-pub fn order(offer: &Offer) -> Order {
-    Order {
+pub fn order(offer: &Offer) -> CallRequest {
+    CallRequest {
         call_type: CallType(offer.call_type),
-        customer: CustomerNo(offer.customer),
-        dest: OfficeNo(offer.dest),
-        dialled: Dialled(offer.number),
+        customer: CustomerId(offer.customer),
+        dest: ExchangeNumber(offer.dest),
+        dialled: DialledNumber(offer.number),
         left: Duration::from_millis(offer.time_left_ms.into()),
-        advised: offer.advised.map(OfficeNo),
+        advised: offer.advised.map(ExchangeNumber),
         cut: offer.cut,
         redial: offer.redial,
     }
@@ -986,7 +992,7 @@
 pub fn final_answer(answer: Answer) -> Final {
     match answer {
         Answer::Stands => Final::Stands,
-        Answer::Refused { come_back } => Final::Refused { come_back_ms: come_back.as_millis() as u32 },
+        Answer::Refused { retry_after } => Final::Refused { come_back_ms: retry_after.as_millis() as u32 },
         Answer::Fails => Final::Fails,
     }
 }
--- a/crates/lab/tests/model/offices.rs
+++ b/crates/lab/tests/model/offices.rs
@@ -4,11 +4,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use mintstall::host::*;
-use mintstall_isup::{Body, Cic, Deframer, Frame, Iam, Message, Q850};
-use mintstall_office::{
-    Answer as Final, CallEnd, GroupPlan, NumberPlan, Office, OfficePlan, Order, Plant, Tally, Timers,
+use mintstall::interface::*;
+use mintstall_callcontrol::{
+    Answer as Final, CallControl, CallControlActions, CallControlConfig, CallEnd, CallRequest, Counters,
+    GroupConfig, NumberPlan, Timers,
 };
+use mintstall_isup::{Body, Cic, Deframer, Frame, Iam, Message, Q850};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -34,7 +35,7 @@
 /// What a run has shown, besides the rules.
 pub struct Played {
     pub model: Model,
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<Counters>,
     pub seen: Seen,
 }
 
@@ -57,11 +58,11 @@
     closed: Vec<u16>,
 }
 
-impl Plant for Notebook {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+impl CallControlActions for Notebook {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push((to.0, octets.to_vec()));
     }
-    fn close(&mut self, to: OfficeNo, _: &str) {
+    fn close_link(&mut self, to: ExchangeNumber, _: &str) {
         self.closed.push(to.0);
     }
     fn answer(&mut self, call: CallId, answer: Final) {
@@ -99,7 +100,7 @@
     Ring(u16),
     Octets { from: u16, to: u16, link: u64, octets: Vec<u8> },
     Up(u16, u16),
-    Lists(u16, RosterLine),
+    Lists(u16, ExchangeEntry),
     Trouble,
     Stop(u16),
     Gone(u16),
@@ -107,7 +108,7 @@
 }
 
 struct Seat {
-    office: Office,
+    office: CallControl,
     life: u32,
     stopping: Option<Duration>,
     let_go: Option<Duration>,
@@ -121,7 +122,7 @@
     model: Model,
     seats: BTreeMap<u16, Seat>,
     lives: BTreeMap<u16, u32>,
-    lists: BTreeMap<u16, BTreeMap<u32, RosterLine>>,
+    lists: BTreeMap<u16, BTreeMap<u32, ExchangeEntry>>,
     machines: BTreeMap<u16, u32>,
     /// Each connection has a number; octets of one that is gone are lost. None: it is down.
     links: BTreeMap<(u16, u16), Option<u64>>,
@@ -134,7 +135,7 @@
     dead_since: BTreeMap<u16, Duration>,
     open: BTreeSet<Whose>,
     seen: Seen,
-    tallies: Vec<Tally>,
+    tallies: Vec<Counters>,
     run: Run,
 }
 
@@ -157,20 +158,20 @@
     }
 }
 
-fn plan(own: u16, count: u16) -> OfficePlan {
+fn plan(own: u16, count: u16) -> CallControlConfig {
     let kinds = vec![
-        call_type(1.0, 1, Repeats::Freely),
-        call_type(3.0, 3, Repeats::Freely),
-        call_type(8.0, 1, Repeats::Never),
+        call_type(1.0, 1, RepeatPolicy::Freely),
+        call_type(3.0, 3, RepeatPolicy::Freely),
+        call_type(8.0, 1, RepeatPolicy::Never),
     ];
     let others = (1..=count).filter(|other| *other != own);
-    OfficePlan {
-        own: OfficeNo(own),
-        data: OfficeData { may_tell: true, ..office_data(own, kinds) },
-        groups: others.map(|to| GroupPlan { to: OfficeNo(to), circuits: CIRCUITS }).collect(),
+    CallControlConfig {
+        own: ExchangeNumber(own),
+        data: ControllerConfig { may_message_peers: true, ..office_data(own, kinds) },
+        groups: others.map(|to| GroupConfig { to: ExchangeNumber(to), circuits: CIRCUITS }).collect(),
         numbers: vec![NumberPlan { dialled: 77, lines: 1 }],
         timers: timers(),
-        most_calls: 1000,
+        max_calls: 1000,
         traces: 10,
     }
 }
@@ -197,14 +198,14 @@
 
 pub fn play(run: Run) -> Played {
     let count = run.offices;
-    let line = |office: u16| RosterLine {
-        exchange: ExchangeId(office.into()),
-        office: OfficeNo(office),
+    let line = |office: u16| ExchangeEntry {
+        id: ExchangeId(office.into()),
+        number: ExchangeNumber(office),
         zone: Zone(0),
-        standing: Standing::Ready,
+        status: ExchangeStatus::Ready,
         started: Duration::ZERO,
     };
-    let list: BTreeMap<u32, RosterLine> = (1..=count).map(|no| (no.into(), line(no))).collect();
+    let list: BTreeMap<u32, ExchangeEntry> = (1..=count).map(|no| (no.into(), line(no))).collect();
     let pairs = (1..=count).flat_map(|a| (a + 1..=count).map(move |b| (a, b)));
     let mut w = World {
         now: START,
@@ -284,9 +285,9 @@
                 self.with(no, |office, now, plant| _ = office.hang_up(now, plant, call));
             }
             Next::Ring(no) => {
-                let due = self.seats.get(&no).and_then(|seat| seat.office.next_alarm());
+                let due = self.seats.get(&no).and_then(|seat| seat.office.next_timer());
                 if due.is_some_and(|due| due <= self.now) {
-                    self.with(no, |office, now, plant| office.ring(now, plant));
+                    self.with(no, |office, now, plant| office.on_timer(now, plant));
                 }
             }
             Next::Octets { from, to, link: carried, octets } => {
@@ -298,7 +299,9 @@
                     return self.after(span, Next::Octets { from, to, link: carried, octets });
                 }
                 with_message(&octets, &mut |message| self.came(from, to, message));
-                self.with(to, |office, now, plant| office.octets(now, plant, OfficeNo(from), &octets));
+                self.with(to, |office, now, plant| {
+                    office.on_octets(now, plant, ExchangeNumber(from), &octets)
+                });
             }
             Next::Up(a, b) => {
                 if self.links[&link(a, b)].is_some() {
@@ -309,16 +312,16 @@
                 }
                 self.last_link += 1;
                 self.links.insert(link(a, b), Some(self.last_link));
-                self.with(a, |office, now, plant| office.link_up(now, plant, OfficeNo(b)));
-                self.with(b, |office, now, plant| office.link_up(now, plant, OfficeNo(a)));
+                self.with(a, |office, now, plant| office.link_up(now, plant, ExchangeNumber(b)));
+                self.with(b, |office, now, plant| office.link_up(now, plant, ExchangeNumber(a)));
             }
             Next::Lists(no, line) => {
                 let list = self.lists.get_mut(&no).unwrap();
-                list.insert(line.exchange.0, line);
-                if line.standing == Standing::Gone {
-                    list.remove(&line.exchange.0);
+                list.insert(line.id.0, line);
+                if line.status == ExchangeStatus::Gone {
+                    list.remove(&line.id.0);
                 }
-                self.note_told(no, line.office.0);
+                self.note_told(no, line.number.0);
                 self.with(no, |office, now, plant| office.roster_changes(now, plant, &[line]));
             }
             Next::Trouble => self.trouble(),
@@ -335,10 +338,11 @@
                 let life = self.life(no) + 1;
                 self.lives.insert(no, life);
                 let seed = self.chance.random();
-                let office = Office::new(self.now, &plan(no, self.run.offices), u64::from(life) << 11, seed);
+                let office =
+                    CallControl::new(self.now, &plan(no, self.run.offices), u64::from(life) << 11, seed);
                 self.seats.insert(no, Seat { office, life, stopping: None, let_go: None });
                 let lines: Vec<_> = self.lists[&no].values().copied().collect();
-                lines.iter().for_each(|line| self.note_told(no, line.office.0));
+                lines.iter().for_each(|line| self.note_told(no, line.number.0));
                 self.with(no, |office, now, plant| office.roster(now, plant, &lines));
                 self.others(no).into_iter().for_each(|other| self.after(ms(10), Next::Up(no, other)));
             }
@@ -348,19 +352,19 @@
 
     /// Whether any machine at an office takes new calls, as an office has been told.
     fn note_told(&mut self, no: u16, at: u16) {
-        let takes = |line: &RosterLine| line.office.0 == at && line.standing == Standing::Ready;
+        let takes = |line: &ExchangeEntry| line.number.0 == at && line.status == ExchangeStatus::Ready;
         let takes = self.lists[&no].values().any(takes);
         let who = (no, self.life(no), 0);
         self.model.note(self.now, who, What::Told { exchange: at.into(), takes });
     }
 
-    fn with(&mut self, no: u16, f: impl FnOnce(&mut Office, Duration, &mut Notebook)) {
+    fn with(&mut self, no: u16, f: impl FnOnce(&mut CallControl, Duration, &mut Notebook)) {
         let now = self.now;
         let Some(seat) = self.seats.get_mut(&no) else { return };
         let mut book = Notebook::default();
         f(&mut seat.office, now, &mut book);
-        assert_eq!(seat.office.faults(), Vec::<String>::new(), "seed {}, at {no}", self.run.seed);
-        if let Some(at) = seat.office.next_alarm() {
+        assert_eq!(seat.office.inconsistencies(), Vec::<String>::new(), "seed {}, at {no}", self.run.seed);
+        if let Some(at) = seat.office.next_timer() {
             self.after(at.saturating_sub(now), Next::Ring(no));
         }
         for (to, octets) in book.sent {
@@ -609,11 +613,11 @@
         };
         let left = [15, 60, 110, 500, 2000, 4000, 4000, 60_000][self.chance.random_range(0..8)];
         let dialled = if self.chance.random_bool(0.05) { 77 } else { self.chance.random_range(1000..1400) };
-        let order = Order {
+        let order = CallRequest {
             call_type: CallType(self.chance.random_range(0..3)),
-            customer: CustomerNo(0),
-            dest: OfficeNo(dest),
-            dialled: Dialled(dialled),
+            customer: CustomerId(0),
+            dest: ExchangeNumber(dest),
+            dialled: DialledNumber(dialled),
             left: ms(left),
             advised: None,
             cut: false,
@@ -646,7 +650,7 @@
             while let Some(end) = next(self) {
                 self.lost(end, Ending::Reset, What::Withdrawn, Some(Line::Closing(end.2)));
             }
-            self.with(no, |office, now, plant| office.link_down(now, plant, OfficeNo(far)));
+            self.with(no, |office, now, plant| office.link_down(now, plant, ExchangeNumber(far)));
         }
         let span = self.span(50, 2000);
         self.after(span, Next::Up(a, b));
@@ -674,7 +678,7 @@
             let seat = self.seats.get_mut(&no).unwrap();
             let since = seat.stopping.unwrap_or(now);
             match seat.let_go {
-                None if !seat.office.unsettled() || now >= since + STOP_WITHIN => {
+                None if !seat.office.has_unanswered_calls() || now >= since + STOP_WITHIN => {
                     seat.let_go = Some(now);
                     self.with(no, |office, now, plant| office.release_all(now, plant));
                     let seat = &self.seats[&no];
@@ -730,22 +734,25 @@
             6..7 => self.act(Next::Stop(no)),
             _ => {
                 let machine = self.machines[&no];
-                let line = |exchange, standing, started| RosterLine {
-                    exchange: ExchangeId(exchange),
-                    office: OfficeNo(no),
+                let line = |exchange, standing, started| ExchangeEntry {
+                    id: ExchangeId(exchange),
+                    number: ExchangeNumber(no),
                     zone: Zone(0),
-                    standing,
+                    status: standing,
                     started,
                 };
                 let (now, cold) = (self.now, machine + MACHINE);
                 self.machines.insert(no, cold);
                 for other in 1..=self.run.offices {
                     let (first, second) = (self.span(0, 500), self.span(600, 1500));
-                    self.after(first, Next::Lists(other, line(machine, Standing::Draining, Duration::ZERO)));
-                    self.after(second, Next::Lists(other, line(cold, Standing::Ready, now)));
+                    self.after(
+                        first,
+                        Next::Lists(other, line(machine, ExchangeStatus::Draining, Duration::ZERO)),
+                    );
+                    self.after(second, Next::Lists(other, line(cold, ExchangeStatus::Ready, now)));
                     self.after(
                         second + ms(100),
-                        Next::Lists(other, line(machine, Standing::Gone, Duration::ZERO)),
+                        Next::Lists(other, line(machine, ExchangeStatus::Gone, Duration::ZERO)),
                     );
                 }
                 self.model.note(now, (0, 0, 0), What::Started { exchange: no.into() });
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -4,13 +4,13 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use mintstall::host::*;
+use mintstall::interface::*;
 use mintstall_callapi::{Asked, Final, Heard, Offer, Request};
+use mintstall_callcontrol::{Answer, CallControl, CallControlActions, CallEnd};
 use mintstall_client::{Redial, RedialPlan};
 use mintstall_daemon::Config;
 use mintstall_daemon::exchange::{Exchange, LineNo, Port};
 use mintstall_isup::{Body, CauseIndicators, Cic, Data, Deframer, Frame, Location, Message, Q850, Rel};
-use mintstall_office::{Answer, CallEnd, Office, Plant};
 use serde_json::json;
 
 const START: Duration = Duration::from_secs(3600);
@@ -26,10 +26,10 @@
 }
 
 impl Port for Wires {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push_back((1, to.0, octets.to_vec()));
     }
-    fn close_link(&mut self, _: OfficeNo, why: &str) {
+    fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
     fn say(&mut self, _: LineNo, text: &str) {
@@ -45,11 +45,11 @@
     fn note(&mut self, _: &str) {}
 }
 
-impl Plant for Wires {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+impl CallControlActions for Wires {
+    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push_back((self.from, to.0, octets.to_vec()));
     }
-    fn close(&mut self, _: OfficeNo, why: &str) {
+    fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
     fn answer(&mut self, _: CallId, _: Answer) {}
@@ -68,7 +68,7 @@
 struct Net {
     now: Duration,
     first: Exchange,
-    tandems: BTreeMap<u16, Office>,
+    tandems: BTreeMap<u16, CallControl>,
     wires: Wires,
     far: Far,
     line: LineNo,
@@ -92,11 +92,11 @@
     fn new(far: Far, direct: u16) -> Self {
         let own = config(1, &[(DEST, direct), (TANDEMS[0], 310), (TANDEMS[1], 310)]);
         let lines: Vec<_> = (1..=4)
-            .map(|no| RosterLine {
-                exchange: ExchangeId(no),
-                office: OfficeNo(no as u16),
+            .map(|no| ExchangeEntry {
+                id: ExchangeId(no),
+                number: ExchangeNumber(no as u16),
                 zone: Zone(0),
-                standing: Standing::Ready,
+                status: ExchangeStatus::Ready,
                 started: Duration::ZERO,
             })
             .collect();
@@ -107,17 +107,18 @@
         let news = json!({ "version": 1, "entries": [entry(1), entry(2), entry(3), entry(4)] });
         let note = mintstall_roster::FeedNote::Roster(serde_json::from_value(news).unwrap());
         first.feed_note(START, &mut wires, &note);
-        let tandem = |no: u16| Office::new(START, &config(no, &[(1, 310), (DEST, 310)]).plan(), 1, no.into());
+        let tandem =
+            |no: u16| CallControl::new(START, &config(no, &[(1, 310), (DEST, 310)]).plan(), 1, no.into());
         let (tandems, set_ups) = (TANDEMS.map(|no| (no, tandem(no))).into(), BTreeMap::new());
         let mut net = Self { now: START, first, tandems, wires, far, line, set_ups };
         for to in [DEST, TANDEMS[0], TANDEMS[1]] {
-            net.first.link_up(START, &mut net.wires, OfficeNo(to));
+            net.first.link_up(START, &mut net.wires, ExchangeNumber(to));
         }
         for no in TANDEMS {
             net.wires.from = no;
             let office = net.tandems.get_mut(&no).unwrap();
             office.roster(START, &mut net.wires, &lines);
-            [1, DEST].iter().for_each(|to| office.link_up(START, &mut net.wires, OfficeNo(*to)));
+            [1, DEST].iter().for_each(|to| office.link_up(START, &mut net.wires, ExchangeNumber(*to)));
         }
         net.carry();
         net
@@ -173,7 +174,7 @@
 
     fn give(&mut self, from: u16, to: u16, octets: &[u8]) {
         self.wires.from = to;
-        let (now, far) = (self.now, OfficeNo(from));
+        let (now, far) = (self.now, ExchangeNumber(from));
         match to {
             1 => self.first.link_octets(now, &mut self.wires, far, octets),
             DEST => {
@@ -182,7 +183,7 @@
                     self.wires.sent.push_back((DEST, from, back));
                 }
             }
-            tandem => self.tandems.get_mut(&tandem).unwrap().octets(now, &mut self.wires, far, octets),
+            tandem => self.tandems.get_mut(&tandem).unwrap().on_octets(now, &mut self.wires, far, octets),
         }
     }
 
@@ -201,7 +202,7 @@
 
     fn pass_until(&mut self, end: Duration) {
         loop {
-            let tandems = self.tandems.iter().filter_map(|(no, office)| Some((office.next_alarm()?, *no)));
+            let tandems = self.tandems.iter().filter_map(|(no, office)| Some((office.next_timer()?, *no)));
             let next = tandems.chain(self.first.next_alarm().map(|at| (at, 1))).min();
             let Some((at, no)) = next.filter(|(at, _)| *at <= end) else { break };
             self.now = self.now.max(at);
@@ -209,7 +210,7 @@
             self.wires.from = no;
             match no {
                 1 => self.first.ring(now, &mut self.wires),
-                tandem => self.tandems.get_mut(&tandem).unwrap().ring(now, &mut self.wires),
+                tandem => self.tandems.get_mut(&tandem).unwrap().on_timer(now, &mut self.wires),
             }
             self.carry();
         }
