--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -8,9 +8,9 @@
 
 use clap::Args;
 use mintstall_daemon::config::read_json;
-use mintstall_lab::capture::Capture;
+use mintstall_emulator::{Day, Seen, Witness};
+use mintstall_lab::pcap::Capture;
 use mintstall_lab::{Auditor, Report, loopback, virtual_day};
-use mintstall_standin::{Day, Seen, Witness};
 
 use crate::{bad_input, failed};
 
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -7,9 +7,9 @@
 
 use clap::Args;
 use mintstall_daemon::config::read_json;
+use mintstall_emulator::FarPlan;
 use mintstall_lab::far::FarServer;
 use mintstall_lab::load::{self, LoadPlan};
-use mintstall_standin::FarPlan;
 use serde_json::json;
 
 use crate::{bad_input, failed};
--- a/crates/cli/tests/calls.rs
+++ b/crates/cli/tests/calls.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use mintstall_client::{Client, Event, Outcome, Plan, offer};
+use mintstall_emulator::FarPlan;
 use mintstall_lab::far::FarServer;
-use mintstall_standin::FarPlan;
 use mintstall_websocket::{Dialled, End, Ended, Event as Heard, Progress};
 use serde_json::{Value, json};
 
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -47,7 +47,7 @@
 fn a_load_with_cuts_leaves_no_call_without_an_outcome() {
     let far = mintstall_lab::far::FarServer::start(
         "127.0.0.1:0".parse().unwrap(),
-        mintstall_standin::FarPlan {
+        mintstall_emulator::FarPlan {
             answer_ms: [20.0, 200.0],
             busy: 0.1,
             silent: 0.05,
@@ -181,7 +181,8 @@
                                 let body = mintstall_isup::Body::Gra(status);
                                 let mut user = Vec::new();
                                 mintstall_isup::Message::new(message.cic, body).write(&mut user);
-                                let back = mintstall_isup::Data { opc: 2, dpc: 1, user: &user, ..data };
+                                let back =
+                                    mintstall_isup::ProtocolData { opc: 2, dpc: 1, user: &user, ..data };
                                 Frame::Data(back).write(&mut out);
                             }
                             mintstall_isup::Body::Iam(_) => set_ups += 1,
--- a/crates/cli/tests/independent_client.rs
+++ b/crates/cli/tests/independent_client.rs
@@ -6,8 +6,8 @@
 
 use futures::executor::block_on;
 use futures::io::AllowStdIo;
+use mintstall_emulator::FarPlan;
 use mintstall_lab::far::FarServer;
-use mintstall_standin::FarPlan;
 use serde_json::{Value, json};
 use soketto::handshake::{Client, ServerResponse};
 
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -423,7 +423,7 @@
             say(!offices.contains(&to), &format!("{place}.to"), format!("{to} is not within 1 to 16383"));
             say(to == self.exchange, &format!("{place}.to"), "is the own exchange".into());
             say(!seen.insert(to), &format!("{place}.to"), format!("exchange {to} has a link already"));
-            let most = Cic::IN_GROUP;
+            let most = Cic::MAX_PER_GROUP;
             say(
                 link.circuits > most,
                 &format!("{place}.circuits"),
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -11,15 +11,15 @@
     LineCutter, MissedNote, NewsNote, Offer, Request, SessionLimits, State, Subscribed, TraceGet, Traced,
     Welcome, code, ended_text, fault_text, notice_text, result_text,
 };
-use mintstall_isup::Report;
+use mintstall_isup::ProcessorReport;
 use mintstall_limits::{
     Admission, Backlog, Denied, Fate, Grant, News, Opening, Refusal, Repeat, Repeats, Resumable, Scope, Sees,
     SessionKey, SessionNo, Tokens, Verdict,
 };
-use mintstall_office::{Answer, CallEnd, LinkState, Office, OfficeState, Order, Plant, Step, Trace};
-use mintstall_roster::{
+use mintstall_membership::{
     Ask, FeedNote, Limits, Refusal as RosterRefusal, Reply, Roster, Standing, Told, Verdict as RosterVerdict,
 };
+use mintstall_office::{Answer, CallEnd, LinkState, Office, OfficeState, Order, Plant, Step, Trace};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -150,8 +150,8 @@
 }
 
 /// A roster's lines as the decisions read them.
-pub fn roster_lines(held: &[mintstall_roster::Held]) -> Vec<RosterLine> {
-    let line = |held: &mintstall_roster::Held| RosterLine {
+pub fn roster_lines(held: &[mintstall_membership::Held]) -> Vec<RosterLine> {
+    let line = |held: &mintstall_membership::Held| RosterLine {
         exchange: ExchangeId(held.entry.exchange),
         office: OfficeNo(held.entry.office),
         zone: Zone(held.entry.region),
@@ -1000,7 +1000,7 @@
 }
 
 /// A report in the thousandths that the signalling carries; what is no figure is not told.
-pub fn processor_report(rate: Option<f64>) -> Report {
+pub fn processor_report(rate: Option<f64>) -> ProcessorReport {
     let rate = rate.filter(|rate| rate.is_finite() && *rate >= 0.0);
-    Report { rate_milli: rate.map(|rate| (rate * 1e3).min(f64::from(u32::MAX)) as u32) }
+    ProcessorReport { rate_milli: rate.map(|rate| (rate * 1e3).min(f64::from(u32::MAX)) as u32) }
 }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -3,8 +3,8 @@
 use mintstall::host::OfficeNo;
 use mintstall_daemon::Config;
 use mintstall_daemon::config::LimitsPlan;
-use mintstall_isup::{Body, Cic, Data, Deframer, Frame, Message, RangeStatus};
-use mintstall_roster::FeedNote;
+use mintstall_isup::{Body, Cic, Deframer, Frame, Message, ProtocolData, RangeStatus};
+use mintstall_membership::FeedNote;
 use serde_json::json;
 
 pub const FAR: OfficeNo = OfficeNo(2);
@@ -61,7 +61,7 @@
                     Body::Grs { count } => Some(Body::Gra(RangeStatus { count, status: 0 })),
                     Body::Rel(_) => {
                         self.set_ups.retain(|other| *other != cic);
-                        Some(Body::Rlc { other: Vec::new() })
+                        Some(Body::Rlc { unknown_parameters: Vec::new() })
                     }
                     _ => None,
                 };
@@ -76,7 +76,7 @@
     pub fn answers(&mut self, which: usize) -> Vec<u8> {
         let cic = self.set_ups.remove(which);
         let mut out = Vec::new();
-        write(cic, Body::Anm { report: None, other: Vec::new() }, &mut out);
+        write(cic, Body::Anm { report: None, unknown_parameters: Vec::new() }, &mut out);
         out
     }
 }
@@ -84,5 +84,6 @@
 pub fn write(cic: Cic, body: Body, out: &mut Vec<u8>) {
     let mut user = Vec::new();
     Message::new(cic, body).write(&mut user);
-    Frame::Data(Data { opc: 2, dpc: 1, service: 5, network: 2, priority: 0, sls: 0, user: &user }).write(out);
+    Frame::Data(ProtocolData { opc: 2, dpc: 1, service: 5, network: 2, priority: 0, sls: 0, user: &user })
+        .write(out);
 }
--- a/crates/standin/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -5,9 +5,9 @@
 use mintstall_callapi::{Final, How, Offer};
 use rand::Rng;
 
+use crate::observer::{Seen, Witness};
 use crate::score::Outcome;
-use crate::witness::{Seen, Witness};
-use crate::world::{Act, Event, World};
+use crate::simulation::{Act, Event, World};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
--- a/crates/standin/src/far.rs
+++ b/crates/emulator/src/far_exchange.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mintstall_isup::{
-    Body, CauseIndicators, Cic, Data, Deframer, Frame, Location, Message, Q850, RangeStatus, Rel,
+    Body, CauseIndicators, Cic, Deframer, Frame, Location, Message, ProtocolData, Q850, RangeStatus, Rel,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -160,7 +160,7 @@
                 Answer::Stands => {
                     held.state = State::Stands;
                     self.tally.answered += 1;
-                    self.send(cic, Body::Anm { report: None, other: Vec::new() }, out);
+                    self.send(cic, Body::Anm { report: None, unknown_parameters: Vec::new() }, out);
                 }
                 Answer::Busy => {
                     self.tally.turned_back += 1;
@@ -191,7 +191,7 @@
         match Frame::read(frame) {
             Ok(Frame::AspUp { .. }) => Frame::AspUpAck { asp: Some(self.plan.exchange.into()) }.write(out),
             Ok(Frame::AspActive) => Frame::AspActiveAck.write(out),
-            Ok(Frame::Beat(data)) => Frame::BeatAck(data).write(out),
+            Ok(Frame::Heartbeat(data)) => Frame::HeartbeatAck(data).write(out),
             Ok(Frame::Data(data)) => {
                 self.near = data.opc;
                 if let Ok(message) = Message::read(data.user) {
@@ -219,11 +219,11 @@
                     Some((_, State::Stands)) => self.tally.hung_up += 1,
                     None => {}
                 }
-                self.send(cic, Body::Rlc { other: Vec::new() }, out);
+                self.send(cic, Body::Rlc { unknown_parameters: Vec::new() }, out);
             }
             Body::Rsc => {
                 self.free(cic);
-                self.send(cic, Body::Rlc { other: Vec::new() }, out);
+                self.send(cic, Body::Rlc { unknown_parameters: Vec::new() }, out);
             }
             Body::Grs { count } => {
                 (cic.0..=cic.0.saturating_add(count.into())).for_each(|cic| _ = self.free(Cic(cic)));
@@ -273,6 +273,7 @@
         let mut user = Vec::new();
         Message::new(cic, body).write(&mut user);
         let (opc, dpc) = (self.plan.exchange.into(), self.near);
-        Frame::Data(Data { opc, dpc, service: 5, network: 2, priority: 0, sls: 0, user: &user }).write(out);
+        Frame::Data(ProtocolData { opc, dpc, service: 5, network: 2, priority: 0, sls: 0, user: &user })
+            .write(out);
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -5,14 +5,14 @@
 
 mod callers;
 mod day;
-mod far;
+mod far_exchange;
+mod observer;
 mod processor;
 mod score;
-mod witness;
-mod world;
+mod simulation;
 
 pub use day::*;
-pub use far::{Far, FarPlan, FarTally};
+pub use far_exchange::{Far, FarPlan, FarTally};
+pub use observer::{Seen, Witness};
 pub use score::{Outcome, Score, Slice};
-pub use witness::{Seen, Witness};
-pub use world::{Act, Wiring, World};
+pub use simulation::{Act, Wiring, World};
--- a/crates/standin/src/witness.rs
+++ b/crates/emulator/src/observer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mintstall_callapi::{Final, How, Offer};
-use mintstall_roster::Entry;
+use mintstall_membership::Entry;
 
 /// One thing seen. Offices are point codes.
 #[derive(Clone, Copy, Debug)]
--- a/crates/standin/src/world.rs
+++ b/crates/emulator/src/simulation.rs
@@ -5,16 +5,18 @@
 use std::time::Duration;
 
 use mintstall_callapi::Offer;
-use mintstall_isup::{Body, CauseIndicators, Cic, Data, Deframer, Frame, Location, Message, Q850, Rel, m3ua};
-use mintstall_roster::{Entry, News, Standing};
+use mintstall_isup::{
+    Body, CauseIndicators, Cic, Deframer, Frame, Location, Message, ProtocolData, Q850, Rel, m3ua,
+};
+use mintstall_membership::{Entry, News, Standing};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 use crate::callers::Caller;
 use crate::day::{Day, Fault, Reports, Which};
+use crate::observer::{Seen, Witness};
 use crate::processor::{Cold, Job, Payload, Processor};
 use crate::score::Score;
-use crate::witness::{Seen, Witness};
 
 /// What reaches controllers, in order.
 #[derive(Clone, Debug, PartialEq)]
@@ -217,7 +219,7 @@
             let erlangs = (rate + back) * held;
             let size = erlangs * (1.0 + day.groups.spare) + erlangs.sqrt() * day.groups.spare_root;
             if plan.random::<f64>() >= day.groups.unlinked {
-                groups.insert((*a, *b), (size.round().clamp(1.0, f64::from(Cic::IN_GROUP))) as u16);
+                groups.insert((*a, *b), (size.round().clamp(1.0, f64::from(Cic::MAX_PER_GROUP))) as u16);
             }
         }
         let miss = day.groups.miss;
@@ -611,11 +613,13 @@
         processor.push(Job { work, payload: Payload::Nothing, set_up: None }, false);
         self.swallow.insert((from, to, cic));
         let cause = CauseIndicators::new(Location::Local, Q850::Congestion);
-        let rel = Rel { wait: tells.then(|| seconds(wait)), congestion: Some(2), ..Rel::new(cause) };
+        let rel =
+            Rel { congestion_wait: tells.then(|| seconds(wait)), congestion: Some(2), ..Rel::new(cause) };
         let (mut user, mut frame) = (Vec::new(), Vec::new());
         Message::new(Cic(cic), Body::Rel(rel)).write(&mut user);
         let (opc, dpc) = (u32::from(to), u32::from(from));
-        let data = Data { opc, dpc, service: m3ua::ISUP, network: 2, priority: 0, sls: 0, user: &user };
+        let data =
+            ProtocolData { opc, dpc, service: m3ua::ISUP, network: 2, priority: 0, sls: 0, user: &user };
         Frame::Data(data).write(&mut frame);
         self.on_its_way(now, to, from, frame);
         self.keep_working(now, to);
@@ -994,8 +998,8 @@
 /// The type and circuit of the ISUP message in a frame, without reading all of it.
 fn isup(frame: &[u8]) -> Option<(u8, u16)> {
     match Frame::read(frame) {
-        Ok(Frame::Data(Data { service: m3ua::ISUP, user: [low, high, kind, ..], .. })) => {
-            Some((*kind, u16::from_le_bytes([*low, *high]) & Cic::MOST))
+        Ok(Frame::Data(ProtocolData { service: m3ua::ISUP, user: [low, high, kind, ..], .. })) => {
+            Some((*kind, u16::from_le_bytes([*low, *high]) & Cic::MAX))
         }
         _ => None,
     }
--- a/crates/isup/src/circuit.rs
+++ b/crates/isup/src/circuit.rs
@@ -8,20 +8,20 @@
 pub struct Cic(pub u16);
 
 impl Cic {
-    pub const MOST: u16 = 0x0fff;
+    pub const MAX: u16 = 0x0fff;
     /// Circuits of one 2048 kbit/s system.
-    pub const SYSTEM: u16 = 31;
+    pub const PER_SYSTEM: u16 = 31;
     /// Circuits that a group can have.
-    pub const IN_GROUP: u16 = (Self::MOST + 1) / 32 * Self::SYSTEM;
+    pub const MAX_PER_GROUP: u16 = (Self::MAX + 1) / 32 * Self::PER_SYSTEM;
 
     /// The code of the circuit at a place in its group, counted from 0 over slots 1 to 31 of each system.
-    pub fn at(place: u16) -> Self {
-        Self(place / Self::SYSTEM * 32 + place % Self::SYSTEM + 1)
+    pub fn from_index(index: u16) -> Self {
+        Self(index / Self::PER_SYSTEM * 32 + index % Self::PER_SYSTEM + 1)
     }
 
     /// Its place in the group; `None` for slot 0.
-    pub fn place(self) -> Option<u16> {
-        (self.0 % 32).checked_sub(1).map(|slot| self.0 / 32 * Self::SYSTEM + slot)
+    pub fn index(self) -> Option<u16> {
+        (self.0 % 32).checked_sub(1).map(|slot| self.0 / 32 * Self::PER_SYSTEM + slot)
     }
 }
 
@@ -108,13 +108,13 @@
 
 impl RangeStatus {
     /// As many as one message speaks of: a group reset's range is below 32 (Q.763 clause 3.43).
-    pub const MOST: u8 = 32;
+    pub const MAX_COUNT: u8 = 32;
 
     pub(crate) fn read(octets: &[u8], with_status: bool) -> Result<Self, IsupError> {
         let [range, status @ ..] = octets else {
             return Err(IsupError::Short { what: "range and status", needs: 1, has: 0 });
         };
-        if *range >= Self::MOST {
+        if *range >= Self::MAX_COUNT {
             return Err(IsupError::Long { what: "range and status", most: 31, has: usize::from(*range) });
         }
         let needs = if with_status { usize::from(range / 8) + 1 } else { 0 };
@@ -126,7 +126,7 @@
     }
 
     pub(crate) fn write(self, out: &mut Vec<u8>, with_status: bool) {
-        let count = self.count.clamp(1, Self::MOST);
+        let count = self.count.clamp(1, Self::MAX_COUNT);
         out.push(count - 1);
         if with_status {
             let bits = (self.status & Self::mask(count)).to_le_bytes();
@@ -135,6 +135,6 @@
     }
 
     fn mask(count: u8) -> u32 {
-        u32::MAX >> (32 - u32::from(count.clamp(1, Self::MOST)))
+        u32::MAX >> (32 - u32::from(count.clamp(1, Self::MAX_COUNT)))
     }
 }
--- a/crates/isup/src/lib.rs
+++ b/crates/isup/src/lib.rs
@@ -10,11 +10,11 @@
 pub mod message;
 pub mod national;
 pub mod number;
-mod wire;
+mod octet_reader;
 
 pub use cause::{CauseIndicators, Location, Q850};
 pub use circuit::{Cic, CircuitMap, CircuitState, RangeStatus};
-pub use m3ua::{Data, Deframer, Frame, FrameError};
-pub use message::{Body, Iam, IsupError, Message, Other, Rel};
-pub use national::{Identity, Report, TurnedBack};
+pub use m3ua::{Deframer, Frame, FrameError, ProtocolData};
+pub use message::{Body, Iam, IsupError, Message, Rel, UnknownParameters};
+pub use national::{CallIdentity, Crankback, ProcessorReport};
 pub use number::Number;
--- a/crates/isup/src/m3ua.rs
+++ b/crates/isup/src/m3ua.rs
@@ -9,7 +9,7 @@
 pub enum FrameError {
     #[error("frame: version {0}, want 1")]
     Version(u8),
-    #[error("frame: length {0} is not within {least} to {most} octets, by fours", least = HEADER, most = LONGEST)]
+    #[error("frame: length {0} is not within {least} to {most} octets, by fours", least = HEADER, most = MAX_FRAME_LENGTH)]
     Length(u32),
     #[error("frame: parameter {tag:#06x} is cut short")]
     Parameter { tag: u16 },
@@ -19,7 +19,7 @@
 
 const HEADER: usize = 8;
 /// Octets of the longest frame taken: an ISUP message has at most 272 (Q.704), the rest is parameters.
-pub const LONGEST: usize = 1024;
+pub const MAX_FRAME_LENGTH: usize = 1024;
 
 const ERROR_CODE: u16 = 0x000c;
 const ASP_IDENTIFIER: u16 = 0x0011;
@@ -31,7 +31,7 @@
 
 /// A signalling unit as MTP3 would carry it (RFC 4666 clause 3.3.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Data<'a> {
+pub struct ProtocolData<'a> {
     /// Originating and destination point codes.
     pub opc: u32,
     pub dpc: u32,
@@ -60,9 +60,9 @@
     AspActiveAck,
     AspInactive,
     AspInactiveAck,
-    Beat(&'a [u8]),
-    BeatAck(&'a [u8]),
-    Data(Data<'a>),
+    Heartbeat(&'a [u8]),
+    HeartbeatAck(&'a [u8]),
+    Data(ProtocolData<'a>),
     /// The far end could not make use of a frame (clause 3.8.1).
     Error {
         code: u32,
@@ -86,10 +86,10 @@
             Self::Data(_) => (1, 1),
             Self::AspUp { .. } => (3, 1),
             Self::AspDown => (3, 2),
-            Self::Beat(_) => (3, 3),
+            Self::Heartbeat(_) => (3, 3),
             Self::AspUpAck { .. } => (3, 4),
             Self::AspDownAck => (3, 5),
-            Self::BeatAck(_) => (3, 6),
+            Self::HeartbeatAck(_) => (3, 6),
             Self::AspActive => (4, 1),
             Self::AspInactive => (4, 2),
             Self::AspActiveAck => (4, 3),
@@ -107,7 +107,7 @@
             Self::AspUp { asp: Some(asp) } | Self::AspUpAck { asp: Some(asp) } => {
                 parameter(out, ASP_IDENTIFIER, &[&asp.to_be_bytes()]);
             }
-            Self::Beat(data) | Self::BeatAck(data) if !data.is_empty() => {
+            Self::Heartbeat(data) | Self::HeartbeatAck(data) if !data.is_empty() => {
                 parameter(out, HEARTBEAT_DATA, &[data]);
             }
             Self::Error { code } => parameter(out, ERROR_CODE, &[&code.to_be_bytes()]),
@@ -132,10 +132,10 @@
             (1, 1) => Self::Data(data(body)?),
             (3, 1) => Self::AspUp { asp: word(body, ASP_IDENTIFIER)? },
             (3, 2) => Self::AspDown,
-            (3, 3) => Self::Beat(find(body, HEARTBEAT_DATA)?.unwrap_or_default()),
+            (3, 3) => Self::Heartbeat(find(body, HEARTBEAT_DATA)?.unwrap_or_default()),
             (3, 4) => Self::AspUpAck { asp: word(body, ASP_IDENTIFIER)? },
             (3, 5) => Self::AspDownAck,
-            (3, 6) => Self::BeatAck(find(body, HEARTBEAT_DATA)?.unwrap_or_default()),
+            (3, 6) => Self::HeartbeatAck(find(body, HEARTBEAT_DATA)?.unwrap_or_default()),
             (4, 1) => Self::AspActive,
             (4, 2) => Self::AspInactive,
             (4, 3) => Self::AspActiveAck,
@@ -179,14 +179,14 @@
     }
 }
 
-fn data(body: &[u8]) -> Result<Data<'_>, FrameError> {
+fn data(body: &[u8]) -> Result<ProtocolData<'_>, FrameError> {
     // A network appearance and a routing context may stand before it and are of no use here.
     let value = find(body, PROTOCOL_DATA)?.ok_or(FrameError::NoData)?;
     let Some((head, user)) = value.split_first_chunk::<12>() else {
         return Err(FrameError::Parameter { tag: PROTOCOL_DATA });
     };
     let [a, b, c, d, e, f, g, h, service, network, priority, sls] = *head;
-    Ok(Data {
+    Ok(ProtocolData {
         opc: u32::from_be_bytes([a, b, c, d]),
         dpc: u32::from_be_bytes([e, f, g, h]),
         service,
@@ -229,7 +229,7 @@
         }
         let told = u32::from_be_bytes([a, b, c, d]);
         let length = told as usize;
-        if !(HEADER..=LONGEST).contains(&length) || !length.is_multiple_of(4) {
+        if !(HEADER..=MAX_FRAME_LENGTH).contains(&length) || !length.is_multiple_of(4) {
             return Err(FrameError::Length(told));
         }
         if rest.len() < length {
--- a/crates/isup/src/message.rs
+++ b/crates/isup/src/message.rs
@@ -6,9 +6,9 @@
 
 use crate::cause::CauseIndicators;
 use crate::circuit::{Cic, CircuitMap, CircuitState, RangeStatus};
-use crate::national::{self, Identity, Report, TurnedBack};
+use crate::national::{self, CallIdentity, Crankback, ProcessorReport};
 use crate::number::Number;
-use crate::wire::Octets;
+use crate::octet_reader::OctetReader;
 
 /// What makes octets no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -24,7 +24,7 @@
 type Read<T> = Result<T, IsupError>;
 
 /// Optional parameters that are not known here, kept as they came: code and contents.
-pub type Other<'a> = Vec<(u8, &'a [u8])>;
+pub type UnknownParameters<'a> = Vec<(u8, &'a [u8])>;
 
 /// Initial address (Q.763 table 32).
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,8 +43,8 @@
     pub map: Option<CircuitMap>,
     /// Exchanges that it may still pass.
     pub hops: Option<u8>,
-    pub identity: Option<Identity>,
-    pub other: Other<'a>,
+    pub identity: Option<CallIdentity>,
+    pub unknown_parameters: UnknownParameters<'a>,
 }
 
 /// Release (Q.763 table 33).
@@ -54,15 +54,22 @@
     /// Automatic congestion level, 1 or 2.
     pub congestion: Option<u8>,
     /// How long a full processor asks to be left alone.
-    pub wait: Option<Duration>,
-    pub turned_back: Option<TurnedBack>,
-    pub report: Option<Report>,
-    pub other: Other<'a>,
+    pub congestion_wait: Option<Duration>,
+    pub crankback: Option<Crankback>,
+    pub report: Option<ProcessorReport>,
+    pub unknown_parameters: UnknownParameters<'a>,
 }
 
 impl Rel<'_> {
     pub fn new(cause: CauseIndicators) -> Self {
-        Self { cause, congestion: None, wait: None, turned_back: None, report: None, other: Vec::new() }
+        Self {
+            cause,
+            congestion: None,
+            congestion_wait: None,
+            crankback: None,
+            report: None,
+            unknown_parameters: Vec::new(),
+        }
     }
 }
 
@@ -72,23 +79,23 @@
     /// Address complete.
     Acm {
         backward: [u8; 2],
-        report: Option<Report>,
-        other: Other<'a>,
+        report: Option<ProcessorReport>,
+        unknown_parameters: UnknownParameters<'a>,
     },
     /// Answer.
     Anm {
-        report: Option<Report>,
-        other: Other<'a>,
+        report: Option<ProcessorReport>,
+        unknown_parameters: UnknownParameters<'a>,
     },
     /// Call progress.
     Cpg {
         event: u8,
-        other: Other<'a>,
+        unknown_parameters: UnknownParameters<'a>,
     },
     Rel(Rel<'a>),
     /// Release complete.
     Rlc {
-        other: Other<'a>,
+        unknown_parameters: UnknownParameters<'a>,
     },
     /// Reset circuit.
     Rsc,
@@ -186,32 +193,33 @@
 
     /// Reads what a DATA frame carries; octets after the parts that are known are passed over (Q.764 clause 2.9.5).
     pub fn read(octets: &'a [u8]) -> Read<Self> {
-        let mut fixed = Octets::new(octets, "message");
+        let mut fixed = OctetReader::new(octets, "message");
         let [low, high] = fixed.array()?;
-        let cic = Cic(u16::from_le_bytes([low, high]) & Cic::MOST);
+        let cic = Cic(u16::from_le_bytes([low, high]) & Cic::MAX);
         let kind = fixed.u8()?;
         let body = match kind {
             0x01 => Body::Iam(iam(fixed.rest())?),
             0x06 => {
                 let backward = fixed.array()?;
                 let found = optional(fixed.rest(), 0)?;
-                Body::Acm { backward, report: found.report, other: found.other }
+                Body::Acm { backward, report: found.report, unknown_parameters: found.unknown_parameters }
             }
             0x09 => {
                 let found = optional(fixed.rest(), 0)?;
-                Body::Anm { report: found.report, other: found.other }
+                Body::Anm { report: found.report, unknown_parameters: found.unknown_parameters }
             }
             0x2c => {
                 let event = fixed.u8()?;
-                Body::Cpg { event, other: optional(fixed.rest(), 0)?.other }
+                Body::Cpg { event, unknown_parameters: optional(fixed.rest(), 0)?.unknown_parameters }
             }
             0x0c => {
                 let rest = fixed.rest();
                 let cause = CauseIndicators::read(variable(rest, 0)?)?;
-                let Found { congestion, wait, turned_back, report, other, .. } = optional(rest, 1)?;
-                Body::Rel(Rel { cause, congestion, wait, turned_back, report, other })
+                let Found { congestion, congestion_wait, crankback, report, unknown_parameters, .. } =
+                    optional(rest, 1)?;
+                Body::Rel(Rel { cause, congestion, congestion_wait, crankback, report, unknown_parameters })
             }
-            0x10 => Body::Rlc { other: optional(fixed.rest(), 0)?.other },
+            0x10 => Body::Rlc { unknown_parameters: optional(fixed.rest(), 0)?.unknown_parameters },
             0x12 => Body::Rsc,
             0x13 => Body::Blo,
             0x14 => Body::Ubl,
@@ -246,7 +254,7 @@
 
     /// Appends the message to `out`.
     pub fn write(&self, out: &mut Vec<u8>) {
-        out.extend_from_slice(&(self.cic.0 & Cic::MOST).to_le_bytes());
+        out.extend_from_slice(&(self.cic.0 & Cic::MAX).to_le_bytes());
         match &self.body {
             Body::Iam(iam) => {
                 out.extend_from_slice(&[
@@ -268,36 +276,36 @@
                 iam.map.iter().for_each(|map| parts.add(MAP, &map.write()));
                 iam.hops.iter().for_each(|hops| parts.add(HOPS, &[hops & 31]));
                 iam.identity.iter().for_each(|identity| parts.add(national::IDENTITY, &identity.write()));
-                parts.end(&iam.other);
+                parts.end(&iam.unknown_parameters);
             }
-            Body::Acm { backward, report, other } => {
+            Body::Acm { backward, report, unknown_parameters } => {
                 out.extend_from_slice(&[0x06, backward[0], backward[1]]);
-                Parts::begin(out, [], true).report(report).end(other);
+                Parts::begin(out, [], true).report(report).end(unknown_parameters);
             }
-            Body::Anm { report, other } => {
+            Body::Anm { report, unknown_parameters } => {
                 out.push(0x09);
-                Parts::begin(out, [], true).report(report).end(other);
+                Parts::begin(out, [], true).report(report).end(unknown_parameters);
             }
-            Body::Cpg { event, other } => {
+            Body::Cpg { event, unknown_parameters } => {
                 out.extend_from_slice(&[0x2c, *event]);
-                Parts::begin(out, [], true).end(other);
+                Parts::begin(out, [], true).end(unknown_parameters);
             }
             Body::Rel(rel) => {
                 out.push(0x0c);
                 let mut parts = Parts::begin(out, [&rel.cause.write()], true);
                 rel.congestion.iter().for_each(|level| parts.add(CONGESTION, &[*level]));
-                if let Some(wait) = rel.wait {
-                    let ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
-                    parts.add(national::TOLD_WAIT, &ms.to_be_bytes());
+                if let Some(congestion_wait) = rel.congestion_wait {
+                    let ms = u32::try_from(congestion_wait.as_millis()).unwrap_or(u32::MAX);
+                    parts.add(national::CONGESTION_WAIT, &ms.to_be_bytes());
                 }
-                if let Some(turned) = rel.turned_back {
-                    parts.add(national::TURNED_BACK, &[u8::from(turned.beyond)]);
+                if let Some(crankback) = rel.crankback {
+                    parts.add(national::CRANKBACK, &[u8::from(crankback.next_exchange_full)]);
                 }
-                parts.report(&rel.report).end(&rel.other);
+                parts.report(&rel.report).end(&rel.unknown_parameters);
             }
-            Body::Rlc { other } => {
+            Body::Rlc { unknown_parameters } => {
                 out.push(0x10);
-                Parts::begin(out, [], true).end(other);
+                Parts::begin(out, [], true).end(unknown_parameters);
             }
             Body::Rsc => out.push(0x12),
             Body::Blo => out.push(0x13),
@@ -313,7 +321,7 @@
             Body::Cqm { count } => range(out, &[0x2a], RangeStatus { count: *count, status: 0 }, false),
             Body::Cqr { states } => {
                 out.push(0x2b);
-                let count = states.len().clamp(1, usize::from(RangeStatus::MOST));
+                let count = states.len().clamp(1, usize::from(RangeStatus::MAX_COUNT));
                 let octets: Vec<u8> = states.iter().take(count).map(|state| state.write()).collect();
                 Parts::begin(out, [&[count as u8 - 1][..], &octets], false);
             }
@@ -337,12 +345,12 @@
 }
 
 fn iam(rest: &[u8]) -> Read<Iam<'_>> {
-    let mut fixed = Octets::new(rest, "IAM");
+    let mut fixed = OctetReader::new(rest, "IAM");
     let (nature, forward, category, medium) = (fixed.u8()?, fixed.array()?, fixed.u8()?, fixed.u8()?);
     let rest = fixed.rest();
     let called = Number::read(variable(rest, 0)?)?;
-    let Found { calling, map, hops, identity, other, .. } = optional(rest, 1)?;
-    Ok(Iam { nature, forward, category, medium, called, calling, map, hops, identity, other })
+    let Found { calling, map, hops, identity, unknown_parameters, .. } = optional(rest, 1)?;
+    Ok(Iam { nature, forward, category, medium, called, calling, map, hops, identity, unknown_parameters })
 }
 
 /// The variable parameter that the pointer at a place leads to (Q.763 clause 1.5): it counts from itself.
@@ -362,12 +370,12 @@
     calling: Option<Number>,
     map: Option<CircuitMap>,
     hops: Option<u8>,
-    identity: Option<Identity>,
+    identity: Option<CallIdentity>,
     congestion: Option<u8>,
-    wait: Option<Duration>,
-    turned_back: Option<TurnedBack>,
-    report: Option<Report>,
-    other: Other<'a>,
+    congestion_wait: Option<Duration>,
+    crankback: Option<Crankback>,
+    report: Option<ProcessorReport>,
+    unknown_parameters: UnknownParameters<'a>,
 }
 
 /// The optional part that the pointer at a place leads to; no pointer, or one of nought: there is none.
@@ -378,7 +386,7 @@
         return Ok(found);
     }
     let part = rest.get(pointer + to..).unwrap_or_default();
-    let mut part = Octets::new(part, "optional part");
+    let mut part = OctetReader::new(part, "optional part");
     loop {
         let code = part.u8()?;
         if code == 0 {
@@ -386,17 +394,21 @@
         }
         let length = usize::from(part.u8()?);
         let contents = part.take(length)?;
-        let mut octets = Octets::new(contents, "optional parameter");
+        let mut octets = OctetReader::new(contents, "optional parameter");
         match code {
             CALLING => found.calling = Some(Number::read(contents)?),
             MAP => found.map = Some(CircuitMap::read(contents)?),
             HOPS => found.hops = Some(octets.u8()? & 31),
             CONGESTION => found.congestion = Some(octets.u8()?),
-            national::IDENTITY => found.identity = Some(Identity::read(contents)?),
-            national::TOLD_WAIT => found.wait = Some(Duration::from_millis(octets.u32()?.into())),
-            national::TURNED_BACK => found.turned_back = Some(TurnedBack { beyond: octets.u8()? != 0 }),
-            national::REPORT => found.report = Some(Report::read(contents)?),
-            _ => found.other.push((code, contents)),
+            national::IDENTITY => found.identity = Some(CallIdentity::read(contents)?),
+            national::CONGESTION_WAIT => {
+                found.congestion_wait = Some(Duration::from_millis(octets.u32()?.into()))
+            }
+            national::CRANKBACK => {
+                found.crankback = Some(Crankback { next_exchange_full: octets.u8()? != 0 })
+            }
+            national::REPORT => found.report = Some(ProcessorReport::read(contents)?),
+            _ => found.unknown_parameters.push((code, contents)),
         }
     }
 }
@@ -437,13 +449,13 @@
         self.out.extend_from_slice(contents);
     }
 
-    fn report(mut self, report: &Option<Report>) -> Self {
+    fn report(mut self, report: &Option<ProcessorReport>) -> Self {
         report.iter().for_each(|report| self.add(national::REPORT, &report.write()));
         self
     }
 
-    fn end(mut self, other: &Other) {
-        other.iter().for_each(|(code, contents)| self.add(*code, contents));
+    fn end(mut self, unknown_parameters: &UnknownParameters) {
+        unknown_parameters.iter().for_each(|(code, contents)| self.add(*code, contents));
         if self.any {
             self.out.push(0);
         }
--- a/crates/isup/src/number.rs
+++ b/crates/isup/src/number.rs
@@ -4,26 +4,26 @@
 
 use crate::message::IsupError;
 
-/// Digits of a number, at most [`Number::LONGEST`].
+/// Digits of a number, at most [`Number::MAX_DIGITS`].
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Number {
-    digits: [u8; Self::LONGEST],
+    digits: [u8; Self::MAX_DIGITS],
     count: u8,
 }
 
 impl Number {
     /// More than E.164 allows (15), so that an exchange's own prefix fits before one.
-    pub const LONGEST: usize = 28;
+    pub const MAX_DIGITS: usize = 28;
 
     /// `None`: too many digits, or one above 15.
     pub fn new(digits: &[u8]) -> Option<Self> {
-        let mut all = [0; Self::LONGEST];
+        let mut all = [0; Self::MAX_DIGITS];
         all.get_mut(..digits.len())?.copy_from_slice(digits);
         digits.iter().all(|digit| *digit < 16).then_some(Self { digits: all, count: digits.len() as u8 })
     }
 
     /// The decimal digits of `value`, at least `least` of them, after those of `self`; `None`: too many.
-    pub fn then(self, value: u64, least: usize) -> Option<Self> {
+    pub fn append_decimal(self, value: u64, least: usize) -> Option<Self> {
         let mut number = self;
         let text = format!("{value:0least$}");
         for digit in text.bytes() {
@@ -34,7 +34,7 @@
     }
 
     pub fn empty() -> Self {
-        Self { digits: [0; Self::LONGEST], count: 0 }
+        Self { digits: [0; Self::MAX_DIGITS], count: 0 }
     }
 
     pub fn digits(&self) -> &[u8] {
@@ -42,7 +42,7 @@
     }
 
     /// What these digits say as a decimal number; `None` where one is no decimal digit, or it is too large.
-    pub fn value(digits: &[u8]) -> Option<u64> {
+    pub fn parse_decimal(digits: &[u8]) -> Option<u64> {
         digits.iter().try_fold(0u64, |sum, digit| {
             let sum = sum.checked_mul(10)?.checked_add(u64::from(*digit))?;
             (*digit < 10).then_some(sum)
@@ -56,8 +56,8 @@
         };
         let odd = usize::from(nature >> 7);
         let count = (packed.len() * 2).saturating_sub(odd);
-        if count > Self::LONGEST {
-            return Err(IsupError::Long { what: "party number", most: Self::LONGEST, has: count });
+        if count > Self::MAX_DIGITS {
+            return Err(IsupError::Long { what: "party number", most: Self::MAX_DIGITS, has: count });
         }
         let mut number = Self::empty();
         number.count = count as u8;
--- a/crates/isup/src/wire.rs
+++ b/crates/isup/src/octet_reader.rs
@@ -2,12 +2,12 @@
 
 use crate::message::IsupError;
 
-pub(crate) struct Octets<'a> {
+pub(crate) struct OctetReader<'a> {
     rest: &'a [u8],
     what: &'static str,
 }
 
-impl<'a> Octets<'a> {
+impl<'a> OctetReader<'a> {
     pub fn new(rest: &'a [u8], what: &'static str) -> Self {
         Self { rest, what }
     }
--- a/crates/isup/tests/round_trips.rs
+++ b/crates/isup/tests/round_trips.rs
@@ -7,20 +7,20 @@
 use proptest::prelude::*;
 
 fn number() -> impl Strategy<Value = Number> {
-    vec(0u8..16, 0..=Number::LONGEST).prop_map(|digits| Number::new(&digits).unwrap())
+    vec(0u8..16, 0..=Number::MAX_DIGITS).prop_map(|digits| Number::new(&digits).unwrap())
 }
 
-fn identity() -> impl Strategy<Value = Identity> {
+fn identity() -> impl Strategy<Value = CallIdentity> {
     (any::<(u16, u64, u8, u8, u16)>(), any::<u32>(), any::<(bool, bool)>()).prop_map(
-        |(ids, left_ms, (cut, redial))| {
+        |(ids, time_left_ms, (cut, redial))| {
             let (origin, call, seizure, call_type, customer) = ids;
-            Identity { origin, call, seizure, call_type, customer, left_ms, cut, redial }
+            CallIdentity { origin, call, seizure, call_type, customer, time_left_ms, cut, redial }
         },
     )
 }
 
-fn report() -> impl Strategy<Value = Report> {
-    any::<Option<u32>>().prop_map(|rate_milli| Report { rate_milli })
+fn report() -> impl Strategy<Value = ProcessorReport> {
+    any::<Option<u32>>().prop_map(|rate_milli| ProcessorReport { rate_milli })
 }
 
 fn range() -> impl Strategy<Value = RangeStatus> {
@@ -60,9 +60,9 @@
         identity in proptest::option::of(identity()), other in other(), cic in 0u16..4096,
     ) {
         let (nature, forward, category, medium) = fixed;
-        let other = other.iter().map(|(code, contents)| (*code, &contents[..])).collect();
+        let unknown_parameters = other.iter().map(|(code, contents)| (*code, &contents[..])).collect();
         let map = map.map(CircuitMap);
-        let iam = Iam { nature, forward, category, medium, called, calling, map, hops, identity, other };
+        let iam = Iam { nature, forward, category, medium, called, calling, map, hops, identity, unknown_parameters };
         same(&Message::new(Cic(cic), Body::Iam(iam)))?;
     }
 
@@ -76,10 +76,10 @@
         let rel = Rel {
             cause: CauseIndicators::new(location, Q850::from_value(value)),
             congestion,
-            wait: wait.map(|ms| Duration::from_millis(ms.into())),
-            turned_back: beyond.map(|beyond| TurnedBack { beyond }),
+            congestion_wait: wait.map(|ms| Duration::from_millis(ms.into())),
+            crankback: beyond.map(|beyond| Crankback { next_exchange_full: beyond }),
             report,
-            other: other.iter().map(|(code, contents)| (*code, &contents[..])).collect(),
+            unknown_parameters: other.iter().map(|(code, contents)| (*code, &contents[..])).collect(),
         };
         same(&Message::new(Cic(1), Body::Rel(rel)))?;
     }
@@ -90,10 +90,10 @@
         report in proptest::option::of(report()), octets in vec(any::<u8>(), 0..40),
     ) {
         let body = match kind {
-            0 => Body::Acm { backward: [0x16, 0x34], report, other: Vec::new() },
-            1 => Body::Anm { report, other: Vec::new() },
-            2 => Body::Cpg { event: group, other: vec![(0x70, &octets)] },
-            3 => Body::Rlc { other: Vec::new() },
+            0 => Body::Acm { backward: [0x16, 0x34], report, unknown_parameters: Vec::new() },
+            1 => Body::Anm { report, unknown_parameters: Vec::new() },
+            2 => Body::Cpg { event: group, unknown_parameters: vec![(0x70, &octets)] },
+            3 => Body::Rlc { unknown_parameters: Vec::new() },
             4 => Body::Rsc,
             5 => Body::Blo,
             6 => Body::Bla,
@@ -125,8 +125,8 @@
 
     #[test]
     fn a_stream_cut_anywhere_gives_the_same_frames(cuts in vec(0usize..200, 0..6), user in vec(any::<u8>(), 0..60)) {
-        let data = Data { opc: 3, dpc: 9, service: m3ua::ISUP, network: 2, priority: 0, sls: 7, user: &user };
-        let frames = [Frame::AspUp { asp: Some(4) }, Frame::Data(data), Frame::Beat(b"12345"), Frame::AspActiveAck];
+        let data = ProtocolData { opc: 3, dpc: 9, service: m3ua::ISUP, network: 2, priority: 0, sls: 7, user: &user };
+        let frames = [Frame::AspUp { asp: Some(4) }, Frame::Data(data), Frame::Heartbeat(b"12345"), Frame::AspActiveAck];
         let mut stream = Vec::new();
         frames.iter().for_each(|frame| frame.write(&mut stream));
         let mut cuts: Vec<_> = cuts.into_iter().map(|cut| cut.min(stream.len())).collect();
@@ -165,9 +165,9 @@
 
 #[test]
 fn circuits_lie_in_slots_one_to_thirty_one() {
-    assert_eq!((Cic::at(0), Cic::at(30), Cic::at(31)), (Cic(1), Cic(31), Cic(33)));
-    assert!((0..Cic::IN_GROUP).all(|place| Cic::at(place).place() == Some(place)));
-    assert_eq!(Cic(64).place(), None);
+    assert_eq!((Cic::from_index(0), Cic::from_index(30), Cic::from_index(31)), (Cic(1), Cic(31), Cic(33)));
+    assert!((0..Cic::MAX_PER_GROUP).all(|place| Cic::from_index(place).index() == Some(place)));
+    assert_eq!(Cic(64).index(), None);
     let map = CircuitMap(0b1010);
     assert_eq!(map.circuits(Cic(33)).collect::<Vec<_>>(), [Cic(34), Cic(36)]);
 }
--- a/crates/lab/benches/ordinary_call.rs
+++ b/crates/lab/benches/ordinary_call.rs
@@ -11,7 +11,7 @@
 use mintstall_callapi::{Asked, Hangup, Heard, LineCutter, Offer, Request};
 use mintstall_daemon::config::{CallType, Calls, Config, LimitsPlan, Link, Signalling, Subscribers};
 use mintstall_daemon::{Exchange, Shell, exchange::LineNo, exchange::Port};
-use mintstall_isup::{Body, Data, Deframer, Frame, Message, RangeStatus};
+use mintstall_isup::{Body, Deframer, Frame, Message, ProtocolData, RangeStatus};
 use mintstall_websocket::{Dialled, End, Event, Progress};
 use mio::net::TcpStream as MioStream;
 use mio::{Events, Interest, Poll, Token};
@@ -57,17 +57,17 @@
     .expect("a configuration")
 }
 
-fn data(frame: &[u8]) -> Option<Data<'_>> {
+fn data(frame: &[u8]) -> Option<ProtocolData<'_>> {
     match Frame::read(frame) {
         Ok(Frame::Data(data)) => Some(data),
         _ => None,
     }
 }
 
-fn back(data: &Data, body: Body, cic: mintstall_isup::Cic, out: &mut Vec<u8>) {
+fn back(data: &ProtocolData, body: Body, cic: mintstall_isup::Cic, out: &mut Vec<u8>) {
     let mut user = Vec::new();
     Message::new(cic, body).write(&mut user);
-    Frame::Data(Data { opc: data.dpc, dpc: data.opc, user: &user, ..*data }).write(out);
+    Frame::Data(ProtocolData { opc: data.dpc, dpc: data.opc, user: &user, ..*data }).write(out);
 }
 
 /// What the far exchange says to a frame.
@@ -79,7 +79,7 @@
             Frame::AspActive.write(out);
         }
         Ok(Frame::AspActive) => Frame::AspActiveAck.write(out),
-        Ok(Frame::Beat(sign)) => Frame::BeatAck(sign).write(out),
+        Ok(Frame::Heartbeat(sign)) => Frame::HeartbeatAck(sign).write(out),
         _ => {}
     }
     let Some(data) = data(frame) else { return };
@@ -88,13 +88,13 @@
         Body::Iam(_) => {
             back(
                 &data,
-                Body::Acm { backward: [0x16, 0x34], report: None, other: Vec::new() },
+                Body::Acm { backward: [0x16, 0x34], report: None, unknown_parameters: Vec::new() },
                 message.cic,
                 out,
             );
-            back(&data, Body::Anm { report: None, other: Vec::new() }, message.cic, out);
+            back(&data, Body::Anm { report: None, unknown_parameters: Vec::new() }, message.cic, out);
         }
-        Body::Rel(_) => back(&data, Body::Rlc { other: Vec::new() }, message.cic, out),
+        Body::Rel(_) => back(&data, Body::Rlc { unknown_parameters: Vec::new() }, message.cic, out),
         Body::Grs { count } => back(&data, Body::Gra(RangeStatus { count, status: 0 }), message.cic, out),
         _ => {}
     }
@@ -452,17 +452,17 @@
     let mut now = Duration::from_secs(3600);
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let mut exchange = Exchange::new(now, &config(any), 2, 1);
-    let entry = |office: u16| mintstall_roster::Entry {
+    let entry = |office: u16| mintstall_membership::Entry {
         exchange: office.into(),
         office,
         region: 0,
-        standing: mintstall_roster::Standing::Ready,
+        standing: mintstall_membership::Standing::Ready,
         age_ms: None,
     };
-    let news = mintstall_roster::News { version: 1, since: None, entries: vec![entry(1), entry(2)] };
+    let news = mintstall_membership::News { version: 1, since: None, entries: vec![entry(1), entry(2)] };
     let far_no = mintstall::host::OfficeNo(2);
     let mut far = Far { out: Vec::new(), answers: 0 };
-    exchange.feed_note(now, &mut far, &mintstall_roster::FeedNote::Roster(news));
+    exchange.feed_note(now, &mut far, &mintstall_membership::FeedNote::Roster(news));
     exchange.line_open(now).expect("a line");
     exchange.link_up(now, &mut far, far_no);
     let mut turn = |exchange: &mut Exchange, far: &mut Far, text: &str| {
--- a/crates/lab/benches/virtual_speed.rs
+++ b/crates/lab/benches/virtual_speed.rs
@@ -5,9 +5,9 @@
 
 use std::time::{Duration, Instant};
 
+use mintstall_emulator::{Day, Groups, Traffic};
 use mintstall_lab::Auditor;
 use mintstall_lab::virtual_day::{Honest, play};
-use mintstall_standin::{Day, Groups, Traffic};
 
 fn main() {
     let long = std::env::args().any(|arg| arg == "--long");
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -6,7 +6,7 @@
 
 use mintstall_callapi::{Answered, How, Offer};
 use mintstall_client::{ComeBackPlan, Event, Plan, Session};
-use mintstall_standin::{Clients as ClientsPlan, Witness, World};
+use mintstall_emulator::{Clients as ClientsPlan, Witness, World};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
--- a/crates/lab/src/setup.rs
+++ b/crates/lab/src/controller_config.rs
@@ -6,7 +6,7 @@
     Admin, CallType, Calls, Config, Customer, Directory, LimitsPlan, Link, Number, Rules, Signalling,
     Subscribers, TimersMs,
 };
-use mintstall_standin::{Day, Fault, World};
+use mintstall_emulator::{Day, Fault, World};
 
 /// Where a controller finds the world, and is found.
 #[derive(Clone, Debug, Default)]
@@ -37,7 +37,7 @@
         width: of.width,
         mean_hold_ms: (of.hold_s * 1e3) as u64,
     });
-    let number = |fault: &mintstall_standin::FaultAt| match fault.what {
+    let number = |fault: &mintstall_emulator::FaultAt| match fault.what {
         Fault::Crowd { exchange, number, lines, .. } if exchange == office => Some(Number { number, lines }),
         _ => None,
     };
--- a/crates/lab/src/far.rs
+++ b/crates/lab/src/far.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use mintstall_standin::{Far, FarPlan, FarTally};
+use mintstall_emulator::{Far, FarPlan, FarTally};
 
 /// It runs until this is dropped and its connection ends.
 pub struct FarServer {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,14 +1,14 @@
 //! The laboratory, first part: days over sockets or in virtual time, and the verdict on the rules.
 
-pub mod audit;
-pub mod capture;
 pub mod clients;
+pub mod controller_config;
 pub mod far;
 pub mod load;
 pub mod loopback;
+pub mod pcap;
 pub mod report;
-pub mod setup;
+pub mod rule_checker;
 pub mod virtual_day;
 
-pub use audit::{Auditor, Breach, Verdict};
 pub use report::Report;
+pub use rule_checker::{Auditor, Breach, Verdict};
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -12,9 +12,9 @@
 
 use mintstall_callapi::{Asked, Hangup, Heard, LineCutter, Request};
 use mintstall_daemon::wires::Outbox;
+use mintstall_emulator::{Act, Day, Score, Wiring, Witness, World};
+use mintstall_membership::{FeedNote, ProcessorNote, Reply};
 use mintstall_office::Tally;
-use mintstall_roster::{FeedNote, ProcessorNote, Reply};
-use mintstall_standin::{Act, Day, Score, Wiring, Witness, World};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 use nix::sys::signal::{Signal, kill};
@@ -25,7 +25,7 @@
 use tracing::{info, warn};
 
 use crate::clients::{ClientNo, ClientTally, Clients};
-use crate::setup::{Places, config};
+use crate::controller_config::{Places, config};
 
 #[derive(Debug, Error)]
 pub enum LoopbackError {
--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/pcap.rs
@@ -4,8 +4,8 @@
 use std::io::Write;
 use std::time::Duration;
 
-use mintstall_isup::{Data, Frame};
-use mintstall_standin::{Seen, Witness};
+use mintstall_emulator::{Seen, Witness};
+use mintstall_isup::{Frame, ProtocolData};
 use pcap_file::pcap::{PcapHeader, PcapPacket, PcapWriter};
 use pcap_file::{DataLink, PcapError};
 
@@ -42,7 +42,7 @@
 }
 
 /// Service information octet and routing label (Q.704 clauses 14.2 and 2.2), point codes of 14 bits.
-fn mtp3(data: &Data) -> Vec<u8> {
+fn mtp3(data: &ProtocolData) -> Vec<u8> {
     let label = data.dpc & 0x3fff | (data.opc & 0x3fff) << 14 | u32::from(data.sls & 15) << 28;
     let mut octets = Vec::with_capacity(5 + data.user.len());
     octets.push(data.network << 6 | data.priority << 4 | data.service & 15);
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -2,12 +2,12 @@
 
 use std::fmt::Write;
 
+use mintstall_emulator::{Day, Score};
 use mintstall_office::Tally;
-use mintstall_standin::{Day, Score};
 use serde::Serialize;
 
-use crate::audit::Verdict;
 use crate::clients::ClientTally;
+use crate::rule_checker::Verdict;
 
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/rule_checker.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use mintstall_callapi::Final;
-use mintstall_isup::{Body, Cic, Data, Frame, Iam, Message, Number, RangeStatus};
-use mintstall_roster::{Entry, Standing};
-use mintstall_standin::{Rules, Seen, Witness};
+use mintstall_emulator::{Rules, Seen, Witness};
+use mintstall_isup::{Body, Cic, Frame, Iam, Message, Number, ProtocolData, RangeStatus};
+use mintstall_membership::{Entry, Standing};
 use serde::Serialize;
 
 /// One broken rule.
@@ -461,10 +461,10 @@
             self.seizure_over(at, office, (from, circuit), None);
         }
         let digits = iam.called.digits();
-        let dest = Number::value(&digits[..digits.len().min(5)]);
+        let dest = Number::parse_decimal(&digits[..digits.len().min(5)]);
         let (true, Some(identity)) = (dest != Some(office.into()), iam.identity) else { return };
         self.judged.calls_in_transit += 1;
-        let until = at + Duration::from_millis(identity.left_ms.into());
+        let until = at + Duration::from_millis(identity.time_left_ms.into());
         self.desk(office).transit.insert((from, cic), (until, identity.call, theirs));
     }
 
@@ -599,7 +599,7 @@
 
 fn read(frame: &[u8]) -> Option<Message<'_>> {
     match Frame::read(frame) {
-        Ok(Frame::Data(Data { user, .. })) => Message::read(user).ok(),
+        Ok(Frame::Data(ProtocolData { user, .. })) => Message::read(user).ok(),
         _ => None,
     }
 }
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -8,11 +8,11 @@
 use mintstall_callapi::Final;
 use mintstall_daemon::exchange::{final_answer, how_ended, order, processor_report};
 use mintstall_daemon::roster_lines;
+use mintstall_emulator::{Act, Day, Score, Wiring, Witness, World};
+use mintstall_membership::{Limits, Roster, Told};
 use mintstall_office::{Answer, CallEnd, Office, Plant};
-use mintstall_roster::{Limits, Roster, Told};
-use mintstall_standin::{Act, Day, Score, Wiring, Witness, World};
 
-use crate::setup::{Places, config};
+use crate::controller_config::{Places, config};
 
 /// Processors may have started before the day does.
 const CLOCK_START: Duration = Duration::from_secs(3600);
--- a/crates/lab/tests/model/offices.rs
+++ b/crates/lab/tests/model/offices.rs
@@ -190,8 +190,8 @@
 
 fn places(cic: Cic, iam: &Iam) -> Vec<u16> {
     match iam.map {
-        None => cic.place().into_iter().collect(),
-        Some(map) => map.circuits(cic).filter_map(Cic::place).collect(),
+        None => cic.index().into_iter().collect(),
+        Some(map) => map.circuits(cic).filter_map(Cic::index).collect(),
     }
 }
 
@@ -435,7 +435,7 @@
 
     /// An office sends a message.
     fn goes(&mut self, no: u16, to: u16, message: &Message) {
-        let Some(place) = message.cic.place() else { return };
+        let Some(place) = message.cic.index() else { return };
         let end = (no, to, place);
         match &message.body {
             Body::Iam(iam) => {
@@ -453,7 +453,7 @@
                 self.stands(end);
             }
             Body::Rel(rel) => {
-                self.seen.turned_back += usize::from(rel.turned_back.is_some());
+                self.seen.turned_back += usize::from(rel.crankback.is_some());
                 let how = match rel.cause.cause {
                     Q850::RecoveryOnTimer => Ending::TimedOut,
                     Q850::NormalClearing => Ending::Cancelled,
@@ -488,7 +488,7 @@
 
     /// A message comes to an office, which has not seen it yet.
     fn came(&mut self, from: u16, no: u16, message: &Message) {
-        let Some(place) = message.cic.place() else { return };
+        let Some(place) = message.cic.index() else { return };
         let end = (no, from, place);
         match &message.body {
             Body::Iam(iam) => self.set_up_came(from, no, message.cic, iam),
@@ -566,7 +566,7 @@
                     && matches!(line, Line::Out { whose: other, .. } if *other == whose)
             });
             let prevails = match ours.count().cmp(&wanted.len()) {
-                std::cmp::Ordering::Equal => Cic::at(*place).0.is_multiple_of(2) == (no > from),
+                std::cmp::Ordering::Equal => Cic::from_index(*place).0.is_multiple_of(2) == (no > from),
                 order => order.is_gt(),
             };
             if prevails {
@@ -586,7 +586,7 @@
         wanted.iter().for_each(|place| _ = self.lines.insert((no, from, *place), line));
         // Its own numbers answer by themselves, and one that stops takes nothing.
         if dest != no && !stopping {
-            let left = iam.identity.map_or(0, |identity| identity.left_ms);
+            let left = iam.identity.map_or(0, |identity| identity.time_left_ms);
             self.seen.transit += 1;
             self.open.insert(whose);
             self.model.note(self.now, whose, What::Taken { until: self.now + ms(left.into()) });
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mintstall_isup::{Body, Cic, Data, Frame, Message, Q850};
+use mintstall_emulator::{Day, Fault, FaultAt, Groups, Rules, Traffic, Which};
+use mintstall_isup::{Body, Cic, Frame, Message, ProtocolData, Q850};
 use mintstall_lab::virtual_day::{Honest, Meddler, play};
 use mintstall_lab::{Auditor, Verdict};
-use mintstall_standin::{Day, Fault, FaultAt, Groups, Rules, Traffic, Which};
 
 fn judged(day: &Day, meddler: &mut dyn Meddler) -> Verdict {
     assert_eq!(day.faults_found(), Vec::<String>::new());
@@ -76,7 +76,7 @@
     sent: BTreeMap<(u16, u16, u16), Vec<u8>>,
 }
 
-fn user(frame: &[u8]) -> Option<Data<'_>> {
+fn user(frame: &[u8]) -> Option<ProtocolData<'_>> {
     match Frame::read(frame) {
         Ok(Frame::Data(data)) => Some(data),
         _ => None,
@@ -92,7 +92,7 @@
     message.cic = Cic(message.cic.0 ^ 2);
     let (mut octets, mut out) = (Vec::new(), Vec::new());
     message.write(&mut octets);
-    Frame::Data(Data { user: &octets, ..data }).write(&mut out);
+    Frame::Data(ProtocolData { user: &octets, ..data }).write(&mut out);
     Some(out)
 }
 
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -9,7 +9,9 @@
 use mintstall_client::{Redial, RedialPlan};
 use mintstall_daemon::Config;
 use mintstall_daemon::exchange::{Exchange, LineNo, Port};
-use mintstall_isup::{Body, CauseIndicators, Cic, Data, Deframer, Frame, Location, Message, Q850, Rel};
+use mintstall_isup::{
+    Body, CauseIndicators, Cic, Deframer, Frame, Location, Message, ProtocolData, Q850, Rel,
+};
 use mintstall_office::{Answer, CallEnd, Office, Plant};
 use serde_json::json;
 
@@ -105,7 +107,7 @@
         let mut wires = Wires::default();
         let entry = |no: u16| json!({ "exchange": no, "office": no, "region": 0, "standing": "ready" });
         let news = json!({ "version": 1, "entries": [entry(1), entry(2), entry(3), entry(4)] });
-        let note = mintstall_roster::FeedNote::Roster(serde_json::from_value(news).unwrap());
+        let note = mintstall_membership::FeedNote::Roster(serde_json::from_value(news).unwrap());
         first.feed_note(START, &mut wires, &note);
         let tandem = |no: u16| Office::new(START, &config(no, &[(1, 310), (DEST, 310)]).plan(), 1, no.into());
         let (tandems, set_ups) = (TANDEMS.map(|no| (no, tandem(no))).into(), BTreeMap::new());
@@ -133,7 +135,7 @@
             let mut user = Vec::new();
             Message::new(cic, body).write(&mut user);
             let (opc, dpc) = (DEST.into(), from.into());
-            Frame::Data(Data { opc, dpc, service: 5, network: 2, priority: 0, sls: 0, user: &user })
+            Frame::Data(ProtocolData { opc, dpc, service: 5, network: 2, priority: 0, sls: 0, user: &user })
                 .write(&mut out);
         };
         match Frame::read(&frame).unwrap() {
@@ -143,7 +145,7 @@
                 Frame::AspActive.write(&mut out);
             }
             Frame::AspActive => Frame::AspActiveAck.write(&mut out),
-            Frame::Beat(data) => Frame::BeatAck(data).write(&mut out),
+            Frame::Heartbeat(data) => Frame::HeartbeatAck(data).write(&mut out),
             Frame::Data(data) => {
                 let Message { cic, body } = Message::read(data.user).unwrap();
                 match body {
@@ -155,7 +157,7 @@
                     Body::Grs { count } => {
                         write(cic, Body::Gra(mintstall_isup::RangeStatus { count, status: 0 }))
                     }
-                    Body::Rel(_) => write(cic, Body::Rlc { other: Vec::new() }),
+                    Body::Rel(_) => write(cic, Body::Rlc { unknown_parameters: Vec::new() }),
                     _ => {}
                 }
             }
--- a/crates/lab/tests/virtual_days.rs
+++ b/crates/lab/tests/virtual_days.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
+use mintstall_emulator::*;
 use mintstall_lab::Auditor;
-use mintstall_lab::capture::Capture;
+use mintstall_lab::pcap::Capture;
 use mintstall_lab::virtual_day::{Honest, Played, play};
 use mintstall_lab::{Report, Verdict};
-use mintstall_standin::*;
 
 fn run(day: &Day) -> (Played, Verdict) {
     assert_eq!(day.faults_found(), Vec::<String>::new());
--- a/crates/roster/src/feed.rs
+++ b/crates/membership/src/directory_messages.rs
@@ -3,7 +3,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::roster::News;
+use crate::membership::News;
 
 /// What the exchange's plant and the directory tell a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
--- a/crates/roster/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,8 +4,8 @@
 //! controller is to be told. A version that makes no sense changes nothing: the last good one stays in force. The text
 //! of [`Roster::keep`] brings a restarted controller back to it.
 
-mod feed;
-mod roster;
+mod directory_messages;
+mod membership;
 
-pub use feed::{Ask, FeedNote, ProcessorNote, Reply};
-pub use roster::{Entry, Held, Kept, KeptError, Limits, News, Refusal, Roster, Standing, Told, Verdict};
+pub use directory_messages::{Ask, FeedNote, ProcessorNote, Reply};
+pub use membership::{Entry, Held, Kept, KeptError, Limits, News, Refusal, Roster, Standing, Told, Verdict};
--- a/crates/office/src/circuits.rs
+++ b/crates/office/src/circuits.rs
@@ -96,7 +96,7 @@
     pub fn new(own: OfficeNo, to: OfficeNo, count: u16) -> Self {
         let circuit = Circuit { used: Use::Idle, blocked: Blocked::Open, turns: 0 };
         let mut group = Self {
-            circuits: vec![circuit; usize::from(count.min(Cic::IN_GROUP))],
+            circuits: vec![circuit; usize::from(count.min(Cic::MAX_PER_GROUP))],
             controls_even: own > to,
             free_own: BTreeSet::new(),
             free_other: BTreeSet::new(),
@@ -128,7 +128,7 @@
 
     /// The place of a circuit that this group has.
     pub fn place(&self, cic: Cic) -> Option<u16> {
-        cic.place().filter(|place| *place < self.size())
+        cic.index().filter(|place| *place < self.size())
     }
 
     pub fn put(&mut self, place: u16, used: Use) {
@@ -159,7 +159,7 @@
 
     /// Whether this exchange prevails on a circuit that both ends seize at once.
     pub fn controls(&self, place: u16) -> bool {
-        Cic::at(place).0.is_multiple_of(2) == self.controls_even
+        Cic::from_index(place).0.is_multiple_of(2) == self.controls_even
     }
 
     /// The circuits for a call, none taken yet: the lowest free one that is controlled here, else the highest of the
@@ -170,9 +170,9 @@
             let place = self.free_own.first().or(self.free_other.last())?;
             return Some(vec![*place]);
         }
-        let systems = self.size().div_ceil(Cic::SYSTEM);
+        let systems = self.size().div_ceil(Cic::PER_SYSTEM);
         let free_in = |system: u16| {
-            let places = system * Cic::SYSTEM..(system + 1) * Cic::SYSTEM;
+            let places = system * Cic::PER_SYSTEM..(system + 1) * Cic::PER_SYSTEM;
             let own = self.free_own.range(places.clone()).copied();
             own.chain(self.free_other.range(places).rev().copied()).collect::<Vec<_>>()
         };
@@ -185,9 +185,9 @@
 
     /// A circuit and those let go along with it.
     pub fn together(&self, first: u16) -> Vec<u16> {
-        let system = first / Cic::SYSTEM * Cic::SYSTEM;
+        let system = first / Cic::PER_SYSTEM * Cic::PER_SYSTEM;
         let along = |place: &u16| self.get(*place).is_some_and(|circuit| circuit.used == Use::Along(first));
-        std::iter::once(first).chain((system..system + Cic::SYSTEM).filter(along)).collect()
+        std::iter::once(first).chain((system..system + Cic::PER_SYSTEM).filter(along)).collect()
     }
 
     /// What is said of a circuit to a query (Q.764 clause 2.8.3).
--- a/crates/office/src/desk.rs
+++ b/crates/office/src/desk.rs
@@ -12,8 +12,8 @@
     AlarmId, CallId, Cause, Ended, ExchangeId, Host, OfficeNo, PeerNo, Report as FarReport, SeizureNo,
 };
 use mintstall_isup::{
-    Body, CauseIndicators, Cic, CircuitMap, Data, Frame, Iam, Location, Message, Q850, RangeStatus, Rel,
-    Report, TurnedBack, m3ua,
+    Body, CauseIndicators, Cic, CircuitMap, Crankback, Frame, Iam, Location, Message, ProcessorReport,
+    ProtocolData, Q850, RangeStatus, Rel, m3ua,
 };
 
 use crate::circuits::{Group, Use};
@@ -49,7 +49,7 @@
     /// Numbers with few lines: how many, and how many are taken. Fixed at start.
     pub lines: BTreeMap<u64, (u16, u16)>,
     /// What the own processor says of itself, sent along with answers.
-    pub report: Option<Report>,
+    pub report: Option<ProcessorReport>,
     /// Emptied before the office returns.
     pub after: VecDeque<Step>,
     pub changed: BTreeSet<OfficeNo>,
@@ -123,7 +123,8 @@
         // The same link for all messages of a circuit keeps their order (Q.704 clause 14.2.2): its low four bits.
         let sls = (cic.0 & 15) as u8;
         let (opc, dpc) = (u32::from(own.0), u32::from(to.0));
-        let data = Data { opc, dpc, service: m3ua::ISUP, network: 2, priority: 0, sls, user: message };
+        let data =
+            ProtocolData { opc, dpc, service: m3ua::ISUP, network: 2, priority: 0, sls, user: message };
         Frame::Data(data).write(frame);
         self.plant.send(to, frame);
     }
@@ -156,7 +157,7 @@
     /// Lets go of circuits from this end: a release goes out, they stay taken until it is completed.
     pub fn release_held(&mut self, held: &Held, rel: Rel) {
         let rel = Rel { report: rel.report.or(self.desk.report), ..rel };
-        self.send(held.to, Cic::at(held.first()), Body::Rel(rel));
+        self.send(held.to, Cic::from_index(held.first()), Body::Rel(rel));
         let (since, t1) = (self.now, self.desk.spread(self.desk.t.t1));
         let timer = self.desk.timers.set(since + t1, Timer::Circuit(held.to, held.first()));
         self.put_first(held, Use::Releasing { since, timer });
@@ -167,7 +168,7 @@
         self.desk.tally.resets += 1;
         let usable = self.desk.links.get(&held.to).is_some_and(Link::usable);
         let timer = usable.then(|| self.reset_timer(held.to, held.first(), self.desk.t.t16));
-        self.send(held.to, Cic::at(held.first()), Body::Rsc);
+        self.send(held.to, Cic::from_index(held.first()), Body::Rsc);
         self.put_first(held, Use::Resetting { timer });
     }
 
@@ -234,9 +235,9 @@
     match last {
         Some(Cause::Busy) => Rel::new(CauseIndicators::new(Location::Remote, Q850::UserBusy)),
         _ => {
-            let beyond = matches!(last, Some(Cause::ProcessorFull { .. }));
+            let next_exchange_full = matches!(last, Some(Cause::ProcessorFull { .. }));
             let rel = Rel::new(CauseIndicators::new(Location::Transit, Q850::NoCircuit));
-            Rel { turned_back: Some(TurnedBack { beyond }), ..rel }
+            Rel { crankback: Some(Crankback { next_exchange_full }), ..rel }
         }
     }
 }
@@ -266,8 +267,8 @@
                 HOPS
             }
         };
-        identity.left_ms = u32::try_from(leg.until.saturating_sub(now).as_millis()).unwrap_or(u32::MAX);
-        let bit = |place: &u16| 1 << (place % Cic::SYSTEM);
+        identity.time_left_ms = u32::try_from(leg.until.saturating_sub(now).as_millis()).unwrap_or(u32::MAX);
+        let bit = |place: &u16| 1 << (place % Cic::PER_SYSTEM);
         let map = (held.places.len() > 1)
             .then(|| CircuitMap(held.places.iter().map(bit).fold(0, |map, bit| map | bit)));
         let iam = Iam {
@@ -282,9 +283,9 @@
             map,
             hops: Some(hops),
             identity: Some(identity),
-            other: Vec::new(),
+            unknown_parameters: Vec::new(),
         };
-        let first = Cic::at(held.first());
+        let first = Cic::from_index(held.first());
         let circuits = held.places.len() as u16;
         let span = limit.min(self.desk.t.t7);
         self.desk.tally.seizures += 1;
--- a/crates/office/src/legs.rs
+++ b/crates/office/src/legs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mintstall::host::{Cause, ExchangeId, OfficeNo, SeizureNo};
-use mintstall_isup::{Identity, Number};
+use mintstall_isup::{CallIdentity, Number};
 
 use crate::circuits::Use;
 use crate::desk::Working;
@@ -68,7 +68,7 @@
 pub(crate) struct Leg {
     pub source: Source,
     pub sink: Sink,
-    pub identity: Identity,
+    pub identity: CallIdentity,
     pub called: Number,
     pub dialled: u64,
     pub dest: OfficeNo,
--- a/crates/office/src/office.rs
+++ b/crates/office/src/office.rs
@@ -10,7 +10,8 @@
     SeizureNo, Standing,
 };
 use mintstall_isup::{
-    Body, CauseIndicators, Cic, Frame, Identity, Location, Number, Q850, RangeStatus, Rel, Report,
+    Body, CallIdentity, CauseIndicators, Cic, Frame, Location, Number, ProcessorReport, Q850, RangeStatus,
+    Rel,
 };
 
 use crate::circuits::{Group, Use};
@@ -171,7 +172,7 @@
     }
 
     /// What the own processor says of itself; goes along with the next answers.
-    pub fn processor(&mut self, report: Report) {
+    pub fn processor(&mut self, report: ProcessorReport) {
         self.desk.report = Some(report);
     }
 
@@ -198,8 +199,8 @@
             w.desk.tally.offered += 1;
             let full = w.desk.legs.len() >= w.desk.most_calls;
             w.desk.tally.overflow += u64::from(full);
-            let called = Number::empty().then(order.dest.0.into(), OFFICE_DIGITS);
-            let called = called.and_then(|office| office.then(order.dialled.0, 1));
+            let called = Number::empty().append_decimal(order.dest.0.into(), OFFICE_DIGITS);
+            let called = called.and_then(|office| office.append_decimal(order.dialled.0, 1));
             let width = w.desk.widths.get(usize::from(order.call_type.0)).copied();
             let until = now.saturating_add(order.left).saturating_sub(ANSWER_WAY);
             let (Some(called), Some(width)) = (called.filter(|_| !closing && !full && until > now), width)
@@ -207,13 +208,13 @@
                 w.desk.tally.refused += 1;
                 return w.plant.answer(call, Answer::Refused { come_back: Duration::ZERO });
             };
-            let identity = Identity {
+            let identity = CallIdentity {
                 origin: w.desk.own.0,
                 call: call.0,
                 seizure: 0,
                 call_type: order.call_type.0,
                 customer: order.customer.0,
-                left_ms: 0,
+                time_left_ms: 0,
                 cut: order.cut,
                 redial: order.redial,
             };
@@ -445,7 +446,7 @@
             .and_then(|group| group.get(held.first()))
             .is_some_and(|circuit| circuit.used.call().is_some());
         if taken {
-            self.release_held(held, Rel { other: Vec::new(), ..rel.clone() });
+            self.release_held(held, Rel { unknown_parameters: Vec::new(), ..rel.clone() });
         }
     }
 
@@ -502,21 +503,21 @@
                 self.plant.note(&format!(
                     "exchange {}: circuit {} not released in {:?}, reset",
                     to.0,
-                    Cic::at(place).0,
+                    Cic::from_index(place).0,
                     t.t5
                 ));
                 self.reset_held(&held);
             }
             Use::Releasing { since, .. } => {
                 self.desk.tally.releases_repeated += 1;
-                self.send(to, Cic::at(place), Body::Rel(normal(Location::Local)));
+                self.send(to, Cic::from_index(place), Body::Rel(normal(Location::Local)));
                 // The last of these is past T5, and apart from those of others.
                 let again = now + self.desk.spread(t.t1);
                 let timer = self.desk.timers.set(again, Timer::Circuit(to, place));
                 self.put_first(&held, Use::Releasing { since, timer });
             }
             Use::Resetting { .. } => {
-                self.send(to, Cic::at(place), Body::Rsc);
+                self.send(to, Cic::from_index(place), Body::Rsc);
                 let timer = Some(self.reset_timer(to, place, t.t17));
                 self.put_first(&held, Use::Resetting { timer });
             }
@@ -543,7 +544,7 @@
     /// Blocks or unblocks circuits at the far end, a message a system (Q.763 clause 3.13: hardware failure).
     pub fn tell_blocked(&mut self, to: OfficeNo, places: &[u16], blocked: bool) {
         const HARDWARE: u8 = 1;
-        for system in places.chunk_by(|a, b| a / Cic::SYSTEM == b / Cic::SYSTEM) {
+        for system in places.chunk_by(|a, b| a / Cic::PER_SYSTEM == b / Cic::PER_SYSTEM) {
             let (first, last) = (system[0], system[system.len() - 1]);
             let status = system.iter().fold(0u32, |bits, place| bits | 1 << (place - first));
             let range = RangeStatus { count: (last - first + 1) as u8, status };
@@ -551,7 +552,7 @@
                 true => Body::Cgb { kind: HARDWARE, range },
                 false => Body::Cgu { kind: HARDWARE, range },
             };
-            self.send(to, Cic::at(first), body);
+            self.send(to, Cic::from_index(first), body);
         }
     }
 
@@ -591,7 +592,7 @@
             Phase::Active => {
                 link.unanswered += 1;
                 link.timer = Some(self.desk.timers.set(self.now + beat, Timer::Link(to)));
-                self.send_frame(to, Frame::Beat(b"mintstal"));
+                self.send_frame(to, Frame::Heartbeat(b"mintstal"));
             }
         }
     }
@@ -610,7 +611,7 @@
         let blocked: Vec<_> = group.all().filter(|(_, c)| c.blocked.here()).map(|(place, _)| place).collect();
         match cleared {
             Cleared::NotYet => {
-                let firsts: Vec<u16> = (0..group.size()).step_by(usize::from(Cic::SYSTEM)).collect();
+                let firsts: Vec<u16> = (0..group.size()).step_by(usize::from(Cic::PER_SYSTEM)).collect();
                 firsts.into_iter().for_each(|place| self.reset_system(to, place, self.desk.t.t22));
             }
             Cleared::Asked => {
@@ -619,7 +620,7 @@
                     match used {
                         Use::Resetting { timer: None } => {
                             let timer = Some(self.reset_timer(to, place, self.desk.t.t16));
-                            self.send(to, Cic::at(place), Body::Rsc);
+                            self.send(to, Cic::from_index(place), Body::Rsc);
                             let places = self.desk.groups.get(&to).map(|group| group.together(place));
                             places.iter().for_each(|places| {
                                 self.put_first(
@@ -629,7 +630,7 @@
                             });
                         }
                         Use::Releasing { .. } => {
-                            self.send(to, Cic::at(place), Body::Rel(normal(Location::Local)));
+                            self.send(to, Cic::from_index(place), Body::Rel(normal(Location::Local)));
                         }
                         _ => {}
                     }
@@ -644,7 +645,7 @@
     /// Resets all circuits of a system that carry nothing; again after a while if it is not acknowledged.
     fn reset_system(&mut self, to: OfficeNo, first: u16, again: Duration) {
         let Some(group) = self.desk.groups.get_mut(&to) else { return };
-        let end = (first + Cic::SYSTEM).min(group.size());
+        let end = (first + Cic::PER_SYSTEM).min(group.size());
         let waiting = |used| matches!(used, Use::Idle | Use::Resetting { timer: None });
         let open: Vec<_> =
             (first..end).filter(|place| group.get(*place).is_some_and(|c| waiting(c.used))).collect();
@@ -661,7 +662,7 @@
         self.desk.tally.resets += 1;
         let again = self.desk.spread(again);
         self.desk.timers.set(self.now + again, Timer::GroupReset(to, first));
-        self.send(to, Cic::at(first), Body::Grs { count: (end - first) as u8 });
+        self.send(to, Cic::from_index(first), Body::Grs { count: (end - first) as u8 });
     }
 }
 
--- a/crates/office/src/plan.rs
+++ b/crates/office/src/plan.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupPlan {
     pub to: OfficeNo,
-    /// Circuits, at most [`mintstall_isup::Cic::IN_GROUP`].
+    /// Circuits, at most [`mintstall_isup::Cic::MAX_PER_GROUP`].
     pub circuits: u16,
 }
 
--- a/crates/office/src/queries.rs
+++ b/crates/office/src/queries.rs
@@ -71,10 +71,10 @@
         self.desk.timers.set(next, Timer::Audit(to));
         let Some(size) = self.desk.groups.get(&to).map(Group::size).filter(|size| *size > 0) else { return };
         let audit = self.desk.audits.entry(to).or_default();
-        audit.system = (audit.system + 1) % size.div_ceil(Cic::SYSTEM);
-        let first = audit.system * Cic::SYSTEM;
-        let count = (size - first).min(Cic::SYSTEM) as u8;
-        self.send(to, Cic::at(first), Body::Cqm { count });
+        audit.system = (audit.system + 1) % size.div_ceil(Cic::PER_SYSTEM);
+        let first = audit.system * Cic::PER_SYSTEM;
+        let count = (size - first).min(Cic::PER_SYSTEM) as u8;
+        self.send(to, Cic::from_index(first), Body::Cqm { count });
     }
 
     /// The far end says what it holds of each circuit.
--- a/crates/office/src/signalling.rs
+++ b/crates/office/src/signalling.rs
@@ -8,8 +8,8 @@
 use mintstall::Controller;
 use mintstall::host::{CallId, Cause, OfficeNo, PeerNo, Report as FarReport, Stood};
 use mintstall_isup::{
-    Body, CauseIndicators, Cic, Frame, FrameError, Iam, Identity, Location, Message, Number, Q850,
-    RangeStatus, Rel, Report, m3ua,
+    Body, CallIdentity, CauseIndicators, Cic, Frame, FrameError, Iam, Location, Message, Number,
+    ProcessorReport, Q850, RangeStatus, Rel, m3ua,
 };
 
 use crate::circuits::Use;
@@ -78,7 +78,7 @@
                 link.far = Far::Inactive;
                 self.send_frame(from, Frame::AspDownAck);
             }
-            Frame::Beat(data) => self.send_frame(from, Frame::BeatAck(data)),
+            Frame::Heartbeat(data) => self.send_frame(from, Frame::HeartbeatAck(data)),
             Frame::Data(data)
                 if !was || data.service != m3ua::ISUP || data.dpc != u32::from(self.desk.own.0) =>
             {
@@ -128,13 +128,17 @@
                     }
                     self.pass_back(
                         call,
-                        Body::Acm { backward: BACKWARD, report: self.desk.report, other: Vec::new() },
+                        Body::Acm {
+                            backward: BACKWARD,
+                            report: self.desk.report,
+                            unknown_parameters: Vec::new(),
+                        },
                     );
                 }
             }
             Body::Cpg { event, .. } => {
                 if let Use::SeizedOut(call) = used {
-                    self.pass_back(call, Body::Cpg { event, other: Vec::new() });
+                    self.pass_back(call, Body::Cpg { event, unknown_parameters: Vec::new() });
                 }
             }
             Body::Anm { report, .. } => {
@@ -147,7 +151,7 @@
             Body::Rel(rel) => {
                 self.reported(controller, from, &rel.report);
                 // Also where a release of ours is on its way: each end completes the other's (Q.764 clause 2.3.1).
-                self.send(from, cic, Body::Rlc { other: Vec::new() });
+                self.send(from, cic, Body::Rlc { unknown_parameters: Vec::new() });
                 let cause = match used {
                     Use::SeizedOut(call) => match self.prevailed_on(call) {
                         // Beside the circuit on which it signals: the far end gives up its own set-up.
@@ -177,7 +181,7 @@
                 if self.desk.groups[&from].get(place).is_some_and(|circuit| circuit.blocked.here()) {
                     self.send(from, cic, Body::Blo);
                 }
-                self.send(from, cic, Body::Rlc { other: Vec::new() });
+                self.send(from, cic, Body::Rlc { unknown_parameters: Vec::new() });
                 self.far_reset(controller, from, place, used);
             }
             Body::Grs { count } => {
@@ -254,7 +258,7 @@
         }
     }
 
-    fn reported(&mut self, controller: &mut Controller, from: OfficeNo, report: &Option<Report>) {
+    fn reported(&mut self, controller: &mut Controller, from: OfficeNo, report: &Option<ProcessorReport>) {
         let Some(report) = report else { return };
         let far =
             FarReport { rate: report.rate_milli.map(|milli| f64::from(milli) / 1e3), ..FarReport::default() };
@@ -290,7 +294,7 @@
     /// Something to say backwards to where a call in transit came from.
     fn pass_back(&mut self, call: CallId, body: Body) {
         if let Some(Leg { source: Source::Trunk(held), .. }) = self.desk.legs.get(&call) {
-            let (to, cic) = (held.to, Cic::at(held.first()));
+            let (to, cic) = (held.to, Cic::from_index(held.first()));
             self.send(to, cic, body);
         }
     }
@@ -321,8 +325,8 @@
             self.put(&source, Use::StandingIn(call));
             self.send(
                 source.to,
-                Cic::at(source.first()),
-                Body::Anm { report: self.desk.report, other: Vec::new() },
+                Cic::from_index(source.first()),
+                Body::Anm { report: self.desk.report, unknown_parameters: Vec::new() },
             );
         }
         controller.stands(now, self, &Stood { call, seizure, exchange, after });
@@ -351,7 +355,7 @@
         {
             let held = held.clone();
             then(&held, self);
-            return self.caller_gone(controller, call, Rel { other: Vec::new(), ..rel.clone() });
+            return self.caller_gone(controller, call, Rel { unknown_parameters: Vec::new(), ..rel.clone() });
         }
         match std::mem::replace(&mut leg.sink, Sink::Open) {
             Sink::Seized(out) if here(&out.held) => {
@@ -434,9 +438,9 @@
         let held = Held { to: from, places };
         let digits = iam.called.digits();
         let (office, number) = digits.split_at(OFFICE_DIGITS.min(digits.len()));
-        let dest = Number::value(office).and_then(|dest| u16::try_from(dest).ok());
+        let dest = Number::parse_decimal(office).and_then(|dest| u16::try_from(dest).ok());
         let (Some(dest), Some(dialled)) =
-            (dest.filter(|_| office.len() == OFFICE_DIGITS), Number::value(number))
+            (dest.filter(|_| office.len() == OFFICE_DIGITS), Number::parse_decimal(number))
         else {
             // Invalid number format (Q.850 value 28).
             return self.release_held(&held, failure(Q850::Other(28)));
@@ -457,13 +461,13 @@
         }
         let call = CallId(self.desk.next_call + 1);
         self.desk.next_call += 1;
-        let identity = iam.identity.unwrap_or(Identity {
+        let identity = iam.identity.unwrap_or(CallIdentity {
             origin: from.0,
             call: call.0,
             seizure: 0,
             call_type: 0,
             customer: 0,
-            left_ms: self.desk.t.t7.as_millis() as u32,
+            time_left_ms: self.desk.t.t7.as_millis() as u32,
             cut: false,
             redial: false,
         });
@@ -476,7 +480,7 @@
             dialled,
             dest: OfficeNo(dest),
             width,
-            until: self.now.saturating_add(identity.left()).saturating_sub(ANSWER_WAY),
+            until: self.now.saturating_add(identity.time_left()).saturating_sub(ANSWER_WAY),
             guard: None,
             alarm: None,
             seizures: 0,
@@ -486,7 +490,7 @@
             return self.terminate(call, leg, held);
         }
         self.desk.tally.transit += 1;
-        let arrived = Step::Arrived { from, cic: Cic::at(first) };
+        let arrived = Step::Arrived { from, cic: Cic::from_index(first) };
         self.desk.traces.begin(self.now, call, identity, OfficeNo(dest), dialled, arrived);
         leg.guard = Some(self.desk.timers.set(leg.until, Timer::Guard(call)));
         self.desk.legs.insert(call, leg);
@@ -497,7 +501,7 @@
 
     /// A call for a number here: it stands at once, if the number has a line free.
     fn terminate(&mut self, call: CallId, mut leg: Leg, held: Held) {
-        let cic = Cic::at(held.first());
+        let cic = Cic::from_index(held.first());
         if let Some((lines, taken)) = self.desk.lines.get_mut(&leg.dialled) {
             if taken >= lines {
                 let busy = Rel {
@@ -516,8 +520,12 @@
         self.desk.legs.insert(call, leg);
         self.put(&held, Use::StandingIn(call));
         let report = self.desk.report;
-        self.send(held.to, cic, Body::Acm { backward: BACKWARD, report: None, other: Vec::new() });
-        self.send(held.to, cic, Body::Anm { report, other: Vec::new() });
+        self.send(
+            held.to,
+            cic,
+            Body::Acm { backward: BACKWARD, report: None, unknown_parameters: Vec::new() },
+        );
+        self.send(held.to, cic, Body::Anm { report, unknown_parameters: Vec::new() });
     }
 
     /// The circuits that a set-up asks for, if it is to be worked on; settles dual seizure (Q.764 clause 2.9.1.4): the
@@ -530,7 +538,7 @@
         iam: &Iam,
     ) -> Option<Vec<u16>> {
         let group = self.desk.groups.get(&from)?;
-        let cic = Cic::at(first);
+        let cic = Cic::from_index(first);
         let places: Option<Vec<u16>> = match iam.map {
             None => Some(vec![first]),
             Some(map) => map.circuits(cic).map(|cic| group.place(cic)).collect(),
@@ -621,11 +629,11 @@
 
 /// What a release means for a seizure that has no answer.
 fn seizure_cause(rel: &Rel) -> Cause {
-    if let Some(turned) = rel.turned_back {
-        return Cause::TurnedBack { beyond: turned.beyond };
+    if let Some(crankback) = rel.crankback {
+        return Cause::TurnedBack { beyond: crankback.next_exchange_full };
     }
     match rel.cause.cause {
-        Q850::Congestion => Cause::ProcessorFull { wait: rel.wait.unwrap_or_default() },
+        Q850::Congestion => Cause::ProcessorFull { wait: rel.congestion_wait.unwrap_or_default() },
         Q850::NoCircuit | Q850::CircuitNotAvailable | Q850::ResourceUnavailable => Cause::NoCircuit,
         Q850::NoRoute | Q850::OutOfOrder | Q850::NetworkOutOfOrder => Cause::Unreachable,
         Q850::TemporaryFailure => Cause::Cut,
--- a/crates/office/src/trace.rs
+++ b/crates/office/src/trace.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use mintstall::host::{CallId, Cause, ExchangeId, OfficeNo, SeizureNo};
-use mintstall_isup::{Cic, Identity, Q850};
+use mintstall_isup::{CallIdentity, Cic, Q850};
 
 use crate::plant::{Answer, CallEnd};
 
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trace {
     pub call: CallId,
-    pub identity: Identity,
+    pub identity: CallIdentity,
     pub dest: OfficeNo,
     pub dialled: u64,
     /// With the time of each, on the office's clock.
@@ -111,7 +111,7 @@
         &mut self,
         at: Duration,
         call: CallId,
-        identity: Identity,
+        identity: CallIdentity,
         dest: OfficeNo,
         dialled: u64,
         step: Step,
@@ -161,14 +161,14 @@
 mod tests {
     use super::*;
 
-    fn identity(call: u64) -> Identity {
-        Identity {
+    fn identity(call: u64) -> CallIdentity {
+        CallIdentity {
             origin: 7,
             call,
             seizure: 0,
             call_type: 0,
             customer: 0,
-            left_ms: 0,
+            time_left_ms: 0,
             cut: false,
             redial: false,
         }
--- a/crates/office/tests/common/mod.rs
+++ b/crates/office/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use mintstall::host::*;
-use mintstall_isup::{Data, Deframer, Frame, Message};
+use mintstall_isup::{Deframer, Frame, Message, ProtocolData};
 use mintstall_office::*;
 
 #[derive(Default)]
@@ -218,7 +218,9 @@
     deframer.push(octets);
     let frame = deframer.next().ok()??.to_vec();
     match Frame::read(&frame).ok()? {
-        Frame::Data(Data { user, .. }) => Message::read(user).ok().map(|message| message.name().to_string()),
+        Frame::Data(ProtocolData { user, .. }) => {
+            Message::read(user).ok().map(|message| message.name().to_string())
+        }
         _ => None,
     }
 }
--- a/crates/office/tests/fuzz.rs
+++ b/crates/office/tests/fuzz.rs
@@ -16,7 +16,8 @@
             let (user, after) = after.split_at(usize::from(*count).min(after.len()));
             rest = after;
             let (opc, dpc) = (2, 1);
-            let data = mintstall_isup::Data { opc, dpc, service: 5, network: 2, priority: 0, sls: 0, user };
+            let data =
+                mintstall_isup::ProtocolData { opc, dpc, service: 5, network: 2, priority: 0, sls: 0, user };
             let mut frame = Vec::new();
             mintstall_isup::Frame::Data(data).write(&mut frame);
             table.give(2, 1, &frame);
--- a/crates/office/tests/stories.rs
+++ b/crates/office/tests/stories.rs
@@ -6,13 +6,13 @@
 
 use common::{Table, ms, name};
 use mintstall::host::OfficeNo;
-use mintstall_isup::{Body, Cic, Data, Frame, Message, m3ua};
+use mintstall_isup::{Body, Cic, Frame, Message, ProtocolData, m3ua};
 use mintstall_office::{Answer, CallEnd, LinkState};
 
 fn frame(from: u16, to: u16, cic: Cic, body: Body) -> Vec<u8> {
     let (mut user, mut octets) = (Vec::new(), Vec::new());
     Message::new(cic, body).write(&mut user);
-    let data = Data {
+    let data = ProtocolData {
         opc: from.into(),
         dpc: to.into(),
         service: m3ua::ISUP,
@@ -299,8 +299,15 @@
     assert_eq!(table.answers(3), [(call, Answer::Stands)]);
     // A frame that is one, with a message that is none, is answered and passed over.
     let mut octets = Vec::new();
-    let data =
-        Data { opc: 3, dpc: 2, service: m3ua::ISUP, network: 2, priority: 0, sls: 0, user: &[1, 0, 1, 0] };
+    let data = ProtocolData {
+        opc: 3,
+        dpc: 2,
+        service: m3ua::ISUP,
+        network: 2,
+        priority: 0,
+        sls: 0,
+        user: &[1, 0, 1, 0],
+    };
     Frame::Data(data).write(&mut octets);
     table.give(3, 2, &octets);
     assert_eq!((table.tally(2).unexpected, table.group(2, 3).link), (2, LinkState::Up));
@@ -372,7 +379,7 @@
     table.carry();
     table.with(1, |office, now, wires| office.hang_up(now, wires, call));
     assert_eq!(table.take(1, 2).len(), 1);
-    table.give(2, 1, &frame(2, 1, Cic(1), Body::Rlc { other: Vec::new() }));
+    table.give(2, 1, &frame(2, 1, Cic(1), Body::Rlc { unknown_parameters: Vec::new() }));
     assert_eq!((table.group(1, 2).standing, table.group(2, 1).standing), (1, 2));
     // Two systems, a look every 30 s or a quarter more, from each end: two looks at each system within 150 s.
     for _ in 0..150 {
@@ -467,7 +474,11 @@
         for octets in table.take(1, 2) {
             if name(&octets).as_deref() == Some("REL") {
                 (0..31).for_each(|place| {
-                    table.give(2, 1, &frame(2, 1, Cic::at(place), Body::Rlc { other: Vec::new() }));
+                    table.give(
+                        2,
+                        1,
+                        &frame(2, 1, Cic::from_index(place), Body::Rlc { unknown_parameters: Vec::new() }),
+                    );
                 });
             }
         }
--- a/crates/planner/src/answers.rs
+++ b/crates/planner/src/analysis.rs
@@ -4,7 +4,7 @@
 
 use crate::fleet::Fleet;
 use crate::model::{Solution, solve};
-use crate::widths::balance;
+use crate::multirate::balance;
 
 /// What can be full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/planner/src/recorder.rs
+++ b/crates/planner/src/call_log_writer.rs
@@ -6,7 +6,7 @@
 
 use std::collections::VecDeque;
 
-use crate::capture::{Header, Seen, VERSION};
+use crate::call_log::{Header, Seen, VERSION};
 
 /// Bounds of a recorder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -3,24 +3,24 @@
 //! | file | holds |
 //! | --- | --- |
 //! | `erlang` | Erlang's loss formula and its inverses |
-//! | `widths` | calls of several widths on one group: Kaufman and Roberts, with circuits kept back |
+//! | `multirate` | calls of several widths on one group: Kaufman and Roberts, with circuits kept back |
 //! | `fleet` | the description of a fleet, every fault found with its place |
 //! | `model` | loads and losses of all groups and processors together, by fixed points |
-//! | `answers` | what saturates first, what a loss of exchanges does |
-//! | `capture` | what controllers saw, as files of lines |
-//! | `recorder` | what is written to such a file, bounded |
-//! | `measure` | a traffic matrix from these, with how sure it is |
+//! | `analysis` | what saturates first, what a loss of exchanges does |
+//! | `call_log` | what controllers saw, as files of lines |
+//! | `call_log_writer` | what is written to such a file, bounded |
+//! | `traffic_matrix` | a traffic matrix from these, with how sure it is |
 
-pub mod answers;
-pub mod capture;
+pub mod analysis;
+pub mod call_log;
+pub mod call_log_writer;
 pub mod erlang;
 pub mod fleet;
-pub mod measure;
 pub mod model;
-pub mod recorder;
-pub mod widths;
+pub mod multirate;
+pub mod traffic_matrix;
 
-pub use answers::{
+pub use analysis::{
     Compared, Limit, Lost, Saturates, Sized, compare, lose, saturate, size_groups, size_processors,
 };
 pub use fleet::Fleet;
--- a/crates/planner/src/model.rs
+++ b/crates/planner/src/model.rs
@@ -1,6 +1,6 @@
 //! Loads and losses of all groups and processors together, by fixed points.
 //!
-//! Each group is in balance with what is offered to it (`widths`), thinned by what the other groups and processors of a way lose
+//! Each group is in balance with what is offered to it (`multirate`), thinned by what the other groups and processors of a way lose
 //! (the reduced-load approximation; Kelly, 1986). A call goes direct, else over a tandem whose first leg has room beyond the
 //! circuits kept back, drawn by how much is free there; callers whose call does not stand dial again; a processor that is offered
 //! more than it can do takes its share. All is turned round, half of the way at a time, until nothing moves. Routing with a choice
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use crate::fleet::Fleet;
-use crate::widths::{Stream, balance};
+use crate::multirate::{Stream, balance};
 
 /// A group in balance.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/planner/src/measure.rs
+++ b/crates/planner/src/traffic_matrix.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::capture::{Capture, Seen};
+use crate::call_log::{Capture, Seen};
 
 /// A rate or time, and the range in which it lies with a probability of 0.95.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -145,7 +145,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::capture::Header;
+    use crate::call_log::Header;
 
     fn capture(exchange: u16, seen: Vec<Seen>) -> Capture {
         let whole = matches!(seen.last(), Some(Seen::Closed { .. }));
