--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -17,7 +17,8 @@
     SessionKey, SessionNo, Tokens, Verdict,
 };
 use mintstall_membership::{
-    Ask, FeedNote, Limits, Refusal as RosterRefusal, Reply, Roster, Standing, Told, Verdict as RosterVerdict,
+    ControllerNotification, DirectoryNotification, FullListRequest, MemberStatus, Membership,
+    MembershipChange, MembershipLimits, RejectReason, UpdateOutcome,
 };
 use mintstall_office::{Answer, CallEnd, LinkState, Office, OfficeState, Order, Plant, Step, Trace};
 use rand::rngs::StdRng;
@@ -134,7 +135,7 @@
     overflown: Vec<LineNo>,
     /// What a session that is taken up is told after its welcome. Emptied with it.
     owed_texts: Vec<String>,
-    roster: Roster,
+    roster: Membership,
     feed: LineCutter,
     lines: BTreeMap<LineNo, Line>,
     /// Which line each session has, or had when it was cut. Emptied with the lines.
@@ -150,15 +151,15 @@
 }
 
 /// A roster's lines as the decisions read them.
-pub fn roster_lines(held: &[mintstall_membership::Held]) -> Vec<RosterLine> {
-    let line = |held: &mintstall_membership::Held| RosterLine {
+pub fn roster_lines(held: &[mintstall_membership::Member]) -> Vec<RosterLine> {
+    let line = |held: &mintstall_membership::Member| RosterLine {
         exchange: ExchangeId(held.entry.exchange),
         office: OfficeNo(held.entry.office),
         zone: Zone(held.entry.region),
-        standing: match held.entry.standing {
-            Standing::Ready => HostStanding::Ready,
-            Standing::Draining => HostStanding::Draining,
-            Standing::Gone => HostStanding::Gone,
+        standing: match held.entry.status {
+            MemberStatus::Ready => HostStanding::Ready,
+            MemberStatus::Draining => HostStanding::Draining,
+            MemberStatus::Gone => HostStanding::Gone,
         },
         started: held.started,
     };
@@ -212,7 +213,7 @@
             overflown: Vec::new(),
             sessions: BTreeMap::new(),
             owed_texts: Vec::new(),
-            roster: Roster::new(Limits::default()),
+            roster: Membership::new(MembershipLimits::default()),
             feed: LineCutter::new(LONGEST_NEWS),
             lines: BTreeMap::new(),
             askers: BTreeMap::new(),
@@ -789,7 +790,13 @@
     /// The directory is there: it is asked for all that is new.
     pub fn directory_open(&mut self, port: &mut dyn Port) {
         self.feed = LineCutter::new(LONGEST_NEWS);
-        port.reply(&Reply::Want(Ask { office: self.office.own().0, held: self.roster.version() }).text());
+        port.reply(
+            &ControllerNotification::RequestFullList(FullListRequest {
+                office: self.office.own().0,
+                held_version: self.roster.version(),
+            })
+            .text(),
+        );
     }
 
     /// `Err`: what came makes no sense as a line, and the connection is to be closed. `Ok(true)`: the roster is new.
@@ -804,12 +811,12 @@
         let mut new = false;
         let result = loop {
             match feed.next() {
-                Ok(Some(text)) => match FeedNote::read(text) {
+                Ok(Some(text)) => match DirectoryNotification::read(text) {
                     Ok(note) => new |= self.feed_note(now, port, &note),
                     Err(error) => {
                         port.note(&format!("directory: a line makes no sense and is passed over: {error}"));
                         let (office, why) = (self.office.own().0, error.to_string());
-                        port.reply(&Reply::TurnedDown { office, version: 0, why }.text());
+                        port.reply(&ControllerNotification::Rejected { office, version: 0, why }.text());
                     }
                 },
                 Ok(None) => break Ok(new),
@@ -821,18 +828,29 @@
     }
 
     /// One note of the directory or the plant; `true`: the roster is new.
-    pub fn feed_note(&mut self, now: Duration, port: &mut dyn Port, note: &FeedNote) -> bool {
+    pub fn feed_note(&mut self, now: Duration, port: &mut dyn Port, note: &DirectoryNotification) -> bool {
         match note {
-            FeedNote::Roster(news) => {
+            DirectoryNotification::Membership(news) => {
                 let office = self.office.own().0;
-                let (verdict, told) = self.roster.hear(now, news);
+                let (verdict, told) = self.roster.apply(now, news);
                 match verdict {
-                    RosterVerdict::Taken { version } => port.reply(&Reply::Taken { office, version }.text()),
-                    RosterVerdict::TurnedDown { version, why } => {
+                    UpdateOutcome::Accepted { version } => {
+                        port.reply(&ControllerNotification::Accepted { office, version }.text())
+                    }
+                    UpdateOutcome::Rejected { version, why } => {
                         port.note(&format!("roster version {version} turned down: {why}"));
-                        port.reply(&Reply::TurnedDown { office, version, why: why.to_string() }.text());
-                        if matches!(why, RosterRefusal::Gap { .. } | RosterRefusal::NothingHeld { .. }) {
-                            port.reply(&Reply::Want(Ask { office, held: None }).text());
+                        port.reply(
+                            &ControllerNotification::Rejected { office, version, why: why.to_string() }
+                                .text(),
+                        );
+                        if matches!(why, RejectReason::Gap { .. } | RejectReason::NoBaseVersion { .. }) {
+                            port.reply(
+                                &ControllerNotification::RequestFullList(FullListRequest {
+                                    office,
+                                    held_version: None,
+                                })
+                                .text(),
+                            );
                         }
                     }
                 }
@@ -840,21 +858,21 @@
                 told.iter().for_each(|told| self.roster_told(now, port, told));
                 new
             }
-            FeedNote::Circuits { to, in_service } => {
+            DirectoryNotification::CircuitsInService { to, in_service } => {
                 self.with(now, port, |office, wire| office.circuits(now, wire, OfficeNo(*to), *in_service));
                 false
             }
-            FeedNote::Processor(note) => {
+            DirectoryNotification::Processor(note) => {
                 self.office.processor(processor_report(note.rate));
                 false
             }
         }
     }
 
-    fn roster_told(&mut self, now: Duration, port: &mut dyn Port, told: &Told) {
+    fn roster_told(&mut self, now: Duration, port: &mut dyn Port, told: &MembershipChange) {
         self.with(now, port, |office, wire| match told {
-            Told::Whole(held) => office.roster(now, wire, &roster_lines(held)),
-            Told::Changes(held) => office.roster_changes(now, wire, &roster_lines(held)),
+            MembershipChange::Full(held) => office.roster(now, wire, &roster_lines(held)),
+            MembershipChange::Delta(held) => office.roster_changes(now, wire, &roster_lines(held)),
         });
     }
 
@@ -866,15 +884,15 @@
         port: &mut dyn Port,
         text: &[u8],
     ) -> Result<(), String> {
-        let (roster, told) =
-            Roster::come_back(Limits::default(), now, wall_ms, text).map_err(|error| error.to_string())?;
+        let (roster, told) = Membership::restore(MembershipLimits::default(), now, wall_ms, text)
+            .map_err(|error| error.to_string())?;
         self.roster = roster;
         self.roster_told(now, port, &told);
         Ok(())
     }
 
     pub fn keep(&self, now: Duration, wall_ms: u64) -> Option<String> {
-        serde_json::to_string(&self.roster.keep(now, wall_ms)?).ok()
+        serde_json::to_string(&self.roster.snapshot(now, wall_ms)?).ok()
     }
 
     // What is shown.
@@ -913,7 +931,7 @@
                 "kept_sessions": self.resumable.kept(), "repeats_told": self.repeats.told(),
                 "in_hand": in_hand },
             "roster": { "version": self.roster.version(), "entries": self.roster.entries().count(),
-                "turned_down": self.roster.turned_down() },
+                "turned_down": self.roster.rejected_updates() },
             "groups": groups,
             "counts": {
                 "offered": tally.offered, "transit": tally.transit, "seizures": tally.seizures, "stood": tally.stood,
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -407,16 +407,23 @@
         let now = self.now();
         if config.directory.is_none() {
             let all = config.signalling.links.iter().map(|link| link.to).chain([config.exchange]);
-            let entry = |office: u16| mintstall_membership::Entry {
+            let entry = |office: u16| mintstall_membership::MemberEntry {
                 exchange: office.into(),
                 office,
                 region: 0,
-                standing: mintstall_membership::Standing::Ready,
+                status: mintstall_membership::MemberStatus::Ready,
                 age_ms: None,
             };
-            let news =
-                mintstall_membership::News { version: 1, since: None, entries: all.map(entry).collect() };
-            self.exchange.feed_note(now, &mut self.wires, &mintstall_membership::FeedNote::Roster(news));
+            let news = mintstall_membership::MembershipUpdate {
+                version: 1,
+                since: None,
+                entries: all.map(entry).collect(),
+            };
+            self.exchange.feed_note(
+                now,
+                &mut self.wires,
+                &mintstall_membership::DirectoryNotification::Membership(news),
+            );
         }
         let Some(path) = &self.keep else { return };
         match std::fs::read(path) {
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use mintstall_daemon::Config;
 use mintstall_daemon::config::LimitsPlan;
 use mintstall_isup::{Body, Cic, Deframer, Frame, Message, ProtocolData, RangeStatus};
-use mintstall_membership::FeedNote;
+use mintstall_membership::DirectoryNotification;
 use serde_json::json;
 
 pub const FAR: OfficeNo = OfficeNo(2);
@@ -23,11 +23,11 @@
 }
 
 /// Both exchanges are ready.
-pub fn roster() -> FeedNote {
+pub fn roster() -> DirectoryNotification {
     let entry =
         |office: u16| json!({ "exchange": office, "office": office, "region": 0, "standing": "ready" });
     let news = json!({ "version": 1, "entries": [entry(1), entry(2)] });
-    FeedNote::Roster(serde_json::from_value(news).unwrap())
+    DirectoryNotification::Membership(serde_json::from_value(news).unwrap())
 }
 
 /// The far exchange: it completes resets and releases at once, and keeps set-ups until it is told what to do with them.
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mintstall_callapi::{Final, How, Offer};
-use mintstall_membership::Entry;
+use mintstall_membership::MemberEntry;
 
 /// One thing seen. Offices are point codes.
 #[derive(Clone, Copy, Debug)]
@@ -56,7 +56,7 @@
     Told {
         office: u16,
         whole: bool,
-        entries: &'a [Entry],
+        entries: &'a [MemberEntry],
     },
     Started {
         office: u16,
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -8,7 +8,7 @@
 use mintstall_isup::{
     Body, CauseIndicators, Cic, Deframer, Frame, Location, Message, ProtocolData, Q850, Rel, m3ua,
 };
-use mintstall_membership::{Entry, News, Standing};
+use mintstall_membership::{MemberEntry, MemberStatus, MembershipUpdate};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -54,7 +54,7 @@
     },
     Roster {
         office: u16,
-        news: News,
+        news: MembershipUpdate,
     },
     Circuits {
         office: u16,
@@ -149,7 +149,7 @@
     /// Planned and true calls a second, by pair, and the sums to draw one from.
     flows: Vec<(u16, u16, f64)>,
     sums: Vec<f64>,
-    entries: BTreeMap<u32, (u64, Entry, Duration)>,
+    entries: BTreeMap<u32, (u64, MemberEntry, Duration)>,
     version: u64,
     late_by: Duration,
     cut_regions: Vec<usize>,
@@ -256,8 +256,13 @@
         }
         let entry = |(no, exchange): (usize, &Exchange)| {
             let (office, region) = (no as u16 + 1, exchange.region as u8);
-            let entry =
-                Entry { exchange: exchange.id, office, region, standing: Standing::Ready, age_ms: None };
+            let entry = MemberEntry {
+                exchange: exchange.id,
+                office,
+                region,
+                status: MemberStatus::Ready,
+                age_ms: None,
+            };
             (exchange.id, (1, entry, Duration::ZERO))
         };
         let mut world = Self {
@@ -703,7 +708,7 @@
 
     // The directory.
 
-    fn directory(&mut self, now: Duration, entry: Entry, started: Duration) {
+    fn directory(&mut self, now: Duration, entry: MemberEntry, started: Duration) {
         self.version += 1;
         self.entries.insert(entry.exchange, (self.version, entry, started));
         for office in 1..=self.day.exchanges {
@@ -725,16 +730,17 @@
         }
         let held = exchange.told;
         let since = (held > 0).then_some(held);
-        let aged = |(_, entry, started): &(u64, Entry, Duration)| {
+        let aged = |(_, entry, started): &(u64, MemberEntry, Duration)| {
             let age = (!started.is_zero()).then(|| now.saturating_sub(*started).as_millis() as u64);
-            Entry { age_ms: age, ..*entry }
+            MemberEntry { age_ms: age, ..*entry }
         };
-        let entries: Vec<Entry> = self.entries.values().filter(|entry| entry.0 > held).map(aged).collect();
+        let entries: Vec<MemberEntry> =
+            self.entries.values().filter(|entry| entry.0 > held).map(aged).collect();
         if entries.is_empty() {
             return;
         }
         w.saw(now, Seen::Told { office, whole: since.is_none(), entries: &entries });
-        let news = News { version: self.version, since, entries };
+        let news = MembershipUpdate { version: self.version, since, entries };
         self.exchanges[usize::from(office) - 1].told = self.version;
         acts.push(Act::Roster { office, news });
     }
@@ -749,10 +755,15 @@
         }
     }
 
-    fn standing(&mut self, now: Duration, office: u16, standing: Standing, started: Duration) {
+    fn standing(&mut self, now: Duration, office: u16, status: MemberStatus, started: Duration) {
         let exchange = &self.exchanges[usize::from(office) - 1];
-        let entry =
-            Entry { exchange: exchange.id, office, region: exchange.region as u8, standing, age_ms: None };
+        let entry = MemberEntry {
+            exchange: exchange.id,
+            office,
+            region: exchange.region as u8,
+            status,
+            age_ms: None,
+        };
         self.directory(now, entry, started);
     }
 
@@ -818,10 +829,10 @@
     /// The old machine stops; the new one starts in its place.
     fn replaced(&mut self, now: Duration, office: u16, w: &mut dyn Witness, acts: &mut Vec<Act>) {
         self.kill(now, &[office], w, acts);
-        self.standing(now, office, Standing::Gone, Duration::ZERO);
+        self.standing(now, office, MemberStatus::Gone, Duration::ZERO);
         self.exchanges[usize::from(office) - 1].id += 1;
         self.cold(now, office, w);
-        self.standing(now, office, Standing::Ready, now);
+        self.standing(now, office, MemberStatus::Ready, now);
         self.starts(now, office, w, acts);
     }
 
@@ -900,7 +911,7 @@
             }
             Fault::Replaced { exchanges, drain_s } => {
                 for (turn, office) in self.strikes(no, &exchanges).into_iter().enumerate() {
-                    self.standing(now, office, Standing::Draining, Duration::ZERO);
+                    self.standing(now, office, MemberStatus::Draining, Duration::ZERO);
                     self.at(now + seconds(drain_s + 3.0 * turn as f64), Event::Replaced { office });
                 }
             }
@@ -909,7 +920,7 @@
                 self.kill(now, &struck, w, acts);
                 for office in struck {
                     self.exchanges[usize::from(office) - 1].processor.drain();
-                    self.standing(now, office, Standing::Gone, Duration::ZERO);
+                    self.standing(now, office, MemberStatus::Gone, Duration::ZERO);
                 }
             }
             Fault::ControllersKilled { exchanges } => {
@@ -961,7 +972,7 @@
                 for office in struck {
                     self.cold(now, office, w);
                     self.starts(now, office, w, acts);
-                    self.standing(now, office, Standing::Ready, now);
+                    self.standing(now, office, MemberStatus::Ready, now);
                 }
             }
             Fault::ControllersKilled { .. } => {
--- a/crates/lab/benches/ordinary_call.rs
+++ b/crates/lab/benches/ordinary_call.rs
@@ -452,17 +452,18 @@
     let mut now = Duration::from_secs(3600);
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let mut exchange = Exchange::new(now, &config(any), 2, 1);
-    let entry = |office: u16| mintstall_membership::Entry {
+    let entry = |office: u16| mintstall_membership::MemberEntry {
         exchange: office.into(),
         office,
         region: 0,
-        standing: mintstall_membership::Standing::Ready,
+        status: mintstall_membership::MemberStatus::Ready,
         age_ms: None,
     };
-    let news = mintstall_membership::News { version: 1, since: None, entries: vec![entry(1), entry(2)] };
+    let news =
+        mintstall_membership::MembershipUpdate { version: 1, since: None, entries: vec![entry(1), entry(2)] };
     let far_no = mintstall::host::OfficeNo(2);
     let mut far = Far { out: Vec::new(), answers: 0 };
-    exchange.feed_note(now, &mut far, &mintstall_membership::FeedNote::Roster(news));
+    exchange.feed_note(now, &mut far, &mintstall_membership::DirectoryNotification::Membership(news));
     exchange.line_open(now).expect("a line");
     exchange.link_up(now, &mut far, far_no);
     let mut turn = |exchange: &mut Exchange, far: &mut Far, text: &str| {
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -13,7 +13,7 @@
 use mintstall_callapi::{Asked, Hangup, Heard, LineCutter, Request};
 use mintstall_daemon::wires::Outbox;
 use mintstall_emulator::{Act, Day, Score, Wiring, Witness, World};
-use mintstall_membership::{FeedNote, ProcessorNote, Reply};
+use mintstall_membership::{ControllerNotification, DirectoryNotification, ProcessorStatus};
 use mintstall_office::Tally;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -515,8 +515,9 @@
                     Err(error) => warn!(office, "a line makes no sense: {error}"),
                 },
                 Purpose::Directory(office) => {
-                    if let Ok(Reply::Want(ask)) = Reply::read(&text)
-                        && ask.held.is_none()
+                    if let Ok(ControllerNotification::RequestFullList(request)) =
+                        ControllerNotification::read(&text)
+                        && request.held_version.is_none()
                         && self.processes.get(&office).is_some_and(|process| process.ready.is_some())
                     {
                         self.world.wants_all(now, office, self.witness, &mut acts);
@@ -600,19 +601,19 @@
                     let asked = Asked { id: Some(json!(call)), request: Request::Hangup(Hangup { call }) };
                     self.push(Purpose::Line(office), &[asked.text().as_bytes(), b"\n"]);
                 }
-                Act::Roster { office, news } => self.feed(office, &FeedNote::Roster(news)),
+                Act::Roster { office, news } => self.feed(office, &DirectoryNotification::Membership(news)),
                 Act::Circuits { office, to, in_service } => {
-                    self.feed(office, &FeedNote::Circuits { to, in_service })
+                    self.feed(office, &DirectoryNotification::CircuitsInService { to, in_service })
                 }
                 Act::Report { office, rate } => {
-                    self.feed(office, &FeedNote::Processor(ProcessorNote { rate: Some(rate) }))
+                    self.feed(office, &DirectoryNotification::Processor(ProcessorStatus { rate: Some(rate) }))
                 }
             }
         }
         Ok(())
     }
 
-    fn feed(&mut self, office: u16, note: &FeedNote) {
+    fn feed(&mut self, office: u16, note: &DirectoryNotification) {
         const WAITING: usize = 1000;
         if self.by_purpose.contains_key(&Purpose::Directory(office)) {
             self.push(Purpose::Directory(office), &[note.text().as_bytes(), b"\n"]);
--- a/crates/lab/src/rule_checker.rs
+++ b/crates/lab/src/rule_checker.rs
@@ -13,7 +13,7 @@
 use mintstall_callapi::Final;
 use mintstall_emulator::{Rules, Seen, Witness};
 use mintstall_isup::{Body, Cic, Frame, Iam, Message, Number, ProtocolData, RangeStatus};
-use mintstall_membership::{Entry, Standing};
+use mintstall_membership::{MemberEntry, MemberStatus};
 use serde::Serialize;
 
 /// One broken rule.
@@ -115,7 +115,7 @@
     crossed: BTreeMap<(u16, u16), Duration>,
     /// Circuits on which a release or reset is not completed.
     closing: BTreeSet<(u16, u16)>,
-    told: BTreeMap<u32, (u16, Standing, Duration, bool)>,
+    told: BTreeMap<u32, (u16, MemberStatus, Duration, bool)>,
     /// By where it came from and its first circuit: until when it is to be answered, whose it is, its circuits.
     transit: BTreeMap<(u16, u16), (Duration, u64, Vec<u16>)>,
 }
@@ -377,7 +377,7 @@
         let desk = self.desk(office);
         // Rule 3, calls in transit too.
         let told: Vec<_> = desk.told.values().filter(|(at_office, ..)| *at_office == to).collect();
-        let ready = told.iter().any(|(_, standing, ..)| *standing == Standing::Ready);
+        let ready = told.iter().any(|(_, standing, ..)| *standing == MemberStatus::Ready);
         let since = told.iter().map(|(_, _, since, _)| *since).max();
         if let Some(since) = since.filter(|since| !ready && at > *since + ms(rules.drain_grace_ms) + slack) {
             let late = (at - since).as_secs_f64();
@@ -468,7 +468,7 @@
         self.desk(office).transit.insert((from, cic), (until, identity.call, theirs));
     }
 
-    fn told(&mut self, at: Duration, office: u16, whole: bool, entries: &[Entry]) {
+    fn told(&mut self, at: Duration, office: u16, whole: bool, entries: &[MemberEntry]) {
         let mut drains = 0;
         let desk = self.desk(office);
         if whole {
@@ -477,11 +477,11 @@
         for entry in entries {
             let started = entry.age_ms.is_some();
             let told =
-                desk.told.entry(entry.exchange).or_insert((entry.office, Standing::Ready, at, started));
+                desk.told.entry(entry.exchange).or_insert((entry.office, MemberStatus::Ready, at, started));
             told.3 |= started;
-            if (told.1 == Standing::Ready) != (entry.standing == Standing::Ready) {
-                (told.1, told.2) = (entry.standing, at);
-                drains += u64::from(entry.standing != Standing::Ready);
+            if (told.1 == MemberStatus::Ready) != (entry.status == MemberStatus::Ready) {
+                (told.1, told.2) = (entry.status, at);
+                drains += u64::from(entry.status != MemberStatus::Ready);
             }
         }
         self.judged.drains += drains;
@@ -491,7 +491,7 @@
     fn set_up_at(&mut self, at: Duration, office: u16, from: u16) {
         let told = self.desks.get(&from).is_some_and(|desk| {
             desk.told.values().any(|(at_office, standing, _, started)| {
-                *at_office == office && *standing == Standing::Ready && *started
+                *at_office == office && *standing == MemberStatus::Ready && *started
             })
         });
         let rules = &self.rules;
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -9,7 +9,7 @@
 use mintstall_daemon::exchange::{final_answer, how_ended, order, processor_report};
 use mintstall_daemon::roster_lines;
 use mintstall_emulator::{Act, Day, Score, Wiring, Witness, World};
-use mintstall_membership::{Limits, Roster, Told};
+use mintstall_membership::{Membership, MembershipChange, MembershipLimits};
 use mintstall_office::{Answer, CallEnd, Office, Plant};
 
 use crate::controller_config::{Places, config};
@@ -22,7 +22,7 @@
 /// One exchange's controller in virtual time.
 struct Seat {
     office: Office,
-    roster: Roster,
+    roster: Membership,
     /// The subscribers' numbers of the calls in hand, both ways. Emptied as calls end.
     calls: BTreeMap<u64, CallId>,
     names: BTreeMap<CallId, u64>,
@@ -201,7 +201,7 @@
                         u64::from(incarnation) << 11,
                         seed,
                     ),
-                    roster: Roster::new(Limits::default()),
+                    roster: Membership::new(MembershipLimits::default()),
                     calls: BTreeMap::new(),
                     names: BTreeMap::new(),
                     alarm: None,
@@ -244,10 +244,12 @@
             Act::Roster { office, news } => {
                 let mut taken = true;
                 self.with(now, office, w, |seat, now, plant| {
-                    let (_, told) = seat.roster.hear(now, &news);
+                    let (_, told) = seat.roster.apply(now, &news);
                     match &told {
-                        Some(Told::Whole(held)) => seat.office.roster(now, plant, &roster_lines(held)),
-                        Some(Told::Changes(held)) => {
+                        Some(MembershipChange::Full(held)) => {
+                            seat.office.roster(now, plant, &roster_lines(held))
+                        }
+                        Some(MembershipChange::Delta(held)) => {
                             seat.office.roster_changes(now, plant, &roster_lines(held))
                         }
                         None => taken = false,
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -107,7 +107,8 @@
         let mut wires = Wires::default();
         let entry = |no: u16| json!({ "exchange": no, "office": no, "region": 0, "standing": "ready" });
         let news = json!({ "version": 1, "entries": [entry(1), entry(2), entry(3), entry(4)] });
-        let note = mintstall_membership::FeedNote::Roster(serde_json::from_value(news).unwrap());
+        let note =
+            mintstall_membership::DirectoryNotification::Membership(serde_json::from_value(news).unwrap());
         first.feed_note(START, &mut wires, &note);
         let tandem = |no: u16| Office::new(START, &config(no, &[(1, 310), (DEST, 310)]).plan(), 1, no.into());
         let (tandems, set_ups) = (TANDEMS.map(|no| (no, tandem(no))).into(), BTreeMap::new());
