--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -8,9 +8,9 @@
 
 use clap::Args;
 use mintstall_daemon::config::read_json;
-use mintstall_emulator::{Day, Seen, Witness};
-use mintstall_lab::pcap::Capture;
-use mintstall_lab::{Auditor, Report, loopback, virtual_day};
+use mintstall_emulator::{Day, Observation, Observer};
+use mintstall_lab::pcap::SignallingCapture;
+use mintstall_lab::{Report, RuleChecker, loopback, virtual_day};
 
 use crate::{bad_input, failed};
 
@@ -40,15 +40,15 @@
 }
 
 /// The auditor, and the capture where one is asked for.
-struct Witnesses {
-    auditor: Auditor,
-    capture: Option<Capture<BufWriter<File>>>,
+struct Observers {
+    rule_checker: RuleChecker,
+    capture: Option<SignallingCapture<BufWriter<File>>>,
 }
 
-impl Witness for Witnesses {
-    fn saw(&mut self, at: Duration, seen: Seen) {
-        self.auditor.saw(at, seen);
-        self.capture.iter_mut().for_each(|capture| capture.saw(at, seen));
+impl Observer for Observers {
+    fn observe(&mut self, at: Duration, observation: Observation) {
+        self.rule_checker.observe(at, observation);
+        self.capture.iter_mut().for_each(|capture| capture.observe(at, observation));
     }
 }
 
@@ -58,7 +58,7 @@
         Ok(day) => day,
         Err(error) => return bad_input(error),
     };
-    let faults = day.faults_found();
+    let faults = day.validation_errors();
     if !faults.is_empty() {
         return bad_input(
             faults.iter().map(|fault| format!("{}: {fault}", file.display())).collect::<Vec<_>>().join("\n"),
@@ -80,7 +80,7 @@
 
 /// What exit code 0 promises.
 fn in_order(report: &Report) -> bool {
-    report.kept && report.crashes == 0
+    report.passed && report.crashes == 0
 }
 
 fn play(args: &DayArgs, day: &Day) -> Result<Report, String> {
@@ -90,15 +90,24 @@
         true => (Duration::from_millis(2), Duration::ZERO),
         false => (Duration::from_millis(args.slack_ms), Duration::from_millis(args.slack_ms)),
     };
-    let mut witnesses = Witnesses { auditor: Auditor::new(&day.rules, slack, crossing), capture };
+    let mut observers = Observers { rule_checker: RuleChecker::new(&day.rules, slack, crossing), capture };
     let (score, ended, tallies, crashes, stuck, calls_left, clients, how) = if args.in_virtual_time {
-        let played = virtual_day::play(day, &mut witnesses, &mut virtual_day::Honest);
-        (played.score, played.ended, played.tallies, 0, played.stuck, played.calls_left, None, "virtual")
+        let played = virtual_day::run(day, &mut observers, &mut virtual_day::PassThrough);
+        (
+            played.score,
+            played.ended,
+            played.tallies,
+            0,
+            played.stuck_circuits,
+            played.calls_left,
+            None,
+            "virtual",
+        )
     } else {
         let program = std::env::current_exe().map_err(|error| format!("the own program: {error}"))?;
         let folder = std::env::temp_dir().join(format!("mintstall-day-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
-        let played = loopback::play(day, &program, &folder, &mut witnesses);
+        let played = loopback::run(day, &program, &folder, &mut observers);
         let removed = std::fs::remove_dir_all(&folder);
         let played = played.map_err(|error| error.to_string())?;
         removed.map_err(|error| format!("{}: {error}", folder.display()))?;
@@ -107,29 +116,29 @@
             played.ended,
             played.tallies,
             played.crashes,
-            played.stuck,
+            played.stuck_circuits,
             played.calls_left,
             played.clients,
             "loopback",
         )
     };
-    let Witnesses { auditor, capture } = witnesses;
+    let Observers { rule_checker, capture } = observers;
     if let (Some(capture), Some(path)) = (capture, &args.capture) {
         let flushed = capture.finish().map_err(|error| error.to_string());
         flushed
             .and_then(|file| file.into_inner().map_err(|error| error.to_string()))
             .map_err(|error| format!("{}: {error}", path.display()))?;
     }
-    let mut report = Report::new(day, how, score, auditor.finish(ended), &tallies);
+    let mut report = Report::new(day, how, score, rule_checker.finish(ended), &tallies);
     (report.crashes, report.stuck_circuits, report.calls_left) = (crashes, Some(stuck), Some(calls_left));
     report.clients = clients;
     Ok(report)
 }
 
-fn open_capture(path: &Path) -> Result<Capture<BufWriter<File>>, String> {
+fn open_capture(path: &Path) -> Result<SignallingCapture<BufWriter<File>>, String> {
     let fail = |error: String| format!("{}: {error}", path.display());
     let file = File::create(path).map_err(|error| fail(error.to_string()))?;
-    Capture::new(BufWriter::new(file)).map_err(|error| fail(error.to_string()))
+    SignallingCapture::new(BufWriter::new(file)).map_err(|error| fail(error.to_string()))
 }
 
 #[cfg(test)]
@@ -142,12 +151,12 @@
     fn a_broken_rule_or_a_controller_that_ended_unasked_is_not_in_order() {
         let day = Day::default();
         let report = |broken: bool| {
-            let mut auditor = Auditor::new(&day.rules, Duration::ZERO, Duration::ZERO);
-            let answer = Seen::Answered { office: 1, call: 1, exchange_call: 1, answer: Final::Fails };
+            let mut rule_checker = RuleChecker::new(&day.rules, Duration::ZERO, Duration::ZERO);
+            let answer = Observation::Answered { office: 1, call: 1, exchange_call: 1, answer: Final::Fails };
             if broken {
-                auditor.saw(Duration::ZERO, answer);
+                rule_checker.observe(Duration::ZERO, answer);
             }
-            Report::new(&day, "virtual", Default::default(), auditor.finish(Duration::ZERO), &[])
+            Report::new(&day, "virtual", Default::default(), rule_checker.finish(Duration::ZERO), &[])
         };
         assert!(in_order(&report(false)) && !in_order(&report(true)));
         assert!(!in_order(&Report { crashes: 1, ..report(false) }));
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -38,18 +38,18 @@
         Ok(plan) => plan,
         Err(error) => return bad_input(error),
     };
-    let faults = plan.faults();
+    let faults = plan.validation_errors();
     if !faults.is_empty() {
         let faults: Vec<_> = faults.iter().map(|fault| format!("{}: {fault}", file.display())).collect();
         return bad_input(faults.join("\n"));
     }
-    match load::play(&plan, &args.servers) {
+    match load::run(&plan, &args.servers) {
         Ok(report) => {
             match args.json {
                 true => println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default()),
                 false => print!("{}", report.text()),
             }
-            if report.in_order() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+            if report.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
         }
         Err(error) => failed(error),
     }
@@ -77,7 +77,7 @@
         Ok(plan) => plan,
         Err(error) => return bad_input(error),
     };
-    let faults = plan.faults();
+    let faults = plan.validation_errors();
     if !faults.is_empty() {
         return bad_input(faults.join("\n"));
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -221,7 +221,7 @@
 
 fn trace(admin: SocketAddr, call: u64, origin: Option<u16>, whole: bool) -> ExitCode {
     let params = json!({ "call": call, "origin": origin });
-    let traces = match mintstall_lab::loopback::ask(admin, "trace", &params, token().as_deref()) {
+    let traces = match mintstall_lab::loopback::admin_request(admin, "trace", &params, token().as_deref()) {
         Ok(traces) => traces,
         Err(error) => return failed(format!("{admin}: {error}")),
     };
@@ -257,11 +257,15 @@
 }
 
 fn status(admin: SocketAddr, whole: bool) -> ExitCode {
-    let status =
-        match mintstall_lab::loopback::ask(admin, "status", &serde_json::Value::Null, token().as_deref()) {
-            Ok(status) => status,
-            Err(error) => return failed(format!("{admin}: {error}")),
-        };
+    let status = match mintstall_lab::loopback::admin_request(
+        admin,
+        "status",
+        &serde_json::Value::Null,
+        token().as_deref(),
+    ) {
+        Ok(status) => status,
+        Err(error) => return failed(format!("{admin}: {error}")),
+    };
     if whole {
         println!("{}", serde_json::to_string_pretty(&status).unwrap_or_default());
         return ExitCode::SUCCESS;
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -290,7 +290,7 @@
     }
 
     /// Octets that came on the connection.
-    pub fn octets(&mut self, now: Duration, octets: &[u8]) {
+    pub fn on_octets(&mut self, now: Duration, octets: &[u8]) {
         let mut heard = Vec::new();
         match &mut self.link {
             Link::Shaking(dialled) => match dialled.push(octets) {
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -209,7 +209,7 @@
         let client = &mut self.clients[at];
         let Some(wire) = client.wires.last_mut().filter(|wire| !wire.cut) else { return false };
         let Some(octets) = wire.to_client.pop_front() else { return false };
-        client.session.octets(now, &octets);
+        client.session.on_octets(now, &octets);
         self.look_after(at);
         true
     }
--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -5,9 +5,9 @@
 use mintstall_callapi::{Final, How, Offer};
 use rand::Rng;
 
-use crate::observer::{Seen, Witness};
+use crate::observer::{Observation, Observer};
 use crate::score::Outcome;
-use crate::simulation::{Act, Event, World};
+use crate::simulation::{Action, Event, Simulation};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
@@ -48,7 +48,7 @@
     Duration::from_secs_f64((range[0] + (range[1] - range[0]) * draw) / 1e3)
 }
 
-impl World {
+impl Simulation {
     /// The next first try comes, and the one after it is set.
     pub(crate) fn caller_comes(&mut self, now: Duration) {
         let rate = self.day.traffic.calls_per_s * self.day.traffic.load * self.burst;
@@ -117,19 +117,19 @@
         self.score.tries += 1;
         let leaves = if impatient { now + span.mul_f64(early) } else { now + span };
         self.at(leaves, Event::GivesUp { caller: id, tries });
-        if !self.offer_work(now, from, id, offer) {
+        if !self.enqueue_attempt(now, from, id, offer) {
             self.turned_down(now, id, Duration::ZERO, Outcome::NotTaken);
         }
     }
 
     /// The own processor has looked at a try: the controller gets it, if it runs.
-    pub(crate) fn hand_over(
+    pub(crate) fn deliver_offer(
         &mut self,
         now: Duration,
         id: u64,
         mut offer: Offer,
-        w: &mut dyn Witness,
-        acts: &mut Vec<Act>,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
     ) {
         let Some(caller) = self.callers.get_mut(&id) else { return };
         let left = caller.until.saturating_sub(now);
@@ -143,8 +143,8 @@
         if self.day.advice {
             offer.advised = self.advice(now, office, offer.dest);
         }
-        w.saw(now, Seen::Offered { office, offer: &offer });
-        acts.push(Act::Offer { office, offer });
+        w.observe(now, Observation::Offered { office, offer: &offer });
+        actions.push(Action::Offer { office, offer });
     }
 
     pub(crate) fn gives_up(
@@ -152,14 +152,14 @@
         now: Duration,
         id: u64,
         tries: u8,
-        w: &mut dyn Witness,
-        acts: &mut Vec<Act>,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
     ) {
         let Some(caller) = self.callers.get(&id).filter(|caller| caller.tries == tries) else { return };
         let State::Trying { handed } = caller.state else { return };
         let (office, call) = (caller.from, number(id, tries));
         if handed {
-            self.hang_up(now, office, call, w, acts);
+            self.hang_up(now, office, call, w, actions);
         }
         self.turned_down(now, id, Duration::ZERO, if handed { Outcome::GaveUp } else { Outcome::NotTaken });
     }
@@ -207,9 +207,9 @@
         call: u64,
         exchange_call: u64,
         answer: Final,
-        w: &mut dyn Witness,
+        w: &mut dyn Observer,
     ) {
-        w.saw(now, Seen::Answered { office, call, exchange_call, answer });
+        w.observe(now, Observation::Answered { office, call, exchange_call, answer });
         let (id, draw) = (call >> 8, self.chance.random::<f64>());
         let Some(caller) = self.callers.get_mut(&id) else { return };
         if call != number(id, caller.tries) || caller.state != (State::Trying { handed: true }) {
@@ -235,10 +235,17 @@
     }
 
     /// The controller hears that a call's caller hung up, if it runs.
-    fn hang_up(&self, now: Duration, office: u16, call: u64, w: &mut dyn Witness, acts: &mut Vec<Act>) {
+    fn hang_up(
+        &self,
+        now: Duration,
+        office: u16,
+        call: u64,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
         if self.exchanges[usize::from(office) - 1].running {
-            w.saw(now, Seen::HungUp { office, call });
-            acts.push(Act::HangUp { office, call });
+            w.observe(now, Observation::HungUp { office, call });
+            actions.push(Action::HangUp { office, call });
         }
     }
 
@@ -247,21 +254,21 @@
         now: Duration,
         id: u64,
         tries: u8,
-        w: &mut dyn Witness,
-        acts: &mut Vec<Act>,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
     ) {
         let Some(caller) = self.callers.get(&id).filter(|caller| caller.tries == tries) else { return };
         if caller.state != State::Standing {
             return;
         }
         let (office, late) = (caller.from, caller.earned < caller.revenue);
-        self.hang_up(now, office, number(id, tries), w, acts);
+        self.hang_up(now, office, number(id, tries), w, actions);
         self.done(id, if late { Outcome::Late } else { Outcome::Served });
     }
 
     /// A call that stood has ended, not by its caller: it was cut, and comes again once.
-    pub fn ended(&mut self, now: Duration, office: u16, call: u64, how: How, w: &mut dyn Witness) {
-        w.saw(now, Seen::Ended { office, call, how });
+    pub fn call_ended(&mut self, now: Duration, office: u16, call: u64, how: How, w: &mut dyn Observer) {
+        w.observe(now, Observation::Ended { office, call, how });
         self.lost(now, call >> 8, Some(call));
     }
 
@@ -282,8 +289,8 @@
     }
 
     /// The client over which a call was asked for has gone for good.
-    pub fn client_gone(&mut self, now: Duration, office: u16, call: u64, w: &mut dyn Witness) {
-        w.saw(now, Seen::ClientGone { office, call });
+    pub fn client_lost(&mut self, now: Duration, office: u16, call: u64, w: &mut dyn Observer) {
+        w.observe(now, Observation::ClientLost { office, call });
         let caller = self.callers.get(&(call >> 8)).filter(|caller| number(call >> 8, caller.tries) == call);
         match caller.map(|caller| caller.state) {
             Some(State::Standing) => self.done(call >> 8, Outcome::Served),
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -5,8 +5,8 @@
 
 macro_rules! script {
     ($($(#[$meta:meta])* $name:ident { $($(#[$field_meta:meta])* $field:ident: $kind:ty = $default:expr,)* })*) => {$(
-        $(#[$meta])*
         #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
+        $(#[$meta])*
         #[serde(deny_unknown_fields, default)]
         pub struct $name { $($(#[$field_meta])* pub $field: $kind,)* }
 
@@ -37,10 +37,10 @@
         traffic: Traffic = Traffic::default(),
         callers: Callers = Callers::default(),
         /// On loopback: sessions over WebSocket that callers ask on. In virtual time there are no connections.
-        clients: Clients = Clients::default(),
+        clients: ClientPlan = ClientPlan::default(),
         processor: ProcessorPlan = ProcessorPlan::default(),
         directory: DirectoryPlan = DirectoryPlan::default(),
-        rules: Rules = Rules::default(),
+        rules: RuleLimits = RuleLimits::default(),
         /// Seizures a call may make.
         seizures: u8 = 5,
         /// Whether each call comes with the tandem that had most room a while ago.
@@ -101,7 +101,8 @@
         /// Share that hangs up before its time.
         impatient: f64 = 0.005,
     }
-    Clients {
+    #[schemars(rename = "Clients")]
+    ClientPlan {
         /// Of each exchange; 0: all callers of an exchange share one plain line.
         sessions: u16 = 0,
         /// Connections cut a second, of all exchanges together; their clients come back by themselves.
@@ -130,7 +131,8 @@
         late_ms: [f64; 2] = [1600.0, 4900.0],
     }
     /// Figures of the five rules.
-    Rules {
+    #[schemars(rename = "Rules")]
+    RuleLimits {
         answer_grace_ms: u64 = 250,
         drain_grace_ms: u64 = 2000,
         fall_multiple: f64 = 2.5,
@@ -159,8 +161,9 @@
 /// Which exchanges a trouble strikes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
-pub enum Which {
-    These(Vec<u16>),
+#[schemars(rename = "Which")]
+pub enum FaultTarget {
+    Listed(Vec<u16>),
     /// So many of them, drawn from the day's seed.
     Share {
         share: f64,
@@ -171,11 +174,11 @@
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
     /// Processors run slower by a factor.
-    Slow { exchanges: Which, factor: f64 },
+    Slow { exchanges: FaultTarget, factor: f64 },
     /// Processors take all and answer nothing, then everything at once.
-    Hang { exchanges: Which },
+    Hang { exchanges: FaultTarget },
     /// Processors slow down bit by bit, up to a factor, until they are well again at the end.
-    Ageing { exchanges: Which, factor: f64 },
+    Ageing { exchanges: FaultTarget, factor: f64 },
     /// Calls come this many times as often.
     Burst { factor: f64 },
     /// This share of all calls goes to one number with few lines; they are worth a tenth, their callers dial again at once.
@@ -187,11 +190,11 @@
     /// This share of all circuits fails for an instant: calls on them are cut, and come again.
     MassCut { share: f64 },
     /// New machines take the place of old ones, a few seconds apart: told as draining, then gone; the new one is cold.
-    Replaced { exchanges: Which, drain_s: f64 },
+    Replaced { exchanges: FaultTarget, drain_s: f64 },
     /// Processors and controllers stop, and start again, cold, when the trouble ends.
-    MassRestart { exchanges: Which },
+    MassRestart { exchanges: FaultTarget },
     /// Controllers are killed, and come back when the trouble ends with nothing but the last list.
-    ControllersKilled { exchanges: Which },
+    ControllersKilled { exchanges: FaultTarget },
     /// The directory speaks later by this.
     DirectoryLate { by_ms: f64 },
     /// This share of the short messages between controllers is lost.
@@ -226,7 +229,7 @@
 
 impl Day {
     /// Every fault of the script, each with its place.
-    pub fn faults_found(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut say = |wrong: bool, place: String, why: &str| {
             if wrong {
@@ -299,9 +302,9 @@
         say(self.customers.iter().all(|of| of.share <= 0.0), "customers".into(), "have no share at all");
         for (at, fault) in self.faults.iter().enumerate() {
             let place = |field: &str| format!("faults[{at}].{field}");
-            let listed = |which: &Which| match which {
-                Which::These(these) => these.iter().any(|no| !(1..=self.exchanges).contains(no)),
-                Which::Share { share } => !(0.0..=1.0).contains(share),
+            let listed = |which: &FaultTarget| match which {
+                FaultTarget::Listed(these) => these.iter().any(|no| !(1..=self.exchanges).contains(no)),
+                FaultTarget::Share { share } => !(0.0..=1.0).contains(share),
             };
             say(!(fault.at_s >= 0.0 && fault.at_s <= self.length_s), place("at_s"), "is not within the day");
             say(!(fault.for_s >= 0.0 && fault.for_s <= 3600.0), place("for_s"), "is not within 0 to 3600");
--- a/crates/emulator/src/far_exchange.rs
+++ b/crates/emulator/src/far_exchange.rs
@@ -1,5 +1,5 @@
 //! One exchange at the far end of a link, without I/O: it takes set-ups, answers them when its processor gets to them, and
-//! releases as it is told. For loads and tests of a single controller; a whole fleet is [`crate::World`].
+//! releases as it is told. For loads and tests of a single controller; a whole fleet is [`crate::Simulation`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -36,7 +36,7 @@
 
 impl FarPlan {
     /// Every fault, each with its place.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut say = |wrong: bool, what: &str| {
             if wrong {
@@ -57,7 +57,7 @@
 
 /// What came, and what it saw of the rules: by the identity in the set-ups, nothing else.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FarTally {
+pub struct FarCounters {
     pub set_ups: u64,
     pub answered: u64,
     pub turned_back: u64,
@@ -94,7 +94,7 @@
 /// The release time of the users' rules: what was given up may hold its circuit for so long.
 const RELEASE_TIME: Duration = Duration::from_millis(200);
 
-pub struct Far {
+pub struct FarExchange {
     pub plan: FarPlan,
     chance: Pcg64Mcg,
     deframer: Deframer,
@@ -108,10 +108,10 @@
     out: BTreeSet<(u16, u64)>,
     /// Calls given up lately, by when. Emptied by time.
     given_up: BTreeMap<(u16, u64), Duration>,
-    pub tally: FarTally,
+    pub tally: FarCounters,
 }
 
-impl Far {
+impl FarExchange {
     pub fn new(plan: FarPlan) -> Self {
         let chance = Pcg64Mcg::seed_from_u64(plan.seed);
         Self {
@@ -124,7 +124,7 @@
             busy_until: Duration::ZERO,
             out: BTreeSet::new(),
             given_up: BTreeMap::new(),
-            tally: FarTally::default(),
+            tally: FarCounters::default(),
         }
     }
 
@@ -143,13 +143,13 @@
         self.tally.in_use = 0;
     }
 
-    /// When [`Far::ring`] is next to be called.
-    pub fn next_alarm(&self) -> Option<Duration> {
+    /// When [`FarExchange::on_timer`] is next to be called.
+    pub fn next_timer(&self) -> Option<Duration> {
         self.due.first().map(|(due, _)| *due)
     }
 
     /// Answers what is due.
-    pub fn ring(&mut self, now: Duration, out: &mut Vec<u8>) {
+    pub fn on_timer(&mut self, now: Duration, out: &mut Vec<u8>) {
         while let Some((due, cic)) = self.due.first().copied()
             && due <= now
         {
@@ -173,7 +173,7 @@
     }
 
     /// Octets that came on the link. `false`: they make no sense, and the link is to be closed.
-    pub fn octets(&mut self, now: Duration, octets: &[u8], out: &mut Vec<u8>) -> bool {
+    pub fn on_octets(&mut self, now: Duration, octets: &[u8], out: &mut Vec<u8>) -> bool {
         let mut deframer = std::mem::take(&mut self.deframer);
         deframer.push(octets);
         let sense = loop {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the world around controllers. Simulated: nothing here measures a real exchange.
 //!
-//! [`Day`] is the script, [`World`] plays it: told what controllers send, it says by [`Act`] what reaches them.
-//! [`Witness`] sees what crosses between the two.
+//! [`Day`] is the script, [`Simulation`] plays it: told what controllers send, it says by [`Action`] what reaches them.
+//! [`Observer`] sees what crosses between the two.
 
 mod callers;
 mod day;
@@ -12,7 +12,7 @@
 mod simulation;
 
 pub use day::*;
-pub use far_exchange::{Far, FarPlan, FarTally};
-pub use observer::{Seen, Witness};
+pub use far_exchange::{FarCounters, FarExchange, FarPlan};
+pub use observer::{Observation, Observer};
 pub use score::{Outcome, Score, Slice};
-pub use simulation::{Act, Wiring, World};
+pub use simulation::{Action, LinkMode, Simulation};
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -7,14 +7,14 @@
 
 /// One thing seen. Offices are point codes.
 #[derive(Clone, Copy, Debug)]
-pub enum Seen<'a> {
+pub enum Observation<'a> {
     /// A controller sent a frame on its link to another exchange; or got one from there.
-    Sent {
+    FrameSent {
         office: u16,
         to: u16,
         frame: &'a [u8],
     },
-    Got {
+    FrameReceived {
         office: u16,
         from: u16,
         frame: &'a [u8],
@@ -43,7 +43,7 @@
         call: u64,
     },
     /// The client of a call that waits for its answer has gone for good: nobody is there to hear it.
-    ClientGone {
+    ClientLost {
         office: u16,
         call: u64,
     },
@@ -53,7 +53,7 @@
         how: How,
     },
     /// A controller was told of exchanges.
-    Told {
+    MembershipDelivered {
         office: u16,
         whole: bool,
         entries: &'a [MemberEntry],
@@ -65,41 +65,41 @@
         office: u16,
     },
     /// A processor started cold; warm, it can do `set_ups` a second.
-    Cold {
+    ColdStart {
         office: u16,
         set_ups: f64,
     },
     /// A set-up reached a processor, as a share of the work of a usual one.
-    SetUp {
+    SetUpArrived {
         office: u16,
         from: u16,
     },
     /// A trouble begins or ends.
-    Trouble {
+    Fault {
         name: &'static str,
         begins: bool,
     },
 }
 
-pub trait Witness {
-    fn saw(&mut self, at: Duration, seen: Seen);
+pub trait Observer {
+    fn observe(&mut self, at: Duration, observation: Observation);
 }
 
 /// All of them, in turn.
-impl<W: Witness> Witness for Vec<W> {
-    fn saw(&mut self, at: Duration, seen: Seen) {
-        self.iter_mut().for_each(|witness| witness.saw(at, seen));
+impl<W: Observer> Observer for Vec<W> {
+    fn observe(&mut self, at: Duration, observation: Observation) {
+        self.iter_mut().for_each(|observer| observer.observe(at, observation));
     }
 }
 
-impl Witness for Box<dyn Witness + '_> {
-    fn saw(&mut self, at: Duration, seen: Seen) {
-        (**self).saw(at, seen);
+impl Observer for Box<dyn Observer + '_> {
+    fn observe(&mut self, at: Duration, observation: Observation) {
+        (**self).observe(at, observation);
     }
 }
 
-impl<W: Witness> Witness for &mut W {
-    fn saw(&mut self, at: Duration, seen: Seen) {
-        (**self).saw(at, seen);
+impl<W: Observer> Observer for &mut W {
+    fn observe(&mut self, at: Duration, observation: Observation) {
+        (**self).observe(at, observation);
     }
 }
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -13,14 +13,14 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::callers::Caller;
-use crate::day::{Day, Fault, Reports, Which};
-use crate::observer::{Seen, Witness};
+use crate::day::{Day, Fault, FaultTarget, Reports};
+use crate::observer::{Observation, Observer};
 use crate::processor::{Cold, Job, Payload, Processor};
 use crate::score::Score;
 
 /// What reaches controllers, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// A controller starts; `incarnation` grows with each start.
     Start {
         office: u16,
@@ -31,15 +31,15 @@
         office: u16,
     },
     /// Its link to another exchange opens (only where the world dials), or breaks.
-    Up {
+    LinkUp {
         office: u16,
         to: u16,
     },
-    Down {
+    LinkDown {
         office: u16,
         to: u16,
     },
-    Octets {
+    LinkOctets {
         office: u16,
         from: u16,
         octets: Vec<u8>,
@@ -52,16 +52,16 @@
         office: u16,
         call: u64,
     },
-    Roster {
+    Membership {
         office: u16,
         news: MembershipUpdate,
     },
-    Circuits {
+    CircuitsInService {
         office: u16,
         to: u16,
         in_service: u16,
     },
-    Report {
+    ProcessorReport {
         office: u16,
         rate: f64,
     },
@@ -69,11 +69,11 @@
 
 /// Who opens the links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wiring {
+pub enum LinkMode {
     /// The world, as soon as both ends can: virtual time.
-    Within,
+    InProcess,
     /// The controllers dial, and are told apart by where they dial.
-    Dialled,
+    Sockets,
 }
 
 #[derive(Debug)]
@@ -127,9 +127,9 @@
     pub share: f64,
 }
 
-pub struct World {
+pub struct Simulation {
     pub(crate) day: Day,
-    wiring: Wiring,
+    link_mode: LinkMode,
     pub(crate) length: Duration,
     queue: BinaryHeap<Reverse<(Duration, u64, Slot)>>,
     sequence: u64,
@@ -193,9 +193,9 @@
     Duration::from_secs_f64(s.clamp(0.0, 1e6))
 }
 
-impl World {
+impl Simulation {
     /// The day must have no faults of its script.
-    pub fn new(day: &Day, wiring: Wiring) -> Self {
+    pub fn new(day: &Day, link_mode: LinkMode) -> Self {
         let stream = |no: u64| Pcg64Mcg::seed_from_u64(day.seed.wrapping_mul(31).wrapping_add(no));
         let mut plan = stream(1);
         let offices: Vec<u16> = (1..=day.exchanges).collect();
@@ -265,11 +265,11 @@
             };
             (exchange.id, (1, entry, Duration::ZERO))
         };
-        let mut world = Self {
+        let mut simulation = Self {
             entries: exchanges.iter().enumerate().map(entry).collect(),
             length: seconds(day.length_s),
             day: day.clone(),
-            wiring,
+            link_mode,
             queue: BinaryHeap::new(),
             sequence: 0,
             arrivals: stream(2),
@@ -296,23 +296,25 @@
             last_caller: 0,
             score: Score::default(),
         };
-        world.sum_flows();
-        if wiring == Wiring::Within {
-            offices.iter().for_each(|office| world.at(Duration::ZERO, Event::Starts { office: *office }));
+        simulation.sum_flows();
+        if link_mode == LinkMode::InProcess {
+            offices
+                .iter()
+                .for_each(|office| simulation.at(Duration::ZERO, Event::Starts { office: *office }));
         }
         // Links and groups need a moment to open.
-        world.at(seconds(1.5), Event::CallerComes);
+        simulation.at(seconds(1.5), Event::CallerComes);
         for (no, fault) in day.faults.iter().enumerate() {
-            world.at(seconds(fault.at_s), Event::Begins(no));
-            world.at(seconds(fault.at_s + fault.for_s), Event::Ends(no));
+            simulation.at(seconds(fault.at_s), Event::Begins(no));
+            simulation.at(seconds(fault.at_s + fault.for_s), Event::Ends(no));
         }
         if day.traffic.drift_s > 0.0 {
-            world.at(seconds(day.traffic.drift_s), Event::Drift);
+            simulation.at(seconds(day.traffic.drift_s), Event::Drift);
         }
         if day.processor.reports != Reports::None {
-            world.at(Duration::ZERO, Event::Report);
+            simulation.at(Duration::ZERO, Event::Report);
         }
-        world
+        simulation
     }
 
     /// Circuits between two exchanges.
@@ -329,54 +331,54 @@
         self.queue.push(Reverse((at, self.sequence, Slot(event))));
     }
 
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_event_time(&self) -> Option<Duration> {
         self.queue.peek().map(|Reverse((at, ..))| *at)
     }
 
     /// Whether all arrivals are over and every caller has left.
-    pub fn over(&self, now: Duration) -> bool {
+    pub fn is_finished(&self, now: Duration) -> bool {
         now >= self.length && self.callers.is_empty()
     }
 
     /// Lets the next thing happen, if it is due; it happens at its own time.
-    pub fn advance(&mut self, now: Duration, w: &mut dyn Witness, acts: &mut Vec<Act>) -> bool {
-        if self.next().is_none_or(|at| at > now) {
+    pub fn advance(&mut self, now: Duration, w: &mut dyn Observer, actions: &mut Vec<Action>) -> bool {
+        if self.next_event_time().is_none_or(|at| at > now) {
             return false;
         }
         let Some(Reverse((at, _, Slot(event)))) = self.queue.pop() else { return false };
         match event {
             Event::CallerComes => self.caller_comes(at),
             Event::Dials { caller } => self.dials(at, caller),
-            Event::GivesUp { caller, tries } => self.gives_up(at, caller, tries, w, acts),
-            Event::HangsUp { caller, tries } => self.hangs_up(at, caller, tries, w, acts),
+            Event::GivesUp { caller, tries } => self.gives_up(at, caller, tries, w, actions),
+            Event::HangsUp { caller, tries } => self.hangs_up(at, caller, tries, w, actions),
             Event::Arrives { to, from, round, frame } => {
                 if self.wire(from, to).round == round {
-                    self.arrives(at, to, from, frame, w, acts);
+                    self.arrives(at, to, from, frame, w, actions);
                 }
             }
-            Event::Done { office, round } => self.done_work(at, office, round, w, acts),
-            Event::Hand { office, job } => self.hand(at, office, job, w, acts),
+            Event::Done { office, round } => self.done_work(at, office, round, w, actions),
+            Event::Hand { office, job } => self.hand(at, office, job, w, actions),
             Event::Dial { a, b } => {
                 if self.usable(a, b) && !self.wire(a, b).connected {
                     for (office, to) in [(a, b), (b, a)] {
                         self.wire(office, to).connected = true;
-                        w.saw(at, Seen::LinkUp { office, to });
-                        acts.push(Act::Up { office, to });
+                        w.observe(at, Observation::LinkUp { office, to });
+                        actions.push(Action::LinkUp { office, to });
                     }
                 }
             }
-            Event::Tell { office } => self.tell(at, office, w, acts),
-            Event::Report => self.report(at, acts),
+            Event::Tell { office } => self.tell(at, office, w, actions),
+            Event::Report => self.report(at, actions),
             Event::Drift => {
                 self.drift();
                 self.at(at + seconds(self.day.traffic.drift_s), Event::Drift);
             }
-            Event::Begins(no) => self.begins(at, no, w, acts),
-            Event::Ends(no) => self.ends(at, no, w, acts),
-            Event::Starts { office } => self.starts(at, office, w, acts),
-            Event::Replaced { office } => self.replaced(at, office, w, acts),
+            Event::Begins(no) => self.begins(at, no, w, actions),
+            Event::Ends(no) => self.ends(at, no, w, actions),
+            Event::Starts { office } => self.starts(at, office, w, actions),
+            Event::Replaced { office } => self.replaced(at, office, w, actions),
             Event::Back { a, b } => {
-                self.set_circuits(a, b, self.groups.get(&(a, b)).copied().unwrap_or(0), acts)
+                self.set_circuits(a, b, self.groups.get(&(a, b)).copied().unwrap_or(0), actions)
             }
         }
         true
@@ -447,38 +449,38 @@
     }
 
     /// A controller opened its connection for another exchange.
-    pub fn connected(
+    pub fn link_connected(
         &mut self,
         now: Duration,
         office: u16,
         to: u16,
-        w: &mut dyn Witness,
-        acts: &mut Vec<Act>,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
     ) {
         if !self.usable(office, to) {
-            return acts.push(Act::Down { office, to });
+            return actions.push(Action::LinkDown { office, to });
         }
         self.wire(office, to).connected = true;
-        w.saw(now, Seen::LinkUp { office, to });
+        w.observe(now, Observation::LinkUp { office, to });
         let held = std::mem::take(&mut self.wire(to, office).held);
         held.into_iter().for_each(|frame| self.on_its_way(now, to, office, frame));
     }
 
     /// It closed it, or died.
-    pub fn disconnected(
+    pub fn link_disconnected(
         &mut self,
         now: Duration,
         office: u16,
         to: u16,
-        w: &mut dyn Witness,
-        acts: &mut Vec<Act>,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
     ) {
         if self.wire(office, to).connected {
-            self.break_link(now, office, to, w, acts);
+            self.break_link(now, office, to, w, actions);
         }
     }
 
-    fn break_link(&mut self, now: Duration, a: u16, b: u16, w: &mut dyn Witness, acts: &mut Vec<Act>) {
+    fn break_link(&mut self, now: Duration, a: u16, b: u16, w: &mut dyn Observer, actions: &mut Vec<Action>) {
         for (office, to) in [(a, b), (b, a)] {
             let wire = self.wire(office, to);
             wire.round += 1;
@@ -487,9 +489,9 @@
             let connected = std::mem::take(&mut wire.connected);
             self.exchanges[usize::from(to) - 1].processor.lose(office);
             if connected {
-                w.saw(now, Seen::LinkDown { office, to });
+                w.observe(now, Observation::LinkDown { office, to });
                 if self.exchanges[usize::from(office) - 1].running {
-                    acts.push(Act::Down { office, to });
+                    actions.push(Action::LinkDown { office, to });
                 }
             }
         }
@@ -497,7 +499,7 @@
     }
 
     fn dial_later(&mut self, now: Duration, a: u16, b: u16) {
-        if self.wiring == Wiring::Within {
+        if self.link_mode == LinkMode::InProcess {
             let wait = seconds(self.chance.random_range(0.05..0.25));
             self.at(now + wait, Event::Dial { a, b });
         }
@@ -509,13 +511,13 @@
     }
 
     /// A controller sent octets on its link to another exchange.
-    pub fn from_controller(
+    pub fn on_controller_octets(
         &mut self,
         now: Duration,
         office: u16,
         to: u16,
         octets: &[u8],
-        w: &mut dyn Witness,
+        w: &mut dyn Observer,
     ) {
         if !self.wire(office, to).connected {
             return;
@@ -523,7 +525,7 @@
         let mut deframer = std::mem::take(&mut self.wire(office, to).deframer);
         deframer.push(octets);
         while let Ok(Some(frame)) = deframer.next() {
-            w.saw(now, Seen::Sent { office, to, frame });
+            w.observe(now, Observation::FrameSent { office, to, frame });
             if isup(frame).is_some_and(|(kind, _)| kind == IAM) {
                 // Sending it costs the own processor too; looking at a call that is refused costs only the look.
                 let work = self.day.processor.set_up_ms / 1e3;
@@ -571,8 +573,8 @@
         to: u16,
         from: u16,
         frame: Vec<u8>,
-        w: &mut dyn Witness,
-        acts: &mut Vec<Act>,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
     ) {
         let work = &self.day.processor;
         let (set_up, answer, release) = (work.set_up_ms / 1e3, work.answer_ms / 1e3, work.release_ms / 1e3);
@@ -581,7 +583,7 @@
         let frame_of = |frame| Payload::Frame { from, frame };
         match isup(&frame) {
             Some((IAM, cic)) => {
-                w.saw(now, Seen::SetUp { office: to, from });
+                w.observe(now, Observation::SetUpArrived { office: to, from });
                 if processor.wait(now) > full && !processor.hung {
                     return self.turn_away(now, to, from, cic);
                 }
@@ -600,11 +602,11 @@
                     _ => processor.queued((from, cic)),
                 };
                 if work == 0.0 && !behind && !processor.hung {
-                    return self.deliver(now, to, from, frame, w, acts);
+                    return self.deliver(now, to, from, frame, w, actions);
                 }
                 processor.push(Job { work, payload: frame_of(frame), set_up: None }, ahead && !behind);
             }
-            None => return self.deliver(now, to, from, frame, w, acts),
+            None => return self.deliver(now, to, from, frame, w, actions),
         }
         self.keep_working(now, to);
     }
@@ -636,12 +638,12 @@
         office: u16,
         from: u16,
         frame: Vec<u8>,
-        w: &mut dyn Witness,
-        acts: &mut Vec<Act>,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
     ) {
         if self.exchanges[usize::from(office) - 1].running && self.wire(office, from).connected {
-            w.saw(now, Seen::Got { office, from, frame: &frame });
-            acts.push(Act::Octets { office, from, octets: frame });
+            w.observe(now, Observation::FrameReceived { office, from, frame: &frame });
+            actions.push(Action::LinkOctets { office, from, octets: frame });
         }
     }
 
@@ -660,28 +662,35 @@
         now: Duration,
         office: u16,
         round: u64,
-        w: &mut dyn Witness,
-        acts: &mut Vec<Act>,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
     ) {
         let processor = &mut self.exchanges[usize::from(office) - 1].processor;
         if processor.round != round || processor.hung {
             return;
         }
         let job = processor.done();
-        job.into_iter().for_each(|job| self.hand(now, office, job, w, acts));
+        job.into_iter().for_each(|job| self.hand(now, office, job, w, actions));
         self.keep_working(now, office);
     }
 
-    fn hand(&mut self, now: Duration, office: u16, job: Job, w: &mut dyn Witness, acts: &mut Vec<Act>) {
+    fn hand(
+        &mut self,
+        now: Duration,
+        office: u16,
+        job: Job,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
         match job.payload {
-            Payload::Frame { from, frame } => self.deliver(now, office, from, frame, w, acts),
-            Payload::Offer { caller, offer } => self.hand_over(now, caller, offer, w, acts),
+            Payload::Frame { from, frame } => self.deliver(now, office, from, frame, w, actions),
+            Payload::Offer { caller, offer } => self.deliver_offer(now, caller, offer, w, actions),
             Payload::Nothing => {}
         }
     }
 
     /// A try comes to its own exchange's processor. `false`: it is full, or nothing runs there.
-    pub(crate) fn offer_work(&mut self, now: Duration, from: u16, caller: u64, offer: Offer) -> bool {
+    pub(crate) fn enqueue_attempt(&mut self, now: Duration, from: u16, caller: u64, offer: Offer) -> bool {
         let plan = &self.day.processor;
         let (work, full) = (plan.look_ms / 1e3, plan.full_wait_ms / 1e3);
         let exchange = &mut self.exchanges[usize::from(from) - 1];
@@ -693,13 +702,13 @@
         true
     }
 
-    fn report(&mut self, now: Duration, acts: &mut Vec<Act>) {
+    fn report(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let plan = &self.day.processor;
         for (no, exchange) in self.exchanges.iter().enumerate().filter(|(_, exchange)| exchange.running) {
             let wait = exchange.processor.wait(now);
             let room = (1.0 - wait * 1e3 / plan.full_wait_ms).clamp(0.05, 1.0);
             let rate = exchange.processor.pace(now) / (plan.set_up_ms / 1e3) * room;
-            acts.push(Act::Report { office: no as u16 + 1, rate });
+            actions.push(Action::ProcessorReport { office: no as u16 + 1, rate });
         }
         if now < self.length {
             self.at(now + seconds(0.5), Event::Report);
@@ -723,7 +732,7 @@
         }
     }
 
-    fn tell(&mut self, now: Duration, office: u16, w: &mut dyn Witness, acts: &mut Vec<Act>) {
+    fn tell(&mut self, now: Duration, office: u16, w: &mut dyn Observer, actions: &mut Vec<Action>) {
         let exchange = &self.exchanges[usize::from(office) - 1];
         if !exchange.running {
             return;
@@ -739,19 +748,28 @@
         if entries.is_empty() {
             return;
         }
-        w.saw(now, Seen::Told { office, whole: since.is_none(), entries: &entries });
+        w.observe(
+            now,
+            Observation::MembershipDelivered { office, whole: since.is_none(), entries: &entries },
+        );
         let news = MembershipUpdate { version: self.version, since, entries };
         self.exchanges[usize::from(office) - 1].told = self.version;
-        acts.push(Act::Roster { office, news });
+        actions.push(Action::Membership { office, news });
     }
 
     /// A controller turned a version down: it is told all from the start.
-    pub fn wants_all(&mut self, now: Duration, office: u16, w: &mut dyn Witness, acts: &mut Vec<Act>) {
+    pub fn resend_membership(
+        &mut self,
+        now: Duration,
+        office: u16,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
         if let Some(exchange) = self.exchanges.get_mut(usize::from(office).wrapping_sub(1)) {
             exchange.told = 0;
             // A whole list of the version held would be turned down as old.
             self.version += 1;
-            self.tell(now, office, w, acts);
+            self.tell(now, office, w, actions);
         }
     }
 
@@ -770,52 +788,58 @@
     // Troubles.
 
     /// All of them die before any of their neighbours is told of it.
-    fn kill(&mut self, now: Duration, offices: &[u16], w: &mut dyn Witness, acts: &mut Vec<Act>) {
+    fn kill(&mut self, now: Duration, offices: &[u16], w: &mut dyn Observer, actions: &mut Vec<Action>) {
         let running = |office: &u16| self.exchanges[usize::from(*office) - 1].running;
         let dying: Vec<u16> = offices.iter().copied().filter(running).collect();
         for office in &dying {
             self.exchanges[usize::from(*office) - 1].running = false;
-            w.saw(now, Seen::Killed { office: *office });
-            acts.push(Act::Kill { office: *office });
+            w.observe(now, Observation::Killed { office: *office });
+            actions.push(Action::Kill { office: *office });
         }
         for office in dying {
             let others: Vec<_> = (1..=self.day.exchanges).filter(|other| *other != office).collect();
-            others.into_iter().for_each(|other| self.break_link(now, office, other, w, acts));
+            others.into_iter().for_each(|other| self.break_link(now, office, other, w, actions));
             self.callers_of_dead(now, office);
         }
     }
 
-    fn starts(&mut self, now: Duration, office: u16, w: &mut dyn Witness, acts: &mut Vec<Act>) {
+    fn starts(&mut self, now: Duration, office: u16, w: &mut dyn Observer, actions: &mut Vec<Action>) {
         let exchange = &mut self.exchanges[usize::from(office) - 1];
         if exchange.running {
             return;
         }
         exchange.incarnation += 1;
-        acts.push(Act::Start { office, incarnation: exchange.incarnation * 2 });
-        if self.wiring == Wiring::Within {
-            self.ready(now, office, w, acts);
+        actions.push(Action::Start { office, incarnation: exchange.incarnation * 2 });
+        if self.link_mode == LinkMode::InProcess {
+            self.controller_ready(now, office, w, actions);
         }
     }
 
     /// A controller that was started takes calls from now on.
-    pub fn ready(&mut self, now: Duration, office: u16, w: &mut dyn Witness, acts: &mut Vec<Act>) {
+    pub fn controller_ready(
+        &mut self,
+        now: Duration,
+        office: u16,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
         let exchange = &mut self.exchanges[usize::from(office) - 1];
         exchange.running = true;
         // It comes back with its last list, told anew as a whole.
         exchange.told = 0;
         self.version += u64::from(exchange.incarnation > 1);
-        w.saw(now, Seen::Started { office });
-        self.tell(now, office, w, acts);
+        w.observe(now, Observation::Started { office });
+        self.tell(now, office, w, actions);
         for (a, b) in self.in_service.keys().copied().filter(|(a, b)| *a == office || *b == office) {
             let (to, in_service) = (if a == office { b } else { a }, self.in_service[&(a, b)]);
             if in_service < self.groups[&(a, b)] {
-                acts.push(Act::Circuits { office, to, in_service });
+                actions.push(Action::CircuitsInService { office, to, in_service });
             }
         }
         self.dial_all(now, |a, b| a == office || b == office);
     }
 
-    fn cold(&mut self, now: Duration, office: u16, w: &mut dyn Witness) {
+    fn cold(&mut self, now: Duration, office: u16, w: &mut dyn Observer) {
         let rules = &self.day.rules;
         let (share, warm_up) = (rules.cold_share, Duration::from_millis(rules.warm_up_ms));
         let processor = &mut self.exchanges[usize::from(office) - 1].processor;
@@ -823,32 +847,32 @@
         (processor.hung, processor.slow, processor.ageing) = (false, 1.0, None);
         processor.cold = Some(Cold { started: now, share, warm_up });
         let set_ups = processor.speed / (self.day.processor.set_up_ms / 1e3);
-        w.saw(now, Seen::Cold { office, set_ups });
+        w.observe(now, Observation::ColdStart { office, set_ups });
     }
 
     /// The old machine stops; the new one starts in its place.
-    fn replaced(&mut self, now: Duration, office: u16, w: &mut dyn Witness, acts: &mut Vec<Act>) {
-        self.kill(now, &[office], w, acts);
+    fn replaced(&mut self, now: Duration, office: u16, w: &mut dyn Observer, actions: &mut Vec<Action>) {
+        self.kill(now, &[office], w, actions);
         self.standing(now, office, MemberStatus::Gone, Duration::ZERO);
         self.exchanges[usize::from(office) - 1].id += 1;
         self.cold(now, office, w);
         self.standing(now, office, MemberStatus::Ready, now);
-        self.starts(now, office, w, acts);
+        self.starts(now, office, w, actions);
     }
 
-    fn set_circuits(&mut self, a: u16, b: u16, in_service: u16, acts: &mut Vec<Act>) {
+    fn set_circuits(&mut self, a: u16, b: u16, in_service: u16, actions: &mut Vec<Action>) {
         self.in_service.insert((a, b), in_service);
         for (office, to) in [(a, b), (b, a)] {
             if self.exchanges[usize::from(office) - 1].running {
-                acts.push(Act::Circuits { office, to, in_service });
+                actions.push(Action::CircuitsInService { office, to, in_service });
             }
         }
     }
 
-    fn strikes(&mut self, no: usize, which: &Which) -> Vec<u16> {
+    fn strikes(&mut self, no: usize, which: &FaultTarget) -> Vec<u16> {
         let struck = match which {
-            Which::These(these) => these.clone(),
-            Which::Share { share } => {
+            FaultTarget::Listed(these) => these.clone(),
+            FaultTarget::Share { share } => {
                 let mut all: Vec<u16> = (1..=self.day.exchanges).collect();
                 let count = (share * f64::from(self.day.exchanges)).round() as usize;
                 let draw = |chance: &mut Pcg64Mcg, all: &mut Vec<u16>| {
@@ -866,9 +890,9 @@
         self.groups.keys().copied().filter(|(a, b)| inside(*a) != inside(*b)).collect()
     }
 
-    fn begins(&mut self, now: Duration, no: usize, w: &mut dyn Witness, acts: &mut Vec<Act>) {
+    fn begins(&mut self, now: Duration, no: usize, w: &mut dyn Observer, actions: &mut Vec<Action>) {
         let fault = self.day.faults[no].clone();
-        w.saw(now, Seen::Trouble { name: fault.what.name(), begins: true });
+        w.observe(now, Observation::Fault { name: fault.what.name(), begins: true });
         match fault.what {
             Fault::Slow { exchanges, factor } => {
                 for office in self.strikes(no, &exchanges) {
@@ -893,19 +917,19 @@
             Fault::RegionCut { region } => {
                 self.cut_regions.push(region);
                 for (a, b) in self.crossing(region) {
-                    self.break_link(now, a, b, w, acts);
+                    self.break_link(now, a, b, w, actions);
                 }
             }
             Fault::CircuitsLost { region, keep } => {
                 for (a, b) in self.crossing(region) {
                     let left = (f64::from(self.groups[&(a, b)]) * keep.clamp(0.0, 1.0)).round() as u16;
-                    self.set_circuits(a, b, left, acts);
+                    self.set_circuits(a, b, left, actions);
                 }
             }
             Fault::MassCut { share } => {
                 for (a, b) in self.groups.keys().copied().collect::<Vec<_>>() {
                     let left = (f64::from(self.groups[&(a, b)]) * (1.0 - share)).round() as u16;
-                    self.set_circuits(a, b, left.min(self.in_service[&(a, b)]), acts);
+                    self.set_circuits(a, b, left.min(self.in_service[&(a, b)]), actions);
                     self.at(now + seconds(0.3), Event::Back { a, b });
                 }
             }
@@ -917,7 +941,7 @@
             }
             Fault::MassRestart { exchanges } => {
                 let struck = self.strikes(no, &exchanges);
-                self.kill(now, &struck, w, acts);
+                self.kill(now, &struck, w, actions);
                 for office in struck {
                     self.exchanges[usize::from(office) - 1].processor.drain();
                     self.standing(now, office, MemberStatus::Gone, Duration::ZERO);
@@ -925,21 +949,21 @@
             }
             Fault::ControllersKilled { exchanges } => {
                 let struck = self.strikes(no, &exchanges);
-                self.kill(now, &struck, w, acts);
+                self.kill(now, &struck, w, actions);
             }
             Fault::DirectoryLate { by_ms } => self.late_by = seconds(by_ms / 1e3),
             Fault::MessagesLost { share } => self.messages_lost = share,
             Fault::RedialAtOnce => self.redial_at_once = true,
             Fault::LinkBreaks { between: [a, b] } => {
                 self.broken.insert(pair(a, b));
-                self.break_link(now, a, b, w, acts);
+                self.break_link(now, a, b, w, actions);
             }
         }
     }
 
-    fn ends(&mut self, now: Duration, no: usize, w: &mut dyn Witness, acts: &mut Vec<Act>) {
+    fn ends(&mut self, now: Duration, no: usize, w: &mut dyn Observer, actions: &mut Vec<Action>) {
         let fault = self.day.faults[no].clone();
-        w.saw(now, Seen::Trouble { name: fault.what.name(), begins: false });
+        w.observe(now, Observation::Fault { name: fault.what.name(), begins: false });
         let struck = self.struck.remove(&no).unwrap_or_default();
         match fault.what {
             Fault::Slow { .. } | Fault::Ageing { .. } => {
@@ -965,18 +989,18 @@
             }
             Fault::CircuitsLost { region, .. } => {
                 for (a, b) in self.crossing(region) {
-                    self.set_circuits(a, b, self.groups[&(a, b)], acts);
+                    self.set_circuits(a, b, self.groups[&(a, b)], actions);
                 }
             }
             Fault::MassRestart { .. } => {
                 for office in struck {
                     self.cold(now, office, w);
-                    self.starts(now, office, w, acts);
+                    self.starts(now, office, w, actions);
                     self.standing(now, office, MemberStatus::Ready, now);
                 }
             }
             Fault::ControllersKilled { .. } => {
-                struck.into_iter().for_each(|office| self.starts(now, office, w, acts))
+                struck.into_iter().for_each(|office| self.starts(now, office, w, actions))
             }
             Fault::DirectoryLate { .. } => self.late_by = Duration::ZERO,
             Fault::MessagesLost { .. } => self.messages_lost = 0.0,
@@ -990,9 +1014,15 @@
     }
 
     /// A controller ended by itself, which nothing here asked of it; it is started again.
-    pub fn died(&mut self, now: Duration, office: u16, w: &mut dyn Witness, acts: &mut Vec<Act>) {
-        self.kill(now, &[office], w, acts);
-        acts.retain(|act| *act != Act::Kill { office });
+    pub fn controller_crashed(
+        &mut self,
+        now: Duration,
+        office: u16,
+        w: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
+        self.kill(now, &[office], w, actions);
+        actions.retain(|action| *action != Action::Kill { office });
         self.at(now + seconds(0.5), Event::Starts { office });
     }
 }
--- a/crates/lab/benches/virtual_speed.rs
+++ b/crates/lab/benches/virtual_speed.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use mintstall_emulator::{Day, Groups, Traffic};
-use mintstall_lab::Auditor;
-use mintstall_lab::virtual_day::{Honest, play};
+use mintstall_lab::RuleChecker;
+use mintstall_lab::virtual_day::{self, PassThrough};
 
 fn main() {
     let long = std::env::args().any(|arg| arg == "--long");
@@ -24,11 +24,11 @@
             groups: Groups { spare_root: 1.3, ..Groups::default() },
             ..Day::default()
         };
-        let mut auditor = Auditor::new(&day.rules, Duration::from_millis(2), Duration::ZERO);
+        let mut rule_checker = RuleChecker::new(&day.rules, Duration::from_millis(2), Duration::ZERO);
         let start = Instant::now();
-        let played = play(&day, &mut auditor, &mut Honest);
+        let played = virtual_day::run(&day, &mut rule_checker, &mut PassThrough);
         let real = start.elapsed().as_secs_f64();
-        let kept = auditor.finish(played.ended).kept();
+        let kept = rule_checker.finish(played.ended).passed();
         let rules = if kept { "kept" } else { "BROKEN" };
         println!(
             "{exchanges:>9} {calls_per_s:>8} {:>9} {real:>10.2} {:>12.1} {rules:>8}",
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -6,34 +6,34 @@
 
 use mintstall_callapi::{Answered, How, Offer};
 use mintstall_client::{ComeBackPlan, Event, Plan, Session};
-use mintstall_emulator::{Clients as ClientsPlan, Witness, World};
+use mintstall_emulator::{ClientPlan, Observer, Simulation};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 use tracing::info;
 
 /// A client: its exchange, and its place among that one's.
-pub type ClientNo = (u16, u16);
+pub type ClientId = (u16, u16);
 
 /// What became of connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct ClientTally {
+pub struct ClientCounters {
     pub cuts: u64,
     pub taken_up: u64,
     pub gone: u64,
 }
 
-pub struct Clients {
-    plan: ClientsPlan,
+pub struct ClientPool {
+    plan: ClientPlan,
     chance: Pcg64Mcg,
     seed: u64,
-    sessions: BTreeMap<ClientNo, Session>,
+    sessions: BTreeMap<ClientId, Session>,
     next_cut: Duration,
-    pub tally: ClientTally,
+    pub tally: ClientCounters,
 }
 
-impl Clients {
-    pub fn new(plan: &ClientsPlan, seed: u64) -> Self {
+impl ClientPool {
+    pub fn new(plan: &ClientPlan, seed: u64) -> Self {
         let chance = Pcg64Mcg::seed_from_u64(seed ^ 0xC11E);
         let mut clients = Self {
             plan: plan.clone(),
@@ -41,13 +41,13 @@
             seed,
             sessions: BTreeMap::new(),
             next_cut: Duration::MAX,
-            tally: ClientTally::default(),
+            tally: ClientCounters::default(),
         };
         clients.next_cut = clients.gap(Duration::ZERO);
         clients
     }
 
-    pub fn none(&self) -> bool {
+    pub fn is_disabled(&self) -> bool {
         self.plan.sessions == 0
     }
 
@@ -56,7 +56,7 @@
         now + Duration::from_secs_f64(draw.min(1e6))
     }
 
-    fn begin(&mut self, now: Duration, no: ClientNo) {
+    fn begin(&mut self, now: Duration, no: ClientId) {
         self.seed = self.seed.wrapping_add(1);
         // Cuts are the script's and say nothing of the controller: what is judged is not how long a client stays away.
         let come_back = ComeBackPlan { steady: Duration::from_millis(200), ..ComeBackPlan::default() };
@@ -74,21 +74,21 @@
         self.sessions.retain(|(of, _), _| *of != office);
     }
 
-    pub fn session(&mut self, no: ClientNo) -> Option<&mut Session> {
+    pub fn session(&mut self, no: ClientId) -> Option<&mut Session> {
         self.sessions.get_mut(&no)
     }
 
-    pub fn numbers(&self) -> Vec<ClientNo> {
+    pub fn numbers(&self) -> Vec<ClientId> {
         self.sessions.keys().copied().collect()
     }
 
     /// Which client asks for a call: always the same.
-    pub fn of(&self, office: u16, call: u64) -> ClientNo {
+    pub fn client_for(&self, office: u16, call: u64) -> ClientId {
         (office, ((call >> 8) % u64::from(self.plan.sessions.max(1))) as u16)
     }
 
     pub fn offer(&mut self, now: Duration, office: u16, offer: Offer) {
-        let no = self.of(office, offer.call);
+        let no = self.client_for(office, offer.call);
         if let Some(session) = self.sessions.get_mut(&no)
             && let Err(error) = session.offer(now, offer)
         {
@@ -97,7 +97,7 @@
     }
 
     pub fn hang_up(&mut self, office: u16, call: u64) {
-        let no = self.of(office, call);
+        let no = self.client_for(office, call);
         let Some(session) = self.sessions.get_mut(&no) else { return };
         match session.stands(call) {
             true => session.hang_up(call),
@@ -107,7 +107,12 @@
     }
 
     /// Whose connections are cut now; those who are gone for good have others in their places.
-    pub fn cuts(&mut self, now: Duration, world: &mut World, witness: &mut dyn Witness) -> Vec<ClientNo> {
+    pub fn cuts(
+        &mut self,
+        now: Duration,
+        simulation: &mut Simulation,
+        observer: &mut dyn Observer,
+    ) -> Vec<ClientId> {
         let mut cut = Vec::new();
         while self.next_cut <= now {
             self.next_cut = self.gap(self.next_cut);
@@ -118,7 +123,7 @@
             if gone {
                 self.tally.gone += 1;
                 let calls: Vec<u64> = self.sessions[&no].in_hand().collect();
-                calls.into_iter().for_each(|call| world.client_gone(now, no.0, call, witness));
+                calls.into_iter().for_each(|call| simulation.client_lost(now, no.0, call, observer));
                 self.begin(now, no);
             } else if let Some(session) = self.sessions.get_mut(&no) {
                 session.lost(now, "cut by the script");
@@ -129,15 +134,21 @@
     }
 
     /// What happened to one client, told to the world.
-    pub fn events(&mut self, now: Duration, no: ClientNo, world: &mut World, witness: &mut dyn Witness) {
+    pub fn events(
+        &mut self,
+        now: Duration,
+        no: ClientId,
+        simulation: &mut Simulation,
+        observer: &mut dyn Observer,
+    ) {
         let office = no.0;
         while let Some(event) = self.sessions.get_mut(&no).and_then(Session::next_event) {
             match event {
                 Event::Answered(Answered { call, exchange_call, answer }) => {
-                    world.answered(now, office, call, exchange_call, answer, witness);
+                    simulation.answered(now, office, call, exchange_call, answer, observer);
                 }
                 Event::Ended { call, how } => {
-                    world.ended(now, office, call, how.unwrap_or(How::Cut), witness)
+                    simulation.call_ended(now, office, call, how.unwrap_or(How::Cut), observer)
                 }
                 Event::Up { taken_up, .. } => self.tally.taken_up += u64::from(taken_up),
                 // The auditor misses their answers, and says so.
--- a/crates/lab/src/controller_config.rs
+++ b/crates/lab/src/controller_config.rs
@@ -6,27 +6,27 @@
     Admin, CallType, Calls, Config, Customer, Directory, LimitsPlan, Link, Number, Rules, Signalling,
     Subscribers, TimersMs,
 };
-use mintstall_emulator::{Day, Fault, World};
+use mintstall_emulator::{Day, Fault, Simulation};
 
 /// Where a controller finds the world, and is found.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
+pub struct Endpoints {
     /// Where it connects to for each other exchange.
     pub links: Vec<(u16, SocketAddr)>,
-    pub lines: Option<SocketAddr>,
+    pub subscribers: Option<SocketAddr>,
     pub calls: Option<SocketAddr>,
     pub admin: Option<SocketAddr>,
     pub directory: Option<SocketAddr>,
-    pub keep: Option<std::path::PathBuf>,
+    pub membership_file: Option<std::path::PathBuf>,
 }
 
 /// The configuration of one exchange's controller.
-pub fn config(world: &World, office: u16, places: &Places) -> Config {
-    let day: &Day = world.day();
-    let groups = world.groups().iter().filter(|((a, b), _)| *a == office || *b == office);
+pub fn build(simulation: &Simulation, office: u16, endpoints: &Endpoints) -> Config {
+    let day: &Day = simulation.day();
+    let groups = simulation.groups().iter().filter(|((a, b), _)| *a == office || *b == office);
     let links = groups.map(|((a, b), circuits)| {
         let to = if *a == office { *b } else { *a };
-        let connect = places.links.iter().find(|(other, _)| *other == to).map(|(_, addr)| *addr);
+        let connect = endpoints.links.iter().find(|(other, _)| *other == to).map(|(_, addr)| *addr);
         Link { to, circuits: *circuits, connect }
     });
     let call_types = day.call_types.iter().map(|of| CallType {
@@ -48,10 +48,12 @@
     Config {
         exchange: office,
         signalling: Signalling { listen: None, links: links.collect() },
-        subscribers: Subscribers { listen: places.lines },
-        calls: Calls { listen: places.calls, ..Calls::default() },
-        directory: places.directory.map(|connect| Directory { connect, keep: places.keep.clone() }),
-        admin: places.admin.map(|listen| Admin { listen }),
+        subscribers: Subscribers { listen: endpoints.subscribers },
+        calls: Calls { listen: endpoints.calls, ..Calls::default() },
+        directory: endpoints
+            .directory
+            .map(|connect| Directory { connect, keep: endpoints.membership_file.clone() }),
+        admin: endpoints.admin.map(|listen| Admin { listen }),
         call_types: call_types.collect(),
         numbers,
         customers: day
--- a/crates/lab/src/far.rs
+++ b/crates/lab/src/far.rs
@@ -1,19 +1,19 @@
-//! A stand-in exchange on a socket, in a thread of its own: [`Far`] with a clock.
+//! A stand-in exchange on a socket, in a thread of its own: [`FarExchange`] with a clock.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use mintstall_emulator::{Far, FarPlan, FarTally};
+use mintstall_emulator::{FarCounters, FarExchange, FarPlan};
 
 /// It runs until this is dropped and its connection ends.
 pub struct FarServer {
-    far: Arc<Mutex<Far>>,
+    far: Arc<Mutex<FarExchange>>,
     addr: SocketAddr,
 }
 
-fn lock(far: &Mutex<Far>) -> MutexGuard<'_, Far> {
+fn lock(far: &Mutex<FarExchange>) -> MutexGuard<'_, FarExchange> {
     far.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -22,7 +22,7 @@
     pub fn start(listen: SocketAddr, plan: FarPlan) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen)?;
         let addr = listener.local_addr()?;
-        let far = Arc::new(Mutex::new(Far::new(plan)));
+        let far = Arc::new(Mutex::new(FarExchange::new(plan)));
         let shared = Arc::downgrade(&far);
         std::thread::spawn(move || {
             let start = Instant::now();
@@ -39,7 +39,7 @@
         self.addr
     }
 
-    pub fn tally(&self) -> FarTally {
+    pub fn tally(&self) -> FarCounters {
         lock(&self.far).tally
     }
 
@@ -49,7 +49,7 @@
     }
 }
 
-fn serve(mut stream: TcpStream, far: &Mutex<Far>, start: Instant) -> std::io::Result<()> {
+fn serve(mut stream: TcpStream, far: &Mutex<FarExchange>, start: Instant) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut out = Vec::new();
     lock(far).link_up(&mut out);
@@ -58,14 +58,14 @@
         stream.write_all(&out)?;
         out.clear();
         let alarm =
-            lock(far).next_alarm().map_or(Duration::from_millis(20), |at| at.saturating_sub(start.elapsed()));
+            lock(far).next_timer().map_or(Duration::from_millis(20), |at| at.saturating_sub(start.elapsed()));
         stream.set_read_timeout(Some(alarm.clamp(Duration::from_micros(200), Duration::from_millis(20))))?;
         let read = stream.read(&mut buffer);
         let mut far = lock(far);
         let now = start.elapsed();
         match read {
             Ok(0) => return Ok(()),
-            Ok(count) if !far.octets(now, &buffer[..count], &mut out) => return Ok(()),
+            Ok(count) if !far.on_octets(now, &buffer[..count], &mut out) => return Ok(()),
             Ok(_) => {}
             Err(error)
                 if matches!(
@@ -74,6 +74,6 @@
                 ) => {}
             Err(error) => return Err(error),
         }
-        far.ring(now, &mut out);
+        far.on_timer(now, &mut out);
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -11,4 +11,4 @@
 pub mod virtual_day;
 
 pub use report::Report;
-pub use rule_checker::{Auditor, Breach, Verdict};
+pub use rule_checker::{RuleChecker, Verdict, Violation};
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -109,7 +109,7 @@
 
 impl LoadPlan {
     /// Every fault, each with its place.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut say = |wrong: bool, place: String, why: &str| {
             if wrong {
@@ -284,7 +284,7 @@
 }
 
 /// Plays a script that has no faults.
-pub fn play(plan: &LoadPlan, servers: &[SocketAddr]) -> io::Result<LoadReport> {
+pub fn run(plan: &LoadPlan, servers: &[SocketAddr]) -> io::Result<LoadReport> {
     let mut members = Vec::new();
     let mut groups = Vec::new();
     for (no, group) in plan.groups.iter().enumerate() {
@@ -712,7 +712,7 @@
                 Ok(0) => return self.lost(token, "closed by the server"),
                 Ok(count) => {
                     let now = self.start.elapsed();
-                    self.members[at].session.octets(now, &self.buffer[..count]);
+                    self.members[at].session.on_octets(now, &self.buffer[..count]);
                     self.touched(at);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
@@ -761,7 +761,7 @@
 
 impl LoadReport {
     /// Whether each call had one outcome.
-    pub fn in_order(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.left == 0 && self.parts.iter().all(|part| part.unexpected == 0)
     }
 
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -12,7 +12,7 @@
 
 use mintstall_callapi::{Asked, Hangup, Heard, LineCutter, Request};
 use mintstall_daemon::wires::Outbox;
-use mintstall_emulator::{Act, Day, Score, Wiring, Witness, World};
+use mintstall_emulator::{Action, Day, LinkMode, Observer, Score, Simulation};
 use mintstall_membership::{ControllerNotification, DirectoryNotification, ProcessorStatus};
 use mintstall_office::Tally;
 use mio::net::{TcpListener, TcpStream};
@@ -24,8 +24,8 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-use crate::clients::{ClientNo, ClientTally, Clients};
-use crate::controller_config::{Places, config};
+use crate::clients::{ClientCounters, ClientId, ClientPool};
+use crate::controller_config::{self, Endpoints};
 
 #[derive(Debug, Error)]
 pub enum LoopbackError {
@@ -49,16 +49,16 @@
 }
 
 /// How a day over sockets went.
-pub struct Played {
+pub struct DayResult {
     pub score: Score,
     pub ended: Duration,
     pub tallies: Vec<Tally>,
     /// Controllers that ended without being asked to, and that did not stop in order when told.
     pub crashes: u64,
-    pub stuck: usize,
+    pub stuck_circuits: usize,
     pub calls_left: usize,
     /// Of clients over WebSocket, where the day has any.
-    pub clients: Option<ClientTally>,
+    pub clients: Option<ClientCounters>,
 }
 
 /// Which controller, which start of it, and what it said first, if that made sense.
@@ -73,7 +73,7 @@
 enum Purpose {
     Link { office: u16, to: u16 },
     Line(u16),
-    Client(ClientNo),
+    Client(ClientId),
     Directory(u16),
 }
 
@@ -95,16 +95,16 @@
 }
 
 struct Site<'a> {
-    world: World,
-    clients: Clients,
-    witness: &'a mut dyn Witness,
+    simulation: Simulation,
+    clients: ClientPool,
+    observer: &'a mut dyn Observer,
     program: &'a Path,
     folder: PathBuf,
     poll: Poll,
     listeners: BTreeMap<Token, (TcpListener, Purpose)>,
     connections: BTreeMap<Token, Connection>,
     by_purpose: BTreeMap<Purpose, Token>,
-    places: BTreeMap<u16, Places>,
+    endpoints: BTreeMap<u16, Endpoints>,
     processes: BTreeMap<u16, Process>,
     said: (Sender<Said>, Receiver<Said>),
     /// Texts for directories that are not connected yet.
@@ -117,24 +117,24 @@
 
 /// Plays a day whose script has no faults, with `program` as the command `mintstall` and a folder of its own for
 /// configurations.
-pub fn play(
+pub fn run(
     day: &Day,
     program: &Path,
     folder: &Path,
-    witness: &mut dyn Witness,
-) -> Result<Played, LoopbackError> {
+    observer: &mut dyn Observer,
+) -> Result<DayResult, LoopbackError> {
     let poll = Poll::new().map_err(io_error("event loop"))?;
     let mut site = Site {
-        world: World::new(day, Wiring::Dialled),
-        clients: Clients::new(&day.clients, day.seed),
-        witness,
+        simulation: Simulation::new(day, LinkMode::Sockets),
+        clients: ClientPool::new(&day.clients, day.seed),
+        observer,
         program,
         folder: folder.to_path_buf(),
         poll,
         listeners: BTreeMap::new(),
         connections: BTreeMap::new(),
         by_purpose: BTreeMap::new(),
-        places: BTreeMap::new(),
+        endpoints: BTreeMap::new(),
         processes: BTreeMap::new(),
         said: channel(),
         waiting: BTreeMap::new(),
@@ -171,22 +171,29 @@
         Ok(addr)
     }
 
-    fn run(&mut self, day: &Day) -> Result<Played, LoopbackError> {
+    fn run(&mut self, day: &Day) -> Result<DayResult, LoopbackError> {
         let waker = Waker::new(self.poll.registry(), WAKER).map_err(io_error("event loop"))?;
         let waker = std::sync::Arc::new(waker);
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         for office in 1..=day.exchanges {
-            let pairs: Vec<(u16, u16)> = self.world.groups().keys().copied().collect();
+            let pairs: Vec<(u16, u16)> = self.simulation.groups().keys().copied().collect();
             let others = pairs.iter().filter(|(a, b)| *a == office || *b == office);
             let mut links = Vec::new();
             for to in others.map(|(a, b)| if *a == office { *b } else { *a }) {
                 links.push((to, self.listen(Purpose::Link { office, to })?));
             }
             let directory = Some(self.listen(Purpose::Directory(office))?);
-            let keep = Some(self.folder.join(format!("roster-{office}.json")));
-            self.places.insert(
+            let membership_file = Some(self.folder.join(format!("roster-{office}.json")));
+            self.endpoints.insert(
                 office,
-                Places { links, lines: Some(any), calls: Some(any), admin: Some(any), directory, keep },
+                Endpoints {
+                    links,
+                    subscribers: Some(any),
+                    calls: Some(any),
+                    admin: Some(any),
+                    directory,
+                    membership_file,
+                },
             );
         }
         for office in 1..=day.exchanges {
@@ -203,23 +210,23 @@
         }
         self.start = Instant::now();
         for office in 1..=day.exchanges {
-            let mut acts = Vec::new();
+            let mut actions = Vec::new();
             let now = self.now();
             self.clients.ready(now, office);
-            self.world.ready(now, office, self.witness, &mut acts);
-            self.carry_out(acts, &waker)?;
+            self.simulation.controller_ready(now, office, self.observer, &mut actions);
+            self.carry_out(actions, &waker)?;
         }
         let last = Duration::from_secs_f64(day.length_s) + LINGER;
-        while !self.world.over(self.now()) && self.now() < last {
-            let wait = self.world.next().map(|at| at.saturating_sub(self.now()));
+        while !self.simulation.is_finished(self.now()) && self.now() < last {
+            let wait = self.simulation.next_event_time().map(|at| at.saturating_sub(self.now()));
             let wait = wait.unwrap_or(Duration::from_millis(100)).min(Duration::from_millis(100));
             self.turn(&mut events, Some(wait), &waker)?;
             loop {
-                let (now, mut acts) = (self.now(), Vec::new());
-                if !self.world.advance(now, self.witness, &mut acts) {
+                let (now, mut actions) = (self.now(), Vec::new());
+                if !self.simulation.advance(now, self.observer, &mut actions) {
                     break;
                 }
-                self.carry_out(acts, &waker)?;
+                self.carry_out(actions, &waker)?;
             }
             self.flush();
         }
@@ -227,13 +234,13 @@
         let until = self.now() + Duration::from_secs(3);
         while self.now() < until {
             self.turn(&mut events, Some(Duration::from_millis(20)), &waker)?;
-            let (now, mut acts) = (self.now(), Vec::new());
-            while self.world.advance(now, self.witness, &mut acts) {}
-            self.carry_out(acts, &waker)?;
+            let (now, mut actions) = (self.now(), Vec::new());
+            while self.simulation.advance(now, self.observer, &mut actions) {}
+            self.carry_out(actions, &waker)?;
             self.flush();
         }
         let ended = self.now();
-        let (mut tallies, mut stuck, mut calls_left) = (Vec::new(), 0, 0);
+        let (mut tallies, mut stuck_circuits, mut calls_left) = (Vec::new(), 0, 0);
         for process in self.processes.values() {
             let Some(status) = process.ready.as_ref().and_then(|ready| status(ready.admin?).ok()) else {
                 continue;
@@ -245,12 +252,12 @@
             let stuck_in = |group: &Value| {
                 ["seized", "releasing", "resetting"].map(|what| count(group, what)).iter().sum::<usize>()
             };
-            stuck += groups.iter().map(stuck_in).sum::<usize>();
+            stuck_circuits += groups.iter().map(stuck_in).sum::<usize>();
         }
         self.stop_all();
-        let score = self.world.score.clone();
-        let clients = (!self.clients.none()).then_some(self.clients.tally);
-        Ok(Played { score, ended, tallies, crashes: self.crashes, stuck, calls_left, clients })
+        let score = self.simulation.score.clone();
+        let clients = (!self.clients.is_disabled()).then_some(self.clients.tally);
+        Ok(DayResult { score, ended, tallies, crashes: self.crashes, stuck_circuits, calls_left, clients })
     }
 
     /// Tells every controller to stop, and counts those that do not do so in order.
@@ -279,7 +286,7 @@
     }
 
     fn spawn(&mut self, office: u16, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
-        let config = config(&self.world, office, &self.places[&office]);
+        let config = controller_config::build(&self.simulation, office, &self.endpoints[&office]);
         let path = self.folder.join(format!("exchange-{office}.json"));
         let text = serde_json::to_string_pretty(&config).unwrap_or_default();
         std::fs::write(&path, text).map_err(io_error(path.display().to_string()))?;
@@ -358,7 +365,7 @@
     /// Clients that want a connection get one; the script cuts some.
     fn look_after_clients(&mut self) -> Result<(), LoopbackError> {
         let now = self.now();
-        for no in self.clients.cuts(now, &mut self.world, self.witness) {
+        for no in self.clients.cuts(now, &mut self.simulation, self.observer) {
             self.close(Purpose::Client(no));
         }
         for no in self.clients.numbers() {
@@ -381,9 +388,9 @@
     }
 
     /// What a client has to say goes out; what happened to it is told to the world.
-    fn client_turn(&mut self, no: ClientNo) {
+    fn client_turn(&mut self, no: ClientId) {
         let now = self.now();
-        self.clients.events(now, no, &mut self.world, self.witness);
+        self.clients.events(now, no, &mut self.simulation, self.observer);
         let Some(session) = self.clients.session(no) else { return };
         let out = std::mem::take(session.out());
         if !out.is_empty() {
@@ -403,11 +410,11 @@
             let stream = TcpStream::connect(lines).map_err(io_error("connecting a subscriber line"))?;
             self.add(stream, Purpose::Line(office)).map_err(io_error("connecting a subscriber line"))?;
             // The first starts are told once all are there.
-            if round > u64::from(self.world.day().exchanges) {
-                let (now, mut acts) = (self.now(), Vec::new());
+            if round > u64::from(self.simulation.day().exchanges) {
+                let (now, mut actions) = (self.now(), Vec::new());
                 self.clients.ready(now, office);
-                self.world.ready(now, office, self.witness, &mut acts);
-                self.carry_out(acts, waker)?;
+                self.simulation.controller_ready(now, office, self.observer, &mut actions);
+                self.carry_out(actions, waker)?;
             }
         }
         Ok(())
@@ -420,9 +427,9 @@
             self.add(stream, purpose).map_err(io_error("a connection"))?;
             match purpose {
                 Purpose::Link { office, to } => {
-                    let (now, mut acts) = (self.now(), Vec::new());
-                    self.world.connected(now, office, to, self.witness, &mut acts);
-                    self.carry_out(acts, waker)?;
+                    let (now, mut actions) = (self.now(), Vec::new());
+                    self.simulation.link_connected(now, office, to, self.observer, &mut actions);
+                    self.carry_out(actions, waker)?;
                 }
                 Purpose::Directory(office) => {
                     for text in self.waiting.remove(&office).unwrap_or_default() {
@@ -465,7 +472,7 @@
         loop {
             let Some(connection) = self.connections.get_mut(&token) else { return Ok(()) };
             match connection.stream.read(&mut buffer) {
-                Ok(count) if count > 0 => self.octets(token, &buffer[..count], waker)?,
+                Ok(count) if count > 0 => self.on_octets(token, &buffer[..count], waker)?,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 // Not connected yet: told again once it is.
@@ -475,7 +482,7 @@
         }
     }
 
-    fn octets(
+    fn on_octets(
         &mut self,
         token: Token,
         octets: &[u8],
@@ -486,13 +493,13 @@
         let purpose = connection.purpose;
         if let Purpose::Client(no) = purpose {
             if let Some(session) = self.clients.session(no) {
-                session.octets(now, octets);
+                session.on_octets(now, octets);
             }
             self.client_turn(no);
             return Ok(());
         }
         if let Purpose::Link { office, to } = purpose {
-            self.world.from_controller(now, office, to, octets, self.witness);
+            self.simulation.on_controller_octets(now, office, to, octets, self.observer);
             return Ok(());
         }
         connection.cutter.push(octets);
@@ -500,15 +507,22 @@
         while let Ok(Some(text)) = connection.cutter.next() {
             texts.push(text.to_vec());
         }
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         for text in texts {
             match purpose {
                 Purpose::Line(office) => match Heard::read(&text) {
                     Ok(Heard::Answered(a)) => {
-                        self.world.answered(now, office, a.call, a.exchange_call, a.answer, self.witness);
+                        self.simulation.answered(
+                            now,
+                            office,
+                            a.call,
+                            a.exchange_call,
+                            a.answer,
+                            self.observer,
+                        );
                     }
                     Ok(Heard::Ended(note)) => {
-                        self.world.ended(now, office, note.call, note.how, self.witness)
+                        self.simulation.call_ended(now, office, note.call, note.how, self.observer)
                     }
                     Ok(Heard::Result { .. } | Heard::News(_) | Heard::Missed(_) | Heard::Other(_)) => {}
                     Ok(Heard::Fault { code, message, .. }) => info!(office, code, "{message}"),
@@ -520,13 +534,13 @@
                         && request.held_version.is_none()
                         && self.processes.get(&office).is_some_and(|process| process.ready.is_some())
                     {
-                        self.world.wants_all(now, office, self.witness, &mut acts);
+                        self.simulation.resend_membership(now, office, self.observer, &mut actions);
                     }
                 }
                 Purpose::Link { .. } | Purpose::Client(_) => {}
             }
         }
-        self.carry_out(acts, waker)
+        self.carry_out(actions, waker)
     }
 
     fn gone(&mut self, token: Token, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
@@ -536,22 +550,24 @@
             return Ok(());
         }
         self.by_purpose.remove(&purpose);
-        let (now, mut acts) = (self.now(), Vec::new());
+        let (now, mut actions) = (self.now(), Vec::new());
         match purpose {
-            Purpose::Link { office, to } => self.world.disconnected(now, office, to, self.witness, &mut acts),
+            Purpose::Link { office, to } => {
+                self.simulation.link_disconnected(now, office, to, self.observer, &mut actions)
+            }
             Purpose::Line(office) => {
                 if let Some(mut process) = self.processes.remove(&office) {
                     warn!(office, "ended unasked: {:?}", process.child.try_wait());
                     let _ = process.child.kill();
                     let _ = process.child.wait();
                     self.crashes += 1;
-                    self.world.died(now, office, self.witness, &mut acts);
+                    self.simulation.controller_crashed(now, office, self.observer, &mut actions);
                 }
             }
             Purpose::Client(no) => session_lost(&mut self.clients, now, no, "closed by the controller"),
             Purpose::Directory(_) => {}
         }
-        self.carry_out(acts, waker)
+        self.carry_out(actions, waker)
     }
 
     fn close(&mut self, purpose: Purpose) {
@@ -560,11 +576,15 @@
         }
     }
 
-    fn carry_out(&mut self, acts: Vec<Act>, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
-        for act in acts {
-            match act {
-                Act::Start { office, .. } => self.spawn(office, waker)?,
-                Act::Kill { office } => {
+    fn carry_out(
+        &mut self,
+        actions: Vec<Action>,
+        waker: &std::sync::Arc<Waker>,
+    ) -> Result<(), LoopbackError> {
+        for action in actions {
+            match action {
+                Action::Start { office, .. } => self.spawn(office, waker)?,
+                Action::Kill { office } => {
                     if let Some(mut process) = self.processes.remove(&office) {
                         let _ = process.child.kill();
                         let _ = process.child.wait();
@@ -576,36 +596,38 @@
                     self.clients.killed(office);
                     self.close(Purpose::Directory(office));
                     self.waiting.remove(&office);
-                    let links: Vec<u16> = self.places[&office].links.iter().map(|(to, _)| *to).collect();
+                    let links: Vec<u16> = self.endpoints[&office].links.iter().map(|(to, _)| *to).collect();
                     links.into_iter().for_each(|to| self.close(Purpose::Link { office, to }));
                 }
-                Act::Up { .. } => {}
-                Act::Down { office, to } => self.close(Purpose::Link { office, to }),
-                Act::Octets { office, from, octets } => {
+                Action::LinkUp { .. } => {}
+                Action::LinkDown { office, to } => self.close(Purpose::Link { office, to }),
+                Action::LinkOctets { office, from, octets } => {
                     self.push(Purpose::Link { office, to: from }, &[&octets])
                 }
-                Act::Offer { office, offer } if !self.clients.none() => {
-                    let (now, no) = (self.now(), self.clients.of(office, offer.call));
+                Action::Offer { office, offer } if !self.clients.is_disabled() => {
+                    let (now, no) = (self.now(), self.clients.client_for(office, offer.call));
                     self.clients.offer(now, office, offer);
                     self.client_turn(no);
                 }
-                Act::HangUp { office, call } if !self.clients.none() => {
+                Action::HangUp { office, call } if !self.clients.is_disabled() => {
                     self.clients.hang_up(office, call);
-                    self.client_turn(self.clients.of(office, call));
+                    self.client_turn(self.clients.client_for(office, call));
                 }
-                Act::Offer { office, offer } => {
+                Action::Offer { office, offer } => {
                     let asked = Asked { id: Some(json!(offer.call)), request: Request::Offer(offer) };
                     self.push(Purpose::Line(office), &[asked.text().as_bytes(), b"\n"]);
                 }
-                Act::HangUp { office, call } => {
+                Action::HangUp { office, call } => {
                     let asked = Asked { id: Some(json!(call)), request: Request::Hangup(Hangup { call }) };
                     self.push(Purpose::Line(office), &[asked.text().as_bytes(), b"\n"]);
                 }
-                Act::Roster { office, news } => self.feed(office, &DirectoryNotification::Membership(news)),
-                Act::Circuits { office, to, in_service } => {
+                Action::Membership { office, news } => {
+                    self.feed(office, &DirectoryNotification::Membership(news))
+                }
+                Action::CircuitsInService { office, to, in_service } => {
                     self.feed(office, &DirectoryNotification::CircuitsInService { to, in_service })
                 }
-                Act::Report { office, rate } => {
+                Action::ProcessorReport { office, rate } => {
                     self.feed(office, &DirectoryNotification::Processor(ProcessorStatus { rate: Some(rate) }))
                 }
             }
@@ -626,7 +648,7 @@
     }
 }
 
-fn session_lost(clients: &mut Clients, now: Duration, no: ClientNo, why: &str) {
+fn session_lost(clients: &mut ClientPool, now: Duration, no: ClientId, why: &str) {
     if let Some(session) = clients.session(no) {
         session.lost(now, why);
     }
@@ -634,11 +656,16 @@
 
 /// Asks a controller's admin port for its status.
 pub fn status(admin: SocketAddr) -> io::Result<Value> {
-    ask(admin, "status", &Value::Null, None)
+    admin_request(admin, "status", &Value::Null, None)
 }
 
 /// Asks a controller's admin port.
-pub fn ask(admin: SocketAddr, method: &str, params: &Value, token: Option<&str>) -> io::Result<Value> {
+pub fn admin_request(
+    admin: SocketAddr,
+    method: &str,
+    params: &Value,
+    token: Option<&str>,
+) -> io::Result<Value> {
     let limit = Duration::from_secs(5);
     let mut stream = std::net::TcpStream::connect_timeout(&admin, limit)?;
     stream.set_read_timeout(Some(limit))?;
--- a/crates/lab/src/pcap.rs
+++ b/crates/lab/src/pcap.rs
@@ -4,19 +4,19 @@
 use std::io::Write;
 use std::time::Duration;
 
-use mintstall_emulator::{Seen, Witness};
+use mintstall_emulator::{Observation, Observer};
 use mintstall_isup::{Frame, ProtocolData};
 use pcap_file::pcap::{PcapHeader, PcapPacket, PcapWriter};
 use pcap_file::{DataLink, PcapError};
 
 /// Writes each ISUP message as its sender's socket gave it.
-pub struct Capture<W: Write> {
+pub struct SignallingCapture<W: Write> {
     writer: PcapWriter<W>,
     /// The first failure to write; nothing is written after it.
     failed: Option<PcapError>,
 }
 
-impl<W: Write> Capture<W> {
+impl<W: Write> SignallingCapture<W> {
     pub fn new(to: W) -> Result<Self, PcapError> {
         let header = PcapHeader { datalink: DataLink::MTP3, ..PcapHeader::default() };
         Ok(Self { writer: PcapWriter::with_header(to, header)?, failed: None })
@@ -30,9 +30,9 @@
     }
 }
 
-impl<W: Write> Witness for Capture<W> {
-    fn saw(&mut self, at: Duration, seen: Seen) {
-        let (Seen::Sent { frame, .. }, None) = (seen, &self.failed) else { return };
+impl<W: Write> Observer for SignallingCapture<W> {
+    fn observe(&mut self, at: Duration, observation: Observation) {
+        let (Observation::FrameSent { frame, .. }, None) = (observation, &self.failed) else { return };
         let Ok(Frame::Data(data)) = Frame::read(frame) else { return };
         let octets = mtp3(&data);
         let length = octets.len() as u32;
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -6,7 +6,7 @@
 use mintstall_office::Tally;
 use serde::Serialize;
 
-use crate::clients::ClientTally;
+use crate::clients::ClientCounters;
 use crate::rule_checker::Verdict;
 
 #[derive(Clone, Debug, Serialize)]
@@ -18,7 +18,8 @@
     pub exchanges: u16,
     pub length_s: f64,
     pub troubles: Vec<&'static str>,
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub passed: bool,
     /// Revenue of calls that stood within their target and were not cut, over the revenue offered.
     pub service: f64,
     pub worst_window: f64,
@@ -30,7 +31,7 @@
     pub transit: u64,
     /// Of clients over WebSocket, where the day has any.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub clients: Option<ClientTally>,
+    pub clients: Option<ClientCounters>,
     /// Controllers that ended without being asked to.
     pub crashes: u64,
     /// Circuits that carry nothing and are not free at the end; calls left in hand.
@@ -48,7 +49,7 @@
             exchanges: day.exchanges,
             length_s: day.length_s,
             troubles: day.faults.iter().map(|fault| fault.what.name()).collect(),
-            kept: verdict.kept(),
+            passed: verdict.passed(),
             service: score.whole.share(),
             worst_window: score.worst_window(),
             score,
@@ -100,7 +101,7 @@
                 "at the end: {stuck} circuits neither free nor carrying a call, {left} calls in hand"
             ));
         }
-        if let Some(ClientTally { cuts, taken_up, gone }) = self.clients {
+        if let Some(ClientCounters { cuts, taken_up, gone }) = self.clients {
             line(format!(
                 "clients over WebSocket: {cuts} connections cut, {taken_up} sessions taken up, {gone} gone for good \
                  ({} calls of these without an answer heard)",
@@ -128,13 +129,13 @@
             "        5 release awaited: {} releases, {} further attempts",
             judged.releases, judged.further_attempts
         ));
-        for breach in &self.verdict.breaches {
-            line(format!("BROKEN {breach}"));
+        for violation in &self.verdict.violations {
+            line(format!("BROKEN {violation}"));
         }
         if self.verdict.more > 0 {
             line(format!("... and {} more", self.verdict.more));
         }
-        line(if self.kept { "rules kept".into() } else { "RULES BROKEN".to_string() });
+        line(if self.passed { "rules kept".into() } else { "RULES BROKEN".to_string() });
         out
     }
 }
--- a/crates/lab/src/rule_checker.rs
+++ b/crates/lab/src/rule_checker.rs
@@ -11,14 +11,14 @@
 use std::time::Duration;
 
 use mintstall_callapi::Final;
-use mintstall_emulator::{Rules, Seen, Witness};
+use mintstall_emulator::{Observation, Observer, RuleLimits};
 use mintstall_isup::{Body, Cic, Frame, Iam, Message, Number, ProtocolData, RangeStatus};
 use mintstall_membership::{MemberEntry, MemberStatus};
 use serde::Serialize;
 
 /// One broken rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     pub rule: u8,
     /// Seconds into the day.
     pub at_s: f64,
@@ -28,7 +28,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "rule {} at {:.3} s, exchange {}", self.rule, self.at_s, self.office)?;
         self.call.iter().try_for_each(|call| write!(f, ", call {call:#x}"))?;
@@ -59,7 +59,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
     pub judged: Judged,
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// Breaches beyond those listed.
     pub more: u64,
     /// The most that a cold exchange was sent of what it may be, as a share.
@@ -67,8 +68,8 @@
 }
 
 impl Verdict {
-    pub fn kept(&self) -> bool {
-        self.breaches.is_empty()
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty()
     }
 }
 
@@ -135,15 +136,15 @@
     broken: bool,
 }
 
-pub struct Auditor {
-    rules: Rules,
+pub struct RuleChecker {
+    rules: RuleLimits,
     slack: Duration,
     /// What a controller has not read yet when it sends: nothing in virtual time.
     crossing: Duration,
     desks: BTreeMap<u16, Desk>,
     cold: BTreeMap<u16, Cold>,
     judged: Judged,
-    breaches: Vec<Breach>,
+    violations: Vec<Violation>,
     more: u64,
     cold_peak: f64,
     pruned: Duration,
@@ -153,10 +154,10 @@
     Duration::from_millis(count)
 }
 
-impl Auditor {
+impl RuleChecker {
     /// `slack`: what the machine may add to a time; `crossing`: within which something sent may cross something that
     /// came, both none in virtual time.
-    pub fn new(rules: &Rules, slack: Duration, crossing: Duration) -> Self {
+    pub fn new(rules: &RuleLimits, slack: Duration, crossing: Duration) -> Self {
         Self {
             rules: rules.clone(),
             slack,
@@ -164,16 +165,16 @@
             desks: BTreeMap::new(),
             cold: BTreeMap::new(),
             judged: Judged::default(),
-            breaches: Vec::new(),
+            violations: Vec::new(),
             more: 0,
             cold_peak: 0.0,
             pruned: Duration::ZERO,
         }
     }
 
-    fn breach(&mut self, rule: u8, at: Duration, office: u16, call: Option<u64>, what: String) {
-        if self.breaches.len() < LISTED {
-            self.breaches.push(Breach { rule, at_s: at.as_secs_f64(), office, call, what });
+    fn violation(&mut self, rule: u8, at: Duration, office: u16, call: Option<u64>, what: String) {
+        if self.violations.len() < LISTED {
+            self.violations.push(Violation { rule, at_s: at.as_secs_f64(), office, call, what });
         } else {
             self.more += 1;
         }
@@ -186,8 +187,8 @@
                 self.overdue(at, office, &desk, "never answered");
             }
         }
-        let Self { judged, breaches, more, cold_peak, .. } = self;
-        Verdict { judged, breaches, more, cold_peak }
+        let Self { judged, violations, more, cold_peak, .. } = self;
+        Verdict { judged, violations, more, cold_peak }
     }
 
     /// Calls whose answer is overdue at this time.
@@ -197,7 +198,7 @@
             let until = taken.gave_up.unwrap_or(taken.until).min(taken.until);
             if until + grace < at {
                 let left = format!("{what}: its time was up at {:.3} s", until.as_secs_f64());
-                self.breach(1, at, office, Some(*call), left);
+                self.violation(1, at, office, Some(*call), left);
             }
         }
         for ((from, cic), (until, call, _)) in &desk.transit {
@@ -206,7 +207,7 @@
                     "call in transit from {from}, circuit {cic}, {what} by {:.3} s",
                     until.as_secs_f64()
                 );
-                self.breach(1, at, office, Some(*call), text);
+                self.violation(1, at, office, Some(*call), text);
             }
         }
     }
@@ -219,14 +220,14 @@
             let again = desk.answered.contains(&call);
             let what =
                 if again { "a second final answer" } else { "an answer to a call that was never offered" };
-            return self.breach(1, at, office, Some(call), format!("{what}: {answer:?}"));
+            return self.violation(1, at, office, Some(call), format!("{what}: {answer:?}"));
         };
         desk.answered.insert(call);
         desk.answered_at.push_back((at, call, exchange_call));
         desk.final_at.insert(exchange_call, (at, stands));
         if let Some(gave_up) = taken.gave_up.filter(|gave_up| at > *gave_up + grace) {
             let late = (at - gave_up).as_secs_f64();
-            return self.breach(
+            return self.violation(
                 1,
                 at,
                 office,
@@ -236,7 +237,7 @@
         }
         if at > taken.until + grace {
             let late = (at - taken.until).as_secs_f64();
-            self.breach(1, at, office, Some(call), format!("answered {late:.3} s after its time was up"));
+            self.violation(1, at, office, Some(call), format!("answered {late:.3} s after its time was up"));
         }
     }
 
@@ -345,7 +346,7 @@
             let late = (at - until).as_secs_f64();
             let what =
                 format!("call in transit from {} answered {late:.3} s after its time was up", circuit.0);
-            self.breach(1, at, office, Some(call), what);
+            self.violation(1, at, office, Some(call), what);
         }
         true
     }
@@ -365,7 +366,7 @@
 
     fn set_up_sent(&mut self, at: Duration, office: u16, to: u16, cic: u16, iam: &Iam) {
         let Some(identity) = iam.identity else {
-            return self.breach(
+            return self.violation(
                 2,
                 at,
                 office,
@@ -382,7 +383,7 @@
         if let Some(since) = since.filter(|since| !ready && at > *since + ms(rules.drain_grace_ms) + slack) {
             let late = (at - since).as_secs_f64();
             let what = format!("a set-up to {to}, {late:.3} s after being told that it drains or is gone");
-            self.breach(3, at, office, Some(identity.call), what);
+            self.violation(3, at, office, Some(identity.call), what);
         }
         let whose = (identity.origin, identity.call);
         // What was on a circuit that is taken anew is over, though nothing said so here: it failed at this end.
@@ -412,11 +413,11 @@
             let how = if stands { "stands" } else { "is out" };
             let what =
                 format!("seized to {to} on circuit {cic} while it {how} to {other} on circuit {circuit}");
-            self.breach(2, at, office, Some(call), what);
+            self.violation(2, at, office, Some(call), what);
         }
         if let Some((answered, _)) = last.filter(|(answered, _)| at > *answered + slack) {
             let late = (at - answered).as_secs_f64();
-            self.breach(
+            self.violation(
                 1,
                 at,
                 office,
@@ -432,7 +433,7 @@
                 "sent again to {to} {gap:.3} s after a {why}, {} ms to be awaited",
                 rules.release_wait_ms
             );
-            self.breach(5, at, office, Some(call), what);
+            self.violation(5, at, office, Some(call), what);
         }
     }
 
@@ -516,7 +517,7 @@
             let what = format!(
                 "cold, sent {count} set-ups in {window:?}, {budget:.1} are its budget ({knowing} knowingly)"
             );
-            self.breach(4, at, office, None, what);
+            self.violation(4, at, office, None, what);
         }
     }
 
@@ -560,39 +561,41 @@
     }
 }
 
-impl Witness for Auditor {
-    fn saw(&mut self, at: Duration, seen: Seen) {
+impl Observer for RuleChecker {
+    fn observe(&mut self, at: Duration, observation: Observation) {
         self.prune(at);
-        match seen {
-            Seen::Sent { office, to, frame } => self.sent(at, office, to, frame),
-            Seen::Got { office, from, frame } => self.got(at, office, from, frame),
-            Seen::LinkDown { office, to } => self.link_down(at, office, to),
-            Seen::Offered { office, offer } => {
+        match observation {
+            Observation::FrameSent { office, to, frame } => self.sent(at, office, to, frame),
+            Observation::FrameReceived { office, from, frame } => self.got(at, office, from, frame),
+            Observation::LinkDown { office, to } => self.link_down(at, office, to),
+            Observation::Offered { office, offer } => {
                 self.judged.calls += 1;
                 let until = at + Duration::from_millis(offer.time_left_ms.into());
                 self.desk(office).open.insert(offer.call, Taken { until, gave_up: None });
             }
-            Seen::ClientGone { office, call } => {
+            Observation::ClientLost { office, call } => {
                 let open = self.desk(office).open.remove(&call);
                 self.judged.calls_of_gone += u64::from(open.is_some());
             }
-            Seen::HungUp { office, call } => {
+            Observation::HungUp { office, call } => {
                 if let Some(taken) = self.desk(office).open.get_mut(&call) {
                     taken.gave_up = Some(at);
                 }
             }
-            Seen::Answered { office, call, exchange_call, answer } => {
+            Observation::Answered { office, call, exchange_call, answer } => {
                 self.answered(at, office, call, exchange_call, answer);
             }
-            Seen::Told { office, whole, entries } => self.told(at, office, whole, entries),
-            Seen::Started { office } => self.started(office),
-            Seen::Killed { office } => self.killed(at, office),
-            Seen::Cold { office, set_ups } => {
+            Observation::MembershipDelivered { office, whole, entries } => {
+                self.told(at, office, whole, entries)
+            }
+            Observation::Started { office } => self.started(office),
+            Observation::Killed { office } => self.killed(at, office),
+            Observation::ColdStart { office, set_ups } => {
                 self.judged.cold_starts += 1;
                 self.cold.insert(office, Cold { since: at, set_ups, came: VecDeque::new(), broken: false });
             }
-            Seen::SetUp { office, from } => self.set_up_at(at, office, from),
-            Seen::LinkUp { .. } | Seen::Ended { .. } | Seen::Trouble { .. } => {}
+            Observation::SetUpArrived { office, from } => self.set_up_at(at, office, from),
+            Observation::LinkUp { .. } | Observation::Ended { .. } | Observation::Fault { .. } => {}
         }
     }
 }
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -8,11 +8,11 @@
 use mintstall_callapi::Final;
 use mintstall_daemon::exchange::{final_answer, how_ended, order, processor_report};
 use mintstall_daemon::roster_lines;
-use mintstall_emulator::{Act, Day, Score, Wiring, Witness, World};
+use mintstall_emulator::{Action, Day, LinkMode, Observer, Score, Simulation};
 use mintstall_membership::{Membership, MembershipChange, MembershipLimits};
 use mintstall_office::{Answer, CallEnd, Office, Plant};
 
-use crate::controller_config::{Places, config};
+use crate::controller_config::{self, Endpoints};
 
 /// Processors may have started before the day does.
 const CLOCK_START: Duration = Duration::from_secs(3600);
@@ -63,106 +63,116 @@
 }
 
 /// What may be put between a controller and the world: tests use it to make controllers do wrong.
-pub trait Meddler {
+pub trait Interceptor {
     /// Octets that the controller of `office` sends; what is returned is sent in their place.
-    fn sends(&mut self, _now: Duration, _office: u16, _to: u16, octets: Vec<u8>) -> Vec<(u16, Vec<u8>)>;
+    fn outgoing_octets(
+        &mut self,
+        _now: Duration,
+        _office: u16,
+        _to: u16,
+        octets: Vec<u8>,
+    ) -> Vec<(u16, Vec<u8>)>;
     /// Whether the controller hears what the directory tells it.
-    fn hears(&mut self, _now: Duration, _office: u16) -> bool {
+    fn delivers_membership(&mut self, _now: Duration, _office: u16) -> bool {
         true
     }
     /// A final answer; how often it is given.
-    fn answers(&mut self, _now: Duration, _office: u16, _call: u64) -> usize {
+    fn answer_copies(&mut self, _now: Duration, _office: u16, _call: u64) -> usize {
         1
     }
 }
 
 /// No meddling.
-pub struct Honest;
+pub struct PassThrough;
 
-impl Meddler for Honest {
-    fn sends(&mut self, _: Duration, _: u16, to: u16, octets: Vec<u8>) -> Vec<(u16, Vec<u8>)> {
+impl Interceptor for PassThrough {
+    fn outgoing_octets(&mut self, _: Duration, _: u16, to: u16, octets: Vec<u8>) -> Vec<(u16, Vec<u8>)> {
         vec![(to, octets)]
     }
 }
 
 /// How a day went.
-pub struct Played {
+pub struct DayResult {
     pub score: Score,
     /// When the last event was, on the day's clock.
     pub ended: Duration,
     pub events: u64,
     pub tallies: Vec<mintstall_office::Tally>,
     /// Circuits that carry nothing and are not free at the end, with offices and calls left.
-    pub stuck: usize,
+    pub stuck_circuits: usize,
     pub calls_left: usize,
     /// What the books of any office hold against each other at the end.
     pub faults: Vec<String>,
 }
 
 struct Table<'a> {
-    world: World,
+    simulation: Simulation,
     seats: Vec<Option<Seat>>,
     /// When each office is next to be rung.
     alarms: BTreeSet<(Duration, u16)>,
     book: Notebook,
-    meddler: &'a mut dyn Meddler,
+    interceptor: &'a mut dyn Interceptor,
     events: u64,
 }
 
 /// Plays a day whose script has no faults.
-pub fn play(day: &Day, witness: &mut dyn Witness, meddler: &mut dyn Meddler) -> Played {
+pub fn run(day: &Day, observer: &mut dyn Observer, interceptor: &mut dyn Interceptor) -> DayResult {
     let count = usize::from(day.exchanges);
     let mut table = Table {
-        world: World::new(day, Wiring::Within),
+        simulation: Simulation::new(day, LinkMode::InProcess),
         seats: (0..count).map(|_| None).collect(),
         alarms: BTreeSet::new(),
         book: Notebook::default(),
-        meddler,
+        interceptor,
         events: 0,
     };
-    table.run(witness)
+    table.run(observer)
 }
 
 impl Table<'_> {
-    fn run(&mut self, w: &mut dyn Witness) -> Played {
-        let last = Duration::from_secs_f64(self.world.day().length_s) + LINGER;
+    fn run(&mut self, w: &mut dyn Observer) -> DayResult {
+        let last = Duration::from_secs_f64(self.simulation.day().length_s) + LINGER;
         let mut now = Duration::ZERO;
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         loop {
-            let world = self.world.next();
+            let next_event = self.simulation.next_event_time();
             let office = self.alarms.first().copied();
-            let due = match (world, office) {
+            let due = match (next_event, office) {
                 (Some(at), Some((alarm, _))) => at.min(alarm),
                 (at, alarm) => match at.or(alarm.map(|alarm| alarm.0)) {
                     Some(due) => due,
                     None => break,
                 },
             };
-            if due > last || self.world.over(now) {
+            if due > last || self.simulation.is_finished(now) {
                 break;
             }
             now = now.max(due);
             self.events += 1;
-            if world.is_some_and(|at| at <= now) {
-                self.world.advance(now, w, &mut acts);
-                self.carry_out(now, &mut acts, w);
+            if next_event.is_some_and(|at| at <= now) {
+                self.simulation.advance(now, w, &mut actions);
+                self.carry_out(now, &mut actions, w);
             } else if let Some((_, office)) = office {
                 self.with(now, office, w, |seat, now, plant| seat.office.ring(now, plant));
-                self.carry_out(now, &mut acts, w);
+                self.carry_out(now, &mut actions, w);
             }
         }
         // What was let go at the very end still has its release on the way, and the audits have a last look.
         let end = now + Duration::from_secs(15);
-        while let Some(due) =
-            self.world.next().into_iter().chain(self.alarms.first().map(|alarm| alarm.0)).min()
+        while let Some(due) = self
+            .simulation
+            .next_event_time()
+            .into_iter()
+            .chain(self.alarms.first().map(|alarm| alarm.0))
+            .min()
         {
             if due > end {
                 break;
             }
             now = now.max(due);
-            if self.world.next().is_some_and(|at| at <= now) {
-                self.world.advance(now, w, &mut acts);
-                self.carry_out(now, &mut acts, w);
+            if self.simulation.next_event_time().is_some_and(|at| at <= now) {
+                self.simulation.advance(now, w, &mut actions);
+                self.carry_out(now, &mut actions, w);
             } else if let Some((_, office)) = self.alarms.first().copied() {
                 self.with(now, office, w, |seat, now, plant| seat.office.ring(now, plant));
             }
@@ -170,29 +180,29 @@
         let states: Vec<_> = self.seats.iter().flatten().map(|seat| seat.office.state()).collect();
         let stuck = states.iter().flat_map(|state| &state.groups);
         let faults = self.seats.iter().flatten().flat_map(|seat| seat.office.faults());
-        Played {
+        DayResult {
             faults: faults.collect(),
-            score: self.world.score.clone(),
+            score: self.simulation.score.clone(),
             ended: now,
             events: self.events,
-            stuck: stuck.map(|group| group.seized + group.releasing + group.resetting).sum(),
+            stuck_circuits: stuck.map(|group| group.seized + group.releasing + group.resetting).sum(),
             calls_left: states.iter().map(|state| state.calls).sum(),
             tallies: states.iter().map(|state| state.tally).collect(),
         }
     }
 
-    fn carry_out(&mut self, now: Duration, acts: &mut Vec<Act>, w: &mut dyn Witness) {
-        while !acts.is_empty() {
-            for act in std::mem::take(acts) {
-                self.carry(now, act, w, acts);
+    fn carry_out(&mut self, now: Duration, actions: &mut Vec<Action>, w: &mut dyn Observer) {
+        while !actions.is_empty() {
+            for action in std::mem::take(actions) {
+                self.carry(now, action, w, actions);
             }
         }
     }
 
-    fn carry(&mut self, now: Duration, act: Act, w: &mut dyn Witness, acts: &mut Vec<Act>) {
-        match act {
-            Act::Start { office, incarnation } => {
-                let config = config(&self.world, office, &Places::default());
+    fn carry(&mut self, now: Duration, action: Action, w: &mut dyn Observer, actions: &mut Vec<Action>) {
+        match action {
+            Action::Start { office, incarnation } => {
+                let config = controller_config::build(&self.simulation, office, &Endpoints::default());
                 let seed = config.seed.unwrap_or(0).wrapping_add(u64::from(incarnation) << 32);
                 let seat = Seat {
                     office: Office::new(
@@ -208,29 +218,29 @@
                 };
                 self.seats[usize::from(office) - 1] = Some(seat);
             }
-            Act::Kill { office } => {
+            Action::Kill { office } => {
                 if let Some(seat) = self.seats[usize::from(office) - 1].take() {
                     seat.alarm.into_iter().for_each(|at| _ = self.alarms.remove(&(at, office)));
                 }
             }
-            Act::Up { office, to } => {
+            Action::LinkUp { office, to } => {
                 self.with(now, office, w, |seat, now, plant| seat.office.link_up(now, plant, OfficeNo(to)));
             }
-            Act::Down { office, to } => {
+            Action::LinkDown { office, to } => {
                 self.with(now, office, w, |seat, now, plant| seat.office.link_down(now, plant, OfficeNo(to)));
             }
-            Act::Octets { office, from, octets } => {
+            Action::LinkOctets { office, from, octets } => {
                 self.with(now, office, w, |seat, now, plant| {
                     seat.office.octets(now, plant, OfficeNo(from), &octets)
                 });
             }
-            Act::Offer { office, offer } => self.with(now, office, w, |seat, now, plant| {
+            Action::Offer { office, offer } => self.with(now, office, w, |seat, now, plant| {
                 let call = seat.office.next_call();
                 seat.calls.insert(offer.call, call);
                 seat.names.insert(call, offer.call);
                 seat.office.offer(now, plant, call, order(&offer));
             }),
-            Act::HangUp { office, call } => {
+            Action::HangUp { office, call } => {
                 let seat = self.seats[usize::from(office) - 1].as_ref();
                 let Some(id) = seat.and_then(|seat| seat.calls.get(&call)).copied() else { return };
                 self.with(now, office, w, |seat, now, plant| _ = seat.office.hang_up(now, plant, id));
@@ -240,8 +250,9 @@
                 }
             }
             // The first list it needs to know anyone at all.
-            Act::Roster { office, news } if news.since.is_some() && !self.meddler.hears(now, office) => {}
-            Act::Roster { office, news } => {
+            Action::Membership { office, news }
+                if news.since.is_some() && !self.interceptor.delivers_membership(now, office) => {}
+            Action::Membership { office, news } => {
                 let mut taken = true;
                 self.with(now, office, w, |seat, now, plant| {
                     let (_, told) = seat.roster.apply(now, &news);
@@ -256,15 +267,15 @@
                     }
                 });
                 if !taken {
-                    self.world.wants_all(now, office, w, acts);
+                    self.simulation.resend_membership(now, office, w, actions);
                 }
             }
-            Act::Circuits { office, to, in_service } => {
+            Action::CircuitsInService { office, to, in_service } => {
                 self.with(now, office, w, |seat, now, plant| {
                     seat.office.circuits(now, plant, OfficeNo(to), in_service);
                 });
             }
-            Act::Report { office, rate } => {
+            Action::ProcessorReport { office, rate } => {
                 self.with(now, office, w, |seat, _, _| seat.office.processor(processor_report(Some(rate))));
             }
         }
@@ -275,7 +286,7 @@
         &mut self,
         now: Duration,
         no: u16,
-        w: &mut dyn Witness,
+        w: &mut dyn Observer,
         f: impl FnOnce(&mut Seat, Duration, &mut dyn Plant),
     ) {
         let Some(seat) = self.seats[usize::from(no) - 1].as_mut() else { return };
@@ -291,8 +302,8 @@
         for did in did.drain(..) {
             match did {
                 Did::Octets(to, octets) => {
-                    for (to, octets) in self.meddler.sends(now, no, to, octets) {
-                        self.world.from_controller(now, no, to, &octets, w);
+                    for (to, octets) in self.interceptor.outgoing_octets(now, no, to, octets) {
+                        self.simulation.on_controller_octets(now, no, to, &octets, w);
                     }
                 }
                 Did::Closed(to) => closed.push(to),
@@ -304,23 +315,23 @@
                         seat.names.remove(&call);
                         seat.calls.remove(&name);
                     }
-                    for _ in 0..self.meddler.answers(now, no, name) {
-                        self.world.answered(now, no, name, call.0, answer, w);
+                    for _ in 0..self.interceptor.answer_copies(now, no, name) {
+                        self.simulation.answered(now, no, name, call.0, answer, w);
                     }
                 }
                 Did::Ended(call, end) => {
                     let Some(seat) = self.seats[usize::from(no) - 1].as_mut() else { continue };
                     let Some(name) = seat.names.remove(&call) else { continue };
                     seat.calls.remove(&name);
-                    self.world.ended(now, no, name, how_ended(end), w);
+                    self.simulation.call_ended(now, no, name, how_ended(end), w);
                 }
             }
         }
         self.book.did = did;
         for to in closed {
-            let mut acts = Vec::new();
-            self.world.disconnected(now, no, to, w, &mut acts);
-            self.carry_out(now, &mut acts, w);
+            let mut actions = Vec::new();
+            self.simulation.link_disconnected(now, no, to, w, &mut actions);
+            self.carry_out(now, &mut actions, w);
         }
     }
 }
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mintstall_emulator::{Day, Fault, FaultAt, Groups, Rules, Traffic, Which};
+use mintstall_emulator::{Day, Fault, FaultAt, FaultTarget, Groups, RuleLimits, Traffic};
 use mintstall_isup::{Body, Cic, Frame, Message, ProtocolData, Q850};
-use mintstall_lab::virtual_day::{Honest, Meddler, play};
-use mintstall_lab::{Auditor, Verdict};
+use mintstall_lab::virtual_day::{self, Interceptor, PassThrough};
+use mintstall_lab::{RuleChecker, Verdict};
 
-fn judged(day: &Day, meddler: &mut dyn Meddler) -> Verdict {
-    assert_eq!(day.faults_found(), Vec::<String>::new());
-    let mut auditor = Auditor::new(&day.rules, Duration::from_millis(2), Duration::ZERO);
-    let played = play(day, &mut auditor, meddler);
-    auditor.finish(played.ended)
+fn judged(day: &Day, interceptor: &mut dyn Interceptor) -> Verdict {
+    assert_eq!(day.validation_errors(), Vec::<String>::new());
+    let mut rule_checker = RuleChecker::new(&day.rules, Duration::from_millis(2), Duration::ZERO);
+    let played = virtual_day::run(day, &mut rule_checker, interceptor);
+    rule_checker.finish(played.ended)
 }
 
 fn day(exchanges: u16, what: Vec<(f64, f64, Fault)>) -> Day {
@@ -28,31 +28,31 @@
 }
 
 fn hang(office: u16) -> (f64, f64, Fault) {
-    (4.0, 4.0, Fault::Hang { exchanges: Which::These(vec![office]) })
+    (4.0, 4.0, Fault::Hang { exchanges: FaultTarget::Listed(vec![office]) })
 }
 
 fn replaced(office: u16) -> (f64, f64, Fault) {
-    (4.0, 10.0, Fault::Replaced { exchanges: Which::These(vec![office]), drain_s: 8.0 })
+    (4.0, 10.0, Fault::Replaced { exchanges: FaultTarget::Listed(vec![office]), drain_s: 8.0 })
 }
 
 /// Every breach is of this rule, and there are some.
 fn breaks(rule: u8, verdict: &Verdict) {
-    assert!(!verdict.kept(), "nothing found: {:?}", verdict.judged);
-    let others: Vec<_> = verdict.breaches.iter().filter(|breach| breach.rule != rule).collect();
+    assert!(!verdict.passed(), "nothing found: {:?}", verdict.judged);
+    let others: Vec<_> = verdict.violations.iter().filter(|violation| violation.rule != rule).collect();
     assert!(others.is_empty(), "{others:?}");
 }
 
 fn kept(verdict: &Verdict) {
-    assert!(verdict.kept(), "{:#?}", verdict.breaches);
+    assert!(verdict.passed(), "{:#?}", verdict.violations);
 }
 
 struct Answers(usize);
 
-impl Meddler for Answers {
-    fn sends(&mut self, _: Duration, _: u16, to: u16, octets: Vec<u8>) -> Vec<(u16, Vec<u8>)> {
+impl Interceptor for Answers {
+    fn outgoing_octets(&mut self, _: Duration, _: u16, to: u16, octets: Vec<u8>) -> Vec<(u16, Vec<u8>)> {
         vec![(to, octets)]
     }
-    fn answers(&mut self, _: Duration, _: u16, call: u64) -> usize {
+    fn answer_copies(&mut self, _: Duration, _: u16, call: u64) -> usize {
         if (call >> 8).is_multiple_of(50) { self.0 } else { 1 }
     }
 }
@@ -62,11 +62,11 @@
     let day = day(4, vec![]);
     let twice = judged(&day, &mut Answers(2));
     breaks(1, &twice);
-    assert!(twice.breaches[0].what.contains("a second final answer"), "{}", twice.breaches[0]);
+    assert!(twice.violations[0].what.contains("a second final answer"), "{}", twice.violations[0]);
     let never = judged(&day, &mut Answers(0));
     breaks(1, &never);
-    assert!(never.breaches[0].what.contains("never answered"), "{}", never.breaches[0]);
-    kept(&judged(&day, &mut Honest));
+    assert!(never.violations[0].what.contains("never answered"), "{}", never.violations[0]);
+    kept(&judged(&day, &mut PassThrough));
 }
 
 /// Sends set-ups again, by a rule of its own.
@@ -96,8 +96,8 @@
     Some(out)
 }
 
-impl Meddler for Resends {
-    fn sends(&mut self, _: Duration, office: u16, to: u16, octets: Vec<u8>) -> Vec<(u16, Vec<u8>)> {
+impl Interceptor for Resends {
+    fn outgoing_octets(&mut self, _: Duration, office: u16, to: u16, octets: Vec<u8>) -> Vec<(u16, Vec<u8>)> {
         let Some(data) = user(&octets) else { return vec![(to, octets)] };
         let Ok(message) = Message::read(data.user) else { return vec![(to, octets)] };
         let circuit = (office, to, message.cic.0);
@@ -124,19 +124,23 @@
 fn two_seizures_out_break_the_second_rule() {
     let day = day(4, vec![]);
     let verdict = judged(&day, &mut Resends { at_once: true, sent: BTreeMap::new() });
-    let second: Vec<_> = verdict.breaches.iter().filter(|breach| breach.rule == 2).collect();
-    assert!(second.iter().any(|breach| breach.what.contains("while it is out")), "{:?}", verdict.breaches);
-    kept(&judged(&day, &mut Honest));
+    let second: Vec<_> = verdict.violations.iter().filter(|violation| violation.rule == 2).collect();
+    assert!(
+        second.iter().any(|violation| violation.what.contains("while it is out")),
+        "{:?}",
+        verdict.violations
+    );
+    kept(&judged(&day, &mut PassThrough));
 }
 
 /// Controllers that do not hear the directory, which has spoken to them all the same.
 struct Deaf;
 
-impl Meddler for Deaf {
-    fn sends(&mut self, _: Duration, _: u16, to: u16, octets: Vec<u8>) -> Vec<(u16, Vec<u8>)> {
+impl Interceptor for Deaf {
+    fn outgoing_octets(&mut self, _: Duration, _: u16, to: u16, octets: Vec<u8>) -> Vec<(u16, Vec<u8>)> {
         vec![(to, octets)]
     }
-    fn hears(&mut self, _: Duration, _: u16) -> bool {
+    fn delivers_membership(&mut self, _: Duration, _: u16) -> bool {
         false
     }
 }
@@ -146,26 +150,27 @@
     let day = day(4, vec![replaced(2)]);
     let verdict = judged(&day, &mut Deaf);
     breaks(3, &verdict);
-    assert!(verdict.breaches.iter().all(|breach| breach.what.starts_with("a set-up to 2")));
-    let honest = judged(&day, &mut Honest);
+    assert!(verdict.violations.iter().all(|violation| violation.what.starts_with("a set-up to 2")));
+    let honest = judged(&day, &mut PassThrough);
     kept(&honest);
     assert!(honest.judged.drains >= 4);
 }
 
 #[test]
 fn twelve_controllers_together_break_the_fourth_rule_unless_each_keeps_to_its_share() {
-    let restart = Fault::MassRestart { exchanges: Which::These(vec![5]) };
+    let restart = Fault::MassRestart { exchanges: FaultTarget::Listed(vec![5]) };
     // Falls over at less than the usual load, so that it is the share that keeps it up.
-    let rules = Rules { fall_multiple: 0.4, cold_share: 0.3, warm_up_ms: 15_000, ..Rules::default() };
+    let rules =
+        RuleLimits { fall_multiple: 0.4, cold_share: 0.3, warm_up_ms: 15_000, ..RuleLimits::default() };
     let day = Day { rules: rules.clone(), length_s: 25.0, ..day(12, vec![(4.0, 1.0, restart)]) };
     // Controllers that were told that it bears anything.
-    let careless = Day { rules: Rules { fall_multiple: 50.0, ..rules }, ..day.clone() };
-    let mut auditor = Auditor::new(&day.rules, Duration::from_millis(2), Duration::ZERO);
-    let played = play(&careless, &mut auditor, &mut Honest);
-    let verdict = auditor.finish(played.ended);
+    let careless = Day { rules: RuleLimits { fall_multiple: 50.0, ..rules }, ..day.clone() };
+    let mut rule_checker = RuleChecker::new(&day.rules, Duration::from_millis(2), Duration::ZERO);
+    let played = virtual_day::run(&careless, &mut rule_checker, &mut PassThrough);
+    let verdict = rule_checker.finish(played.ended);
     breaks(4, &verdict);
-    assert!(verdict.breaches.iter().all(|breach| breach.office == 5), "{:?}", verdict.breaches);
-    let honest = judged(&day, &mut Honest);
+    assert!(verdict.violations.iter().all(|violation| violation.office == 5), "{:?}", verdict.violations);
+    let honest = judged(&day, &mut PassThrough);
     kept(&honest);
     // Before they are told all send as usual; after it, their share.
     let (share, all) = (honest.judged.set_ups_at_cold, verdict.judged.set_ups_at_cold);
@@ -176,13 +181,13 @@
 fn a_set_up_sent_again_at_once_after_a_time_out_breaks_the_fifth_rule() {
     let day = day(4, vec![hang(2)]);
     let verdict = judged(&day, &mut Resends { at_once: false, sent: BTreeMap::new() });
-    let fifth: Vec<_> = verdict.breaches.iter().filter(|breach| breach.rule == 5).collect();
+    let fifth: Vec<_> = verdict.violations.iter().filter(|violation| violation.rule == 5).collect();
     assert!(
-        fifth.iter().any(|breach| breach.what.contains("200 ms to be awaited")),
+        fifth.iter().any(|violation| violation.what.contains("200 ms to be awaited")),
         "{:?}",
-        verdict.breaches
+        verdict.violations
     );
-    let honest = judged(&day, &mut Honest);
+    let honest = judged(&day, &mut PassThrough);
     kept(&honest);
     assert!(honest.judged.releases > 10, "{:?}", honest.judged);
 }
--- a/crates/lab/tests/virtual_days.rs
+++ b/crates/lab/tests/virtual_days.rs
@@ -3,21 +3,21 @@
 use std::time::Duration;
 
 use mintstall_emulator::*;
-use mintstall_lab::Auditor;
-use mintstall_lab::pcap::Capture;
-use mintstall_lab::virtual_day::{Honest, Played, play};
+use mintstall_lab::RuleChecker;
+use mintstall_lab::pcap::SignallingCapture;
+use mintstall_lab::virtual_day::{self, DayResult, PassThrough};
 use mintstall_lab::{Report, Verdict};
 
-fn run(day: &Day) -> (Played, Verdict) {
-    assert_eq!(day.faults_found(), Vec::<String>::new());
-    let mut auditor = Auditor::new(&day.rules, Duration::from_millis(2), Duration::ZERO);
-    let played = play(day, &mut auditor, &mut Honest);
-    let verdict = auditor.finish(played.ended);
+fn run(day: &Day) -> (DayResult, Verdict) {
+    assert_eq!(day.validation_errors(), Vec::<String>::new());
+    let mut rule_checker = RuleChecker::new(&day.rules, Duration::from_millis(2), Duration::ZERO);
+    let played = virtual_day::run(day, &mut rule_checker, &mut PassThrough);
+    let verdict = rule_checker.finish(played.ended);
     (played, verdict)
 }
 
-fn some(share: f64) -> Which {
-    Which::Share { share }
+fn some(share: f64) -> FaultTarget {
+    FaultTarget::Share { share }
 }
 
 /// Every kind of trouble, some at once.
@@ -78,8 +78,8 @@
     for seed in 1..=20 {
         let day = hard(40, seed);
         let (played, verdict) = run(&day);
-        let breaches: Vec<_> = verdict.breaches.iter().map(ToString::to_string).collect();
-        assert!(verdict.kept(), "seed {seed}: {breaches:#?}");
+        let violations: Vec<_> = verdict.violations.iter().map(ToString::to_string).collect();
+        assert!(verdict.passed(), "seed {seed}: {violations:#?}");
         let judged = verdict.judged;
         let all = [
             judged.calls,
@@ -94,15 +94,19 @@
             "seed {seed} judged little: {judged:?}"
         );
         assert_eq!(played.faults, Vec::<String>::new(), "seed {seed}");
-        assert_eq!((played.stuck, played.calls_left), (0, 0), "seed {seed}: circuits or calls are left over");
+        assert_eq!(
+            (played.stuck_circuits, played.calls_left),
+            (0, 0),
+            "seed {seed}: circuits or calls are left over"
+        );
     }
 }
 
 #[test]
 fn the_same_seed_gives_the_same_capture_to_the_octet_and_another_does_not() {
     let capture = |seed| {
-        let mut capture = Capture::new(Vec::new()).unwrap();
-        play(&hard(8, seed), &mut capture, &mut Honest);
+        let mut capture = SignallingCapture::new(Vec::new()).unwrap();
+        virtual_day::run(&hard(8, seed), &mut capture, &mut PassThrough);
         capture.finish().unwrap()
     };
     let (first, second, other) = (capture(4), capture(4), capture(5));
@@ -116,7 +120,7 @@
     let day = Day { traffic: Traffic { load: 0.6, ..Traffic::default() }, ..Day::default() };
     let (played, verdict) = run(&day);
     let report = Report::new(&day, "virtual", played.score, verdict, &played.tallies);
-    assert!(report.kept && report.service > 0.99, "{}", report.text(&day));
+    assert!(report.passed && report.service > 0.99, "{}", report.text(&day));
 }
 
 #[test]
@@ -124,7 +128,7 @@
     let text = include_str!("../../../days/bad-day.json");
     let day: Day = serde_json::from_str(text).unwrap();
     let (played, verdict) = run(&day);
-    assert!(verdict.kept(), "{:#?}", verdict.breaches);
+    assert!(verdict.passed(), "{:#?}", verdict.violations);
     assert!(day.exchanges >= 6 && day.regions.len() == 3 && day.faults.len() >= 5);
     assert!(played.score.whole.share() > 0.5 && played.score.whole.share() < 1.0);
 }
@@ -135,8 +139,8 @@
     day.length_s = 0.0;
     day.call_types[1].width = 40;
     day.faults.truncate(1);
-    day.faults[0].what = Fault::Slow { exchanges: Which::These(vec![9]), factor: 0.1 };
-    let found = day.faults_found();
+    day.faults[0].what = Fault::Slow { exchanges: FaultTarget::Listed(vec![9]), factor: 0.1 };
+    let found = day.validation_errors();
     let places: Vec<_> = found.iter().map(|fault| fault.split(": ").next().unwrap()).collect();
     let wanted = [
         "length_s",
