--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -7,7 +7,8 @@
 use clap::{Args, Subcommand};
 use mintstall_daemon::config::read_json;
 use mintstall_planner::{
-    Fleet, Limit, Solution, compare, erlang, lose, saturate, size_groups, size_processors, solve,
+    Bottleneck, Fleet, Solution, compare, erlang, lose, saturation_points, size_groups, size_processors,
+    solve,
 };
 use serde_json::json;
 
@@ -98,7 +99,7 @@
 
 fn read(file: &Path) -> Result<Fleet, ExitCode> {
     let fleet: Fleet = read_json(file).map_err(bad_input)?;
-    let faults = fleet.faults();
+    let faults = fleet.validation_errors();
     if faults.is_empty() {
         return Ok(fleet);
     }
@@ -198,17 +199,17 @@
     }
 }
 
-fn limit_text(limit: &Limit) -> String {
+fn limit_text(limit: &Bottleneck) -> String {
     match limit {
-        Limit::Group { between: [a, b] } => format!("group {a} - {b}"),
-        Limit::Processor { exchange } => format!("processor of {exchange}"),
+        Bottleneck::Group { between: [a, b] } => format!("group {a} - {b}"),
+        Bottleneck::Processor { exchange } => format!("processor of {exchange}"),
     }
 }
 
-fn limit_json(limit: &Limit) -> serde_json::Value {
+fn limit_json(limit: &Bottleneck) -> serde_json::Value {
     match limit {
-        Limit::Group { between } => json!({ "group": between }),
-        Limit::Processor { exchange } => json!({ "processor": exchange }),
+        Bottleneck::Group { between } => json!({ "group": between }),
+        Bottleneck::Processor { exchange } => json!({ "processor": exchange }),
     }
 }
 
@@ -230,11 +231,14 @@
 fn show(fleet: &Fleet, growth: f64, whole: bool) {
     let solved = solve(&fleet.grown(growth));
     if whole {
-        let jammed = solved.jammed.as_ref().map(solution_json);
-        println!("{}", json!({ "growth": growth, "free": solution_json(&solved.free), "jammed": jammed }));
+        let jammed = solved.high_blocking.as_ref().map(solution_json);
+        println!(
+            "{}",
+            json!({ "growth": growth, "free": solution_json(&solved.low_blocking), "jammed": jammed })
+        );
         return;
     }
-    let free = &solved.free;
+    let free = &solved.low_blocking;
     println!(
         "at {growth} of the traffic {:.4} of first tries stand, {:.2} tries each, {:.3} of the calls over a tandem",
         free.stood, free.tries, free.detours
@@ -245,7 +249,7 @@
     if let Err(moved) = free.rounds {
         println!("not settled: losses still moved by {moved:.1e}");
     }
-    if let Some(jammed) = &solved.jammed {
+    if let Some(jammed) = &solved.high_blocking {
         println!("it can jam: once full, {:.4} of first tries stand", jammed.stood);
     }
     println!("{:>12} {:>9} {:>9} {:>9}", "group", "circuits", "taken", "blocked");
@@ -272,7 +276,7 @@
     use std::io::{IsTerminal, Write};
     let mut progress = std::io::stderr();
     let shown = progress.is_terminal();
-    let found = saturate(fleet, blocking, range, step, &mut |share| {
+    let found = saturation_points(fleet, blocking, range, step, &mut |share| {
         if shown {
             let _ = write!(progress, "\r{:3.0} %", share * 100.0);
         }
@@ -327,7 +331,7 @@
     let compared = compare(one, other, blocking);
     let [here, there] = &compared.only;
     if whole {
-        let limits = |limits: &[Limit]| limits.iter().map(limit_json).collect::<Vec<_>>();
+        let limits = |limits: &[Bottleneck]| limits.iter().map(limit_json).collect::<Vec<_>>();
         println!(
             "{}",
             json!({ "stood": compared.stood, "full_in_one": limits(here), "full_in_other": limits(there),
--- a/crates/planner/src/analysis.rs
+++ b/crates/planner/src/analysis.rs
@@ -4,50 +4,51 @@
 
 use crate::fleet::Fleet;
 use crate::model::{Solution, solve};
-use crate::multirate::balance;
+use crate::multirate::kaufman_roberts;
 
 /// What can be full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Limit {
+pub enum Bottleneck {
     Group { between: [u16; 2] },
     Processor { exchange: u16 },
 }
 
 /// A limit and the growth at which it is reached.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Saturates {
-    pub limit: Limit,
+pub struct SaturationPoint {
+    pub limit: Bottleneck,
     pub growth: f64,
 }
 
 /// Which limits are reached: groups that block more than `most_blocked` of any call type, processors offered more than they can do.
-fn reached(solution: &Solution, most_blocked: f64) -> BTreeSet<Limit> {
+fn reached(solution: &Solution, most_blocked: f64) -> BTreeSet<Bottleneck> {
     let full =
         solution.groups.iter().filter(|group| group.blocked.iter().any(|blocked| *blocked > most_blocked));
-    let groups = full.map(|group| Limit::Group { between: group.between });
+    let groups = full.map(|group| Bottleneck::Group { between: group.between });
     let over = solution.processors.iter().filter(|of| of.load > 1.0);
-    groups.chain(over.map(|of| Limit::Processor { exchange: of.exchange })).collect()
+    groups.chain(over.map(|of| Bottleneck::Processor { exchange: of.exchange })).collect()
 }
 
 /// Limits in the order in which growth reaches them, from `least` to `most` times the traffic, to within `step`.
 ///
 /// `told`: how far it has come, from nought to one.
-pub fn saturate(
+pub fn saturation_points(
     fleet: &Fleet,
     most_blocked: f64,
     [least, most]: [f64; 2],
     step: f64,
     told: &mut dyn FnMut(f64),
-) -> Vec<Saturates> {
+) -> Vec<SaturationPoint> {
     let steps = ((most - least) / step.max(1e-3)).ceil().clamp(1.0, 10_000.0) as u32;
-    let mut found: BTreeMap<Limit, f64> = BTreeMap::new();
+    let mut found: BTreeMap<Bottleneck, f64> = BTreeMap::new();
     for at in 0..=steps {
         let growth = least + (most - least) * f64::from(at) / f64::from(steps);
-        let now = reached(&solve(&fleet.grown(growth)).free, most_blocked);
+        let now = reached(&solve(&fleet.grown(growth)).low_blocking, most_blocked);
         now.into_iter().for_each(|limit| _ = found.entry(limit).or_insert(growth));
         told(f64::from(at) / f64::from(steps));
     }
-    let mut all: Vec<_> = found.into_iter().map(|(limit, growth)| Saturates { limit, growth }).collect();
+    let mut all: Vec<_> =
+        found.into_iter().map(|(limit, growth)| SaturationPoint { limit, growth }).collect();
     all.sort_by(|a, b| a.growth.total_cmp(&b.growth).then(a.limit.cmp(&b.limit)));
     all
 }
@@ -63,7 +64,7 @@
     /// Whether the rest may stay jammed.
     pub jams: bool,
     /// Limits of the rest that are reached now and were not before.
-    pub reached: Vec<Limit>,
+    pub reached: Vec<Bottleneck>,
 }
 
 /// Loses exchanges, with so many times the callers' redials (1: as ever), as when all dial again early.
@@ -71,17 +72,17 @@
     let mut rest = fleet.without(lost);
     let all = |fleet: &Fleet| fleet.traffic.iter().map(|of| of.per_s).sum::<f64>();
     let gone = if all(fleet) > 0.0 { 1.0 - all(&rest) / all(fleet) } else { 0.0 };
-    let before = solve(fleet).free;
+    let before = solve(fleet).low_blocking;
     let most = f64::from(rest.redials.most) * redials.max(0.0);
     rest.redials.most = most.round().min(255.0) as u8;
     let after = solve(&rest);
     let known = reached(&before, most_blocked);
-    let new = reached(&after.free, most_blocked).into_iter().filter(|limit| !known.contains(limit));
+    let new = reached(&after.low_blocking, most_blocked).into_iter().filter(|limit| !known.contains(limit));
     Lost {
         gone,
         before: before.stood,
-        after: after.free.stood,
-        jams: after.jammed.is_some(),
+        after: after.low_blocking.stood,
+        jams: after.high_blocking.is_some(),
         reached: new.collect(),
     }
 }
@@ -104,11 +105,11 @@
     let types = fleet.call_types.len();
     let mut at_rest = false;
     for _ in 0..SIZINGS {
-        let solution = solve(&sized).free;
+        let solution = solve(&sized).low_blocking;
         at_rest = true;
         for (group, state) in sized.groups.iter_mut().zip(&solution.groups) {
             let fits = |circuits: u16| {
-                let blocked = balance(circuits, &state.offered).blocked;
+                let blocked = kaufman_roberts(circuits, &state.offered).blocked;
                 blocked.iter().take(types).all(|blocked| *blocked <= most_blocked)
             };
             if fits(group.circuits) {
@@ -144,7 +145,7 @@
     let stood = |times: f64| {
         let mut faster = fleet.clone();
         faster.exchanges.iter_mut().for_each(|of| of.speed *= times);
-        solve(&faster).free.stood
+        solve(&faster).low_blocking.stood
     };
     let (mut low, mut high) = (0.0, 64.0);
     if stood(high) < goal {
@@ -167,7 +168,7 @@
     /// Share of first tries that stands in each.
     pub stood: [f64; 2],
     /// Limits reached in the one alone, and in the other alone.
-    pub only: [Vec<Limit>; 2],
+    pub only: [Vec<Bottleneck>; 2],
     /// Groups of both, by how much more the second blocks of any call type; those that differ, most first.
     pub blocked: Vec<([u16; 2], f64)>,
     /// Processors of both, by how much more the second is offered over what it can do.
@@ -178,7 +179,7 @@
 const NO_DIFFERENCE: f64 = 1e-4;
 
 pub fn compare(one: &Fleet, other: &Fleet, most_blocked: f64) -> Compared {
-    let solved = [solve(one).free, solve(other).free];
+    let solved = [solve(one).low_blocking, solve(other).low_blocking];
     let [here, there] = [&solved[0], &solved[1]].map(|solution| reached(solution, most_blocked));
     let worst = |solution: &Solution| -> BTreeMap<[u16; 2], f64> {
         let of = |blocked: &[f64]| blocked.iter().copied().fold(0.0, f64::max);
@@ -239,13 +240,13 @@
 
     #[test]
     fn limits_are_reached_in_the_order_of_their_room() {
-        assert_eq!(fleet().faults(), Vec::<String>::new());
+        assert_eq!(fleet().validation_errors(), Vec::<String>::new());
         let mut told = Vec::new();
-        let order = saturate(&fleet(), 0.05, [0.5, 6.0], 0.25, &mut |share| told.push(share));
-        assert_eq!(order[0].limit, Limit::Group { between: [1, 2] }, "{order:?}");
+        let order = saturation_points(&fleet(), 0.05, [0.5, 6.0], 0.25, &mut |share| told.push(share));
+        assert_eq!(order[0].limit, Bottleneck::Group { between: [1, 2] }, "{order:?}");
         let processors: Vec<_> =
-            order.iter().filter(|of| matches!(of.limit, Limit::Processor { .. })).collect();
-        assert_eq!(processors[0].limit, Limit::Processor { exchange: 4 }, "{order:?}");
+            order.iter().filter(|of| matches!(of.limit, Bottleneck::Processor { .. })).collect();
+        assert_eq!(processors[0].limit, Bottleneck::Processor { exchange: 4 }, "{order:?}");
         assert!(processors[0].growth < 4.0 && order.windows(2).all(|pair| pair[0].growth <= pair[1].growth));
         assert_eq!((told.first(), told.last()), (Some(&0.0), Some(&1.0)));
     }
@@ -258,9 +259,9 @@
         assert_eq!(needed([3, 4]).needed, 62, "enough already");
         let mut fleet = fleet().grown(2.0);
         fleet.groups[0].circuits = needed([1, 2]).needed;
-        assert!(solve(&fleet).free.groups[0].blocked[0] <= 0.01);
+        assert!(solve(&fleet).low_blocking.groups[0].blocked[0] <= 0.01);
         fleet.groups[0].circuits -= 2;
-        assert!(solve(&fleet).free.groups[0].blocked[0] > 0.01);
+        assert!(solve(&fleet).low_blocking.groups[0].blocked[0] > 0.01);
     }
 
     #[test]
@@ -268,7 +269,7 @@
         let pressed = fleet().grown(4.0);
         let mut wide = pressed.clone();
         wide.groups.iter_mut().for_each(|group| group.circuits = 310);
-        let before = solve(&wide).free.stood;
+        let before = solve(&wide).low_blocking.stood;
         let times = size_processors(&wide, 0.98).unwrap();
         assert!(before < 0.95 && times > 1.2 && times < 6.0, "{before}, {times}");
         let mut narrow = pressed;
@@ -283,7 +284,7 @@
         other.groups[0].circuits = 62;
         let compared = compare(&one, &other, 0.02);
         assert!(compared.stood[1] > compared.stood[0], "{compared:?}");
-        assert_eq!(compared.only, [vec![Limit::Group { between: [1, 2] }], vec![]]);
+        assert_eq!(compared.only, [vec![Bottleneck::Group { between: [1, 2] }], vec![]]);
         assert!(compared.blocked[0].0 == [1, 2] && compared.blocked[0].1 < -0.1, "{compared:?}");
     }
 
@@ -304,7 +305,7 @@
         bad.call_types[0].share = 0.5;
         bad.traffic[0].per_s = f64::NAN;
         bad.exchanges[3].exchange = 1;
-        let faults = bad.faults().join("\n");
+        let faults = bad.validation_errors().join("\n");
         for place in [
             "groups[1].between: there is no exchange 9",
             "call_types: their shares make 0.5",
--- a/crates/planner/src/call_log.rs
+++ b/crates/planner/src/call_log.rs
@@ -20,7 +20,7 @@
 /// One thing seen; `t`: milliseconds since the file was begun. Short names: there are some for each call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "k", rename_all = "snake_case")]
-pub enum Seen {
+pub enum Record {
     /// A caller's try: its number here, where to, its type; whether it is a redial, or comes again after a cut.
     Offer {
         t: u64,
@@ -57,7 +57,7 @@
     },
 }
 
-impl Seen {
+impl Record {
     pub fn at(&self) -> u64 {
         match self {
             Self::Offer { t, .. }
@@ -71,7 +71,7 @@
 }
 
 #[derive(Debug, Error)]
-pub enum CaptureError {
+pub enum CallLogError {
     #[error("line 1: is no header of a capture: {0}")]
     Header(String),
     #[error("line 1: version {0} is newer than {VERSION}, the newest read here")]
@@ -82,45 +82,45 @@
 
 /// A file that was read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Capture {
+pub struct CallLog {
     pub header: Header,
-    pub seen: Vec<Seen>,
+    pub records: Vec<Record>,
     /// Whether it ends with its last line; otherwise its process was killed, and what it saw last is missing.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// Reads a file's text. `parse` and the errors name lines from 1.
 pub fn read(
     text: &str,
-    parse: impl Fn(&str) -> Result<Seen, String>,
+    parse: impl Fn(&str) -> Result<Record, String>,
     header: Result<Header, String>,
-) -> Result<Capture, CaptureError> {
-    let header = header.map_err(CaptureError::Header)?;
+) -> Result<CallLog, CallLogError> {
+    let header = header.map_err(CallLogError::Header)?;
     if header.mintstall_capture > VERSION {
-        return Err(CaptureError::Newer(header.mintstall_capture));
+        return Err(CallLogError::Newer(header.mintstall_capture));
     }
     let ends = text.ends_with('\n');
     let lines: Vec<&str> = text.lines().collect();
-    let (mut seen, mut last) = (Vec::new(), 0);
+    let (mut records, mut last) = (Vec::new(), 0);
     for (at, line) in lines.iter().enumerate().skip(1) {
         match parse(line) {
             Ok(one) if one.at() < last => {
-                return Err(CaptureError::Line {
+                return Err(CallLogError::Line {
                     line: at + 1,
                     why: "its time is before that of the line above".into(),
                 });
             }
             Ok(one) => {
                 last = one.at();
-                seen.push(one);
+                records.push(one);
             }
             // Cut in the middle by the end of its process.
             Err(_) if at + 1 == lines.len() && !ends => {}
-            Err(why) => return Err(CaptureError::Line { line: at + 1, why }),
+            Err(why) => return Err(CallLogError::Line { line: at + 1, why }),
         }
     }
-    let whole = matches!(seen.last(), Some(Seen::Closed { .. }));
-    Ok(Capture { header, seen, whole })
+    let complete = matches!(records.last(), Some(Record::Closed { .. }));
+    Ok(CallLog { header, records, complete })
 }
 
 #[cfg(test)]
@@ -130,12 +130,12 @@
     const HEADER: Header = Header { mintstall_capture: 1, exchange: 3, begun_ms: 5 };
 
     /// A plain form of the lines, for the tests of this file: kind and time.
-    fn parse(line: &str) -> Result<Seen, String> {
+    fn parse(line: &str) -> Result<Record, String> {
         let (kind, t) = line.split_once(' ').ok_or("no space")?;
         let t = t.parse().map_err(|error| format!("{error}"))?;
         match kind {
-            "closed" => Ok(Seen::Closed { t }),
-            "stands" => Ok(Seen::Stands { t, call: 1 }),
+            "closed" => Ok(Record::Closed { t }),
+            "stands" => Ok(Record::Stands { t, call: 1 }),
             other => Err(format!("no kind {other}")),
         }
     }
@@ -143,9 +143,9 @@
     #[test]
     fn a_file_cut_in_the_middle_is_read_up_to_there_and_said() {
         let whole = read("header\nstands 4\nclosed 9\n", parse, Ok(HEADER)).unwrap();
-        assert_eq!((whole.seen.len(), whole.whole), (2, true));
+        assert_eq!((whole.records.len(), whole.complete), (2, true));
         let cut = read("header\nstands 4\nsta", parse, Ok(HEADER)).unwrap();
-        assert_eq!((cut.seen.len(), cut.whole), (1, false));
+        assert_eq!((cut.records.len(), cut.complete), (1, false));
     }
 
     #[test]
@@ -157,6 +157,6 @@
             "line 3: its time is before that of the line above"
         );
         let newer = Header { mintstall_capture: 2, ..HEADER };
-        assert!(matches!(read("header\n", parse, Ok(newer)), Err(CaptureError::Newer(2))));
+        assert!(matches!(read("header\n", parse, Ok(newer)), Err(CallLogError::Newer(2))));
     }
 }
--- a/crates/planner/src/fleet.rs
+++ b/crates/planner/src/fleet.rs
@@ -108,7 +108,7 @@
 
 impl Fleet {
     /// Every fault, each with its place.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut say = |wrong: bool, place: String, why: String| {
             if wrong {
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -21,7 +21,8 @@
 pub mod traffic_matrix;
 
 pub use analysis::{
-    Compared, Limit, Lost, Saturates, Sized, compare, lose, saturate, size_groups, size_processors,
+    Bottleneck, Compared, Lost, SaturationPoint, Sized, compare, lose, saturation_points, size_groups,
+    size_processors,
 };
 pub use fleet::Fleet;
-pub use model::{Solution, Solved, solve};
+pub use model::{Equilibria, Solution, solve};
--- a/crates/planner/src/model.rs
+++ b/crates/planner/src/model.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use crate::fleet::Fleet;
-use crate::multirate::{Stream, balance};
+use crate::multirate::{Stream, kaufman_roberts};
 
 /// A group in balance.
 #[derive(Clone, Debug, PartialEq)]
@@ -51,11 +51,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Solved {
+pub struct Equilibria {
     /// From an empty fleet.
-    pub free: Solution,
+    pub low_blocking: Solution,
     /// From a full one, where that ends elsewhere: the fleet can be in either.
-    pub jammed: Option<Solution>,
+    pub high_blocking: Option<Solution>,
 }
 
 /// Rounds at most, and what counts as no move.
@@ -67,11 +67,11 @@
 const SAME: f64 = 1e-3;
 
 /// Works out a fleet without faults.
-pub fn solve(fleet: &Fleet) -> Solved {
-    let free = Model::new(fleet, 0.0).run();
+pub fn solve(fleet: &Fleet) -> Equilibria {
+    let low_blocking = Model::new(fleet, 0.0).run();
     let full = Model::new(fleet, 0.95).run();
-    let apart = (free.stood - full.stood).abs() > SAME;
-    Solved { free, jammed: apart.then_some(full) }
+    let apart = (low_blocking.stood - full.stood).abs() > SAME;
+    Equilibria { low_blocking, high_blocking: apart.then_some(full) }
 }
 
 struct Model<'a> {
@@ -259,7 +259,7 @@
             let first = types.iter().zip(&offered.first[place]);
             let first = first.map(|(of, load)| stream(*load, of.width, self.fleet.reserved));
             let streams: Vec<Stream> = direct.chain(first).collect();
-            let found = balance(group.circuits, &streams);
+            let found = kaufman_roberts(group.circuits, &streams);
             let (blocked, beyond) = found.blocked.split_at(types.len());
             group.blocked.iter_mut().zip(blocked).for_each(|(was, is)| step(was, *is));
             group.beyond.iter_mut().zip(beyond).for_each(|(was, is)| step(was, *is));
@@ -329,9 +329,9 @@
     fn one_group_alone_is_erlang_s_formula() {
         let solved = solve(&mesh(2, 31, 25.0));
         let erlang = crate::erlang::blocking(25.0, 31).unwrap();
-        assert!((solved.free.groups[0].blocked[0] - erlang).abs() < 1e-6);
-        assert!((solved.free.stood - (1.0 - erlang)).abs() < 1e-6);
-        assert_eq!((solved.jammed, solved.free.detours), (None, 0.0));
+        assert!((solved.low_blocking.groups[0].blocked[0] - erlang).abs() < 1e-6);
+        assert!((solved.low_blocking.stood - (1.0 - erlang)).abs() < 1e-6);
+        assert_eq!((solved.high_blocking, solved.low_blocking.detours), (None, 0.0));
     }
 
     #[test]
@@ -339,9 +339,13 @@
         let mut fleet = mesh(5, 31, 15.0);
         fleet.traffic.iter_mut().filter(|of| (of.from, of.to) == (1, 2)).for_each(|of| of.per_s = 5.0);
         let solved = solve(&fleet);
-        let direct = &solved.free.groups[0];
+        let direct = &solved.low_blocking.groups[0];
         assert!(direct.blocked[0] > 0.4, "{direct:?}");
-        assert!(solved.free.stood > 0.97 && solved.free.detours > 0.05, "{:?}", solved.free);
+        assert!(
+            solved.low_blocking.stood > 0.97 && solved.low_blocking.detours > 0.05,
+            "{:?}",
+            solved.low_blocking
+        );
     }
 
     #[test]
@@ -349,17 +353,21 @@
         let mut fleet = mesh(4, 31, 10.0);
         fleet.groups.remove(0);
         let solved = solve(&fleet);
-        assert!(solved.free.stood > 0.99 && solved.free.detours > 0.1, "{:?}", solved.free);
+        assert!(
+            solved.low_blocking.stood > 0.99 && solved.low_blocking.detours > 0.1,
+            "{:?}",
+            solved.low_blocking
+        );
         fleet.groups.clear();
-        assert_eq!(solve(&fleet).free.stood, 0.0);
+        assert_eq!(solve(&fleet).low_blocking.stood, 0.0);
     }
 
     #[test]
     fn redials_add_tries_and_help_some() {
-        let still = solve(&mesh(2, 31, 40.0)).free;
+        let still = solve(&mesh(2, 31, 40.0)).low_blocking;
         let mut fleet = mesh(2, 31, 40.0);
         fleet.redials = Redials { share: 0.9, most: 2 };
-        let again = solve(&fleet).free;
+        let again = solve(&fleet).low_blocking;
         assert!(
             again.tries > 1.3 && again.stood > still.stood,
             "{} tries, {} and {}",
@@ -376,7 +384,7 @@
         fleet.work = Work { look_ms: 0.0, set_up_ms: 100.0, answer_ms: 0.0, release_ms: 0.0 };
         // Each is offered 6 set-ups a second, 0.6 of its time; one is four times as slow, and takes 1 in 2.4.
         fleet.exchanges[2].speed = 0.25;
-        let solved = solve(&fleet).free;
+        let solved = solve(&fleet).low_blocking;
         assert!((solved.processors[2].load - 2.4).abs() < 0.01, "{:?}", solved.processors);
         // Its own callers wait for it likewise: the others are spared what it does not get to.
         assert!((solved.processors[0].load - (0.3 + 0.3 / 2.4)).abs() < 0.01, "{:?}", solved.processors);
@@ -390,7 +398,7 @@
             CallType { name: "call".into(), share: 0.95, width: 1, hold_s: 10.0 },
             CallType { name: "feed".into(), share: 0.05, width: 6, hold_s: 10.0 },
         ];
-        let solved = solve(&fleet).free;
+        let solved = solve(&fleet).low_blocking;
         assert!(solved.rounds.is_ok(), "{:?}", solved.rounds);
         assert!(solved.stood_by_type[1] < solved.stood_by_type[0] - 0.1, "{:?}", solved.stood_by_type);
     }
--- a/crates/planner/src/multirate.rs
+++ b/crates/planner/src/multirate.rs
@@ -24,7 +24,7 @@
 }
 
 /// A stream with no erlangs is told what a call of it would find.
-pub fn balance(circuits: u16, streams: &[Stream]) -> Balance {
+pub fn kaufman_roberts(circuits: u16, streams: &[Stream]) -> Balance {
     let size = usize::from(circuits);
     let mut share = vec![0.0; size + 1];
     share[0] = 1.0;
@@ -90,7 +90,7 @@
                 vec![stream(4.0, 1), stream(1.0, 3), stream(0.3, 4)],
             ] {
                 let (worked, counted) =
-                    (balance(circuits, &streams).blocked, by_counting(circuits, &streams));
+                    (kaufman_roberts(circuits, &streams).blocked, by_counting(circuits, &streams));
                 for (worked, counted) in worked.iter().zip(&counted) {
                     assert!((worked - counted).abs() < 1e-12, "{circuits}, {streams:?}: {worked}, {counted}");
                 }
@@ -101,7 +101,7 @@
     #[test]
     fn one_width_is_erlang_s_formula_up_to_thousands_of_circuits() {
         for (offered, circuits) in [(20.0, 31), (300.0, 310), (3900.0, 3968)] {
-            let worked = balance(circuits, &[stream(offered, 1)]);
+            let worked = kaufman_roberts(circuits, &[stream(offered, 1)]);
             let erlang = crate::erlang::blocking(offered, circuits.into()).unwrap();
             assert!((worked.blocked[0] - erlang).abs() < 1e-9);
             assert!((worked.taken - offered * (1.0 - erlang)).abs() < 1e-6 * offered);
@@ -110,16 +110,16 @@
 
     #[test]
     fn wide_calls_starve_behind_narrow_ones_unless_some_is_kept_for_them() {
-        let filled = balance(31, &[stream(30.0, 1), stream(0.5, 6)]);
+        let filled = kaufman_roberts(31, &[stream(30.0, 1), stream(0.5, 6)]);
         assert!(filled.blocked[1] > 3.0 * filled.blocked[0], "{filled:?}");
-        let kept = balance(31, &[Stream { leaves: 5, ..stream(30.0, 1) }, stream(0.5, 6)]);
+        let kept = kaufman_roberts(31, &[Stream { leaves: 5, ..stream(30.0, 1) }, stream(0.5, 6)]);
         assert!(kept.blocked[1] < filled.blocked[1] / 2.0 && kept.blocked[0] > filled.blocked[0], "{kept:?}");
     }
 
     #[test]
     fn what_never_fits_is_always_blocked() {
-        assert_eq!(balance(3, &[stream(1.0, 4)]).blocked, [1.0]);
-        assert_eq!(balance(0, &[stream(1.0, 1)]).blocked, [1.0]);
-        assert_eq!(balance(3, &[]).taken, 0.0);
+        assert_eq!(kaufman_roberts(3, &[stream(1.0, 4)]).blocked, [1.0]);
+        assert_eq!(kaufman_roberts(0, &[stream(1.0, 1)]).blocked, [1.0]);
+        assert_eq!(kaufman_roberts(3, &[]).taken, 0.0);
     }
 }
--- a/crates/planner/src/traffic_matrix.rs
+++ b/crates/planner/src/traffic_matrix.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::call_log::{Capture, Seen};
+use crate::call_log::{CallLog, Record};
 
 /// A rate or time, and the range in which it lies with a probability of 0.95.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,7 +19,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Measured {
+pub struct TrafficMatrix {
     /// First tries a second, by where from, where to, call type.
     pub first_tries: BTreeMap<(u16, u16, u8), Estimate>,
     /// Seconds, by call type.
@@ -58,88 +58,88 @@
 }
 
 /// `wanted`: exchanges that should have a file.
-pub fn measure(captures: &[Capture], wanted: &[u16]) -> Measured {
-    let mut measured = Measured::default();
+pub fn estimate(logs: &[CallLog], wanted: &[u16]) -> TrafficMatrix {
+    let mut matrix = TrafficMatrix::default();
     let mut counts: BTreeMap<(u16, u16, u8), u64> = BTreeMap::new();
     let mut holding: BTreeMap<u8, Holding> = BTreeMap::new();
     let mut again: BTreeMap<u16, (u64, u64)> = BTreeMap::new();
-    for capture in captures {
-        let from = capture.header.exchange;
-        let mut looked_ms = capture.seen.last().map_or(0, Seen::at);
+    for log in logs {
+        let from = log.header.exchange;
+        let mut looked_ms = log.records.last().map_or(0, Record::at);
         // Type of each call, and when it began to stand. Emptied as calls end.
         let mut calls: BTreeMap<u64, (u8, Option<u64>)> = BTreeMap::new();
         let (redials, lost) = again.entry(from).or_default();
-        for seen in &capture.seen {
-            match *seen {
-                Seen::Offer { call, dest, kind, redial, cut, .. } => {
+        for record in &log.records {
+            match *record {
+                Record::Offer { call, dest, kind, redial, cut, .. } => {
                     calls.insert(call, (kind, None));
                     *redials += u64::from(redial);
                     if !redial && !cut {
                         *counts.entry((from, dest, kind)).or_default() += 1;
                     }
                 }
-                Seen::Stands { t, call } => {
+                Record::Stands { t, call } => {
                     if let Some((_, stands)) = calls.get_mut(&call) {
                         *stands = Some(t);
                     }
                 }
-                Seen::Not { call, .. } => {
+                Record::Not { call, .. } => {
                     calls.remove(&call);
                     *lost += 1;
                 }
-                Seen::Ended { t, call } => {
+                Record::Ended { t, call } => {
                     if let Some((kind, Some(since))) = calls.remove(&call) {
                         let holding = holding.entry(kind).or_default();
                         holding.stood_s += t.saturating_sub(since) as f64 / 1e3;
                         holding.ends += 1;
                     }
                 }
-                Seen::Gap { t, since } => {
+                Record::Gap { t, since } => {
                     // What happened to calls meanwhile is not known: none of them tells of its holding time.
                     calls.clear();
                     looked_ms = looked_ms.saturating_sub(t.saturating_sub(since));
-                    measured.missing.push(format!(
+                    matrix.missing.push(format!(
                         "exchange {from}: nothing written from {:.1} to {:.1} s",
                         since as f64 / 1e3,
                         t as f64 / 1e3
                     ));
                 }
-                Seen::Closed { .. } => {}
+                Record::Closed { .. } => {}
             }
         }
-        let end = capture.seen.last().map_or(0, Seen::at);
+        let end = log.records.last().map_or(0, Record::at);
         for (kind, stands) in calls.into_values() {
             if let Some(since) = stands {
                 holding.entry(kind).or_default().stood_s += end.saturating_sub(since) as f64 / 1e3;
             }
         }
-        if !capture.whole {
-            measured.missing.push(format!(
+        if !log.complete {
+            matrix.missing.push(format!(
                 "exchange {from}: its file ends at {:.1} s without being closed",
                 end as f64 / 1e3
             ));
         }
-        *measured.looked.entry(from).or_default() += looked_ms as f64 / 1e3;
+        *matrix.looked.entry(from).or_default() += looked_ms as f64 / 1e3;
     }
-    for no in wanted.iter().filter(|no| !measured.looked.contains_key(no)) {
-        measured.missing.push(format!("exchange {no}: no file; what it offers is not known"));
+    for no in wanted.iter().filter(|no| !matrix.looked.contains_key(no)) {
+        matrix.missing.push(format!("exchange {no}: no file; what it offers is not known"));
     }
     for ((from, to, kind), count) in counts {
-        let seconds = measured.looked.get(&from).copied().unwrap_or(0.0);
-        measured.first_tries.insert((from, to, kind), rate(count, seconds));
+        let seconds = matrix.looked.get(&from).copied().unwrap_or(0.0);
+        matrix.first_tries.insert((from, to, kind), rate(count, seconds));
     }
     for (kind, Holding { stood_s, ends }) in holding {
         // The mean is time over ends; its range is that of the ends in that time, turned over.
         let (low, high) = poisson(ends);
         let over = |ends: f64| if ends > 0.0 { stood_s / ends } else { f64::INFINITY };
         let estimate = Estimate { value: over(ends as f64), low: over(high), high: over(low), count: ends };
-        measured.holding.insert(kind, estimate);
+        matrix.holding.insert(kind, estimate);
     }
     let share = |(from, (redials, lost)): (u16, (u64, u64))| {
         Some((from, redials as f64 / lost as f64)).filter(|_| lost > 0)
     };
-    measured.redials = again.into_iter().filter_map(share).collect();
-    measured
+    matrix.redials = again.into_iter().filter_map(share).collect();
+    matrix
 }
 
 #[cfg(test)]
@@ -147,65 +147,65 @@
     use super::*;
     use crate::call_log::Header;
 
-    fn capture(exchange: u16, seen: Vec<Seen>) -> Capture {
-        let whole = matches!(seen.last(), Some(Seen::Closed { .. }));
-        Capture { header: Header { mintstall_capture: 1, exchange, begun_ms: 0 }, seen, whole }
+    fn log(exchange: u16, records: Vec<Record>) -> CallLog {
+        let complete = matches!(records.last(), Some(Record::Closed { .. }));
+        CallLog { header: Header { mintstall_capture: 1, exchange, begun_ms: 0 }, records, complete }
     }
 
-    fn offer(t: u64, call: u64, redial: bool) -> Seen {
-        Seen::Offer { t, call, dest: 2, kind: 0, redial, cut: false }
+    fn offer(t: u64, call: u64, redial: bool) -> Record {
+        Record::Offer { t, call, dest: 2, kind: 0, redial, cut: false }
     }
 
     #[test]
     fn redials_are_folded_into_first_tries_and_lost_calls_are_in() {
-        let mut seen = Vec::new();
+        let mut records = Vec::new();
         for no in 0..100 {
             // Each is lost at first, and dialled again half of the time.
-            seen.push(offer(no * 100, 2 * no, false));
-            seen.push(Seen::Not { t: no * 100 + 10, call: 2 * no });
+            records.push(offer(no * 100, 2 * no, false));
+            records.push(Record::Not { t: no * 100 + 10, call: 2 * no });
             if no % 2 == 0 {
-                seen.push(offer(no * 100 + 50, 2 * no + 1, true));
-                seen.push(Seen::Stands { t: no * 100 + 60, call: 2 * no + 1 });
+                records.push(offer(no * 100 + 50, 2 * no + 1, true));
+                records.push(Record::Stands { t: no * 100 + 60, call: 2 * no + 1 });
             }
         }
-        seen.push(Seen::Closed { t: 10_000 });
-        let measured = measure(&[capture(1, seen)], &[1]);
-        let rate = measured.first_tries[&(1, 2, 0)];
+        records.push(Record::Closed { t: 10_000 });
+        let matrix = estimate(&[log(1, records)], &[1]);
+        let rate = matrix.first_tries[&(1, 2, 0)];
         assert_eq!((rate.value, rate.count), (10.0, 100));
         // Garwood's exact range for 100 events: 81.36 to 121.63.
         assert!((rate.low - 8.136).abs() < 0.01 && (rate.high - 12.163).abs() < 0.01, "{rate:?}");
-        assert_eq!((measured.redials[&1], measured.missing), (0.5, vec![]));
+        assert_eq!((matrix.redials[&1], matrix.missing), (0.5, vec![]));
     }
 
     #[test]
     fn calls_that_still_stand_count_with_what_they_have_stood() {
         // Two ended after 4 s each; two stand since 16 s: 40 s of standing, two ends.
-        let mut seen = Vec::new();
-        (0..4).for_each(|call| seen.push(offer(0, call, false)));
-        (0..4).for_each(|call| seen.push(Seen::Stands { t: 0, call }));
-        seen.extend([
-            Seen::Ended { t: 4000, call: 0 },
-            Seen::Ended { t: 4000, call: 1 },
-            Seen::Closed { t: 16_000 },
+        let mut records = Vec::new();
+        (0..4).for_each(|call| records.push(offer(0, call, false)));
+        (0..4).for_each(|call| records.push(Record::Stands { t: 0, call }));
+        records.extend([
+            Record::Ended { t: 4000, call: 0 },
+            Record::Ended { t: 4000, call: 1 },
+            Record::Closed { t: 16_000 },
         ]);
-        let holding = measure(&[capture(1, seen)], &[]).holding[&0];
+        let holding = estimate(&[log(1, records)], &[]).holding[&0];
         assert_eq!((holding.value, holding.count), (20.0, 2));
         assert!(holding.low < 8.0 && holding.high > 80.0, "{holding:?}");
     }
 
     #[test]
     fn gaps_cut_files_and_missing_exchanges_are_said_and_not_guessed_over() {
-        let seen = vec![
+        let records = vec![
             offer(0, 1, false),
-            Seen::Gap { t: 9_000, since: 1_000 },
+            Record::Gap { t: 9_000, since: 1_000 },
             offer(9_500, 2, false),
             offer(10_000, 3, false),
         ];
-        let measured = measure(&[capture(1, seen)], &[1, 2]);
-        assert_eq!(measured.looked[&1], 2.0);
-        assert_eq!(measured.first_tries[&(1, 2, 0)].value, 1.5);
-        assert_eq!(measured.missing.len(), 3, "{:?}", measured.missing);
-        assert!(measured.missing[2].contains("exchange 2: no file"));
+        let matrix = estimate(&[log(1, records)], &[1, 2]);
+        assert_eq!(matrix.looked[&1], 2.0);
+        assert_eq!(matrix.first_tries[&(1, 2, 0)].value, 1.5);
+        assert_eq!(matrix.missing.len(), 3, "{:?}", matrix.missing);
+        assert!(matrix.missing[2].contains("exchange 2: no file"));
     }
 
     #[test]
