--- a/crates/callcontrol/src/audit.rs
+++ b/crates/callcontrol/src/audit.rs
@@ -73,10 +73,10 @@
             return;
         };
         let audit = self.desk.audits.entry(to).or_default();
-        audit.system = (audit.system + 1) % size.div_ceil(Cic::SYSTEM);
-        let first = audit.system * Cic::SYSTEM;
-        let count = (size - first).min(Cic::SYSTEM) as u8;
-        self.send(to, Cic::at(first), Body::Cqm { count });
+        audit.system = (audit.system + 1) % size.div_ceil(Cic::PER_SYSTEM);
+        let first = audit.system * Cic::PER_SYSTEM;
+        let count = (size - first).min(Cic::PER_SYSTEM) as u8;
+        self.send(to, Cic::from_index(first), Body::Cqm { count });
     }
 
     /// The far end says what it holds of each circuit.
--- a/crates/callcontrol/src/callcontrol.rs
+++ b/crates/callcontrol/src/callcontrol.rs
@@ -10,7 +10,8 @@
 };
 use mintstall::random::MwcRng;
 use mintstall_isup::{
-    Body, CauseIndicators, Cic, Frame, Identity, Location, Number, Q850, RangeStatus, Rel, Report,
+    Body, CallIdentity, CauseIndicators, Cic, Frame, Location, Number, ProcessorReport, Q850, RangeStatus,
+    Rel,
 };
 
 use crate::actions::{Answer, CallControlActions, CallEnd};
@@ -178,7 +179,7 @@
     }
 
     /// What the own processor says of itself; goes along with the next answers.
-    pub fn processor(&mut self, report: Report) {
+    pub fn processor(&mut self, report: ProcessorReport) {
         self.desk.report = Some(report);
     }
 
@@ -211,8 +212,8 @@
             w.desk.tally.offered += 1;
             let full = w.desk.calls.len() >= w.desk.max_calls;
             w.desk.tally.overflow += u64::from(full);
-            let called = Number::empty().then(order.dest.0.into(), OFFICE_DIGITS);
-            let called = called.and_then(|office| office.then(order.dialled.0, 1));
+            let called = Number::empty().append_decimal(order.dest.0.into(), OFFICE_DIGITS);
+            let called = called.and_then(|office| office.append_decimal(order.dialled.0, 1));
             let width = w.desk.widths.get(usize::from(order.call_type.0)).copied();
             let until = now.saturating_add(order.left).saturating_sub(ANSWER_MARGIN);
             let (Some(called), Some(width)) = (called.filter(|_| !closing && !full && until > now), width)
@@ -220,13 +221,13 @@
                 w.desk.tally.refused += 1;
                 return w.plant.answer(call, Answer::Refused { retry_after: Duration::ZERO });
             };
-            let identity = Identity {
+            let identity = CallIdentity {
                 origin: w.desk.own.0,
                 call: call.0,
                 seizure: 0,
                 call_type: order.call_type.0,
                 customer: order.customer.0,
-                left_ms: 0,
+                time_left_ms: 0,
                 cut: order.cut,
                 redial: order.redial,
             };
@@ -468,7 +469,7 @@
             .and_then(|group| group.get(held.first()))
             .is_some_and(|circuit| circuit.used.call().is_some());
         if taken {
-            self.release_held(held, Rel { other: Vec::new(), ..rel.clone() });
+            self.release_held(held, Rel { unknown_parameters: Vec::new(), ..rel.clone() });
         }
     }
 
@@ -528,21 +529,21 @@
                 self.plant.note(&format!(
                     "exchange {}: circuit {} not released in {:?}, reset",
                     to.0,
-                    Cic::at(index).0,
+                    Cic::from_index(index).0,
                     t.t5
                 ));
                 self.reset_held(&held);
             }
             CircuitUse::Releasing { since, .. } => {
                 self.desk.tally.releases_repeated += 1;
-                self.send(to, Cic::at(index), Body::Rel(normal(Location::Local)));
+                self.send(to, Cic::from_index(index), Body::Rel(normal(Location::Local)));
                 // The last of these is past T5, and apart from those of others.
                 let again = now + self.desk.with_jitter(t.t1);
                 let timer = self.desk.timers.set(again, Timer::Circuit(to, index));
                 self.put_first(&held, CircuitUse::Releasing { since, timer });
             }
             CircuitUse::Resetting { .. } => {
-                self.send(to, Cic::at(index), Body::Rsc);
+                self.send(to, Cic::from_index(index), Body::Rsc);
                 let timer = Some(self.reset_timer(to, index, t.t17));
                 self.put_first(&held, CircuitUse::Resetting { timer });
             }
@@ -576,7 +577,7 @@
     /// Blocks or unblocks circuits at the far end, a message a system (Q.763 clause 3.13: hardware failure).
     pub fn tell_blocked(&mut self, to: ExchangeNumber, indices: &[u16], blocked: bool) {
         const HARDWARE: u8 = 1;
-        for system in indices.chunk_by(|a, b| a / Cic::SYSTEM == b / Cic::SYSTEM) {
+        for system in indices.chunk_by(|a, b| a / Cic::PER_SYSTEM == b / Cic::PER_SYSTEM) {
             let (first, last) = (system[0], system[system.len() - 1]);
             let status = system.iter().fold(0u32, |bits, index| bits | 1 << (index - first));
             let range = RangeStatus { count: (last - first + 1) as u8, status };
@@ -584,7 +585,7 @@
                 true => Body::Cgb { kind: HARDWARE, range },
                 false => Body::Cgu { kind: HARDWARE, range },
             };
-            self.send(to, Cic::at(first), body);
+            self.send(to, Cic::from_index(first), body);
         }
     }
 
@@ -626,7 +627,7 @@
             LocalAspState::Active => {
                 link.unanswered += 1;
                 link.timer = Some(self.desk.timers.set(self.now + beat, Timer::Link(to)));
-                self.send_frame(to, Frame::Beat(b"mintstal"));
+                self.send_frame(to, Frame::Heartbeat(b"mintstal"));
             }
         }
     }
@@ -645,7 +646,7 @@
         let blocked: Vec<_> = group.all().filter(|(_, c)| c.blocked.here()).map(|(index, _)| index).collect();
         match cleared {
             Cleared::NotYet => {
-                let firsts: Vec<u16> = (0..group.size()).step_by(usize::from(Cic::SYSTEM)).collect();
+                let firsts: Vec<u16> = (0..group.size()).step_by(usize::from(Cic::PER_SYSTEM)).collect();
                 firsts.into_iter().for_each(|index| self.reset_system(to, index, self.desk.t.t22));
             }
             Cleared::Asked => {
@@ -654,7 +655,7 @@
                     match used {
                         CircuitUse::Resetting { timer: None } => {
                             let timer = Some(self.reset_timer(to, index, self.desk.t.t16));
-                            self.send(to, Cic::at(index), Body::Rsc);
+                            self.send(to, Cic::from_index(index), Body::Rsc);
                             let indices = self.desk.groups.get(&to).map(|group| group.together(index));
                             indices.iter().for_each(|indices| {
                                 self.put_first(
@@ -664,7 +665,7 @@
                             });
                         }
                         CircuitUse::Releasing { .. } => {
-                            self.send(to, Cic::at(index), Body::Rel(normal(Location::Local)));
+                            self.send(to, Cic::from_index(index), Body::Rel(normal(Location::Local)));
                         }
                         _ => {}
                     }
@@ -679,7 +680,7 @@
     /// Resets all circuits of a system that carry nothing; again after a while if it is not acknowledged.
     fn reset_system(&mut self, to: ExchangeNumber, first: u16, again: Duration) {
         let Some(group) = self.desk.groups.get_mut(&to) else { return };
-        let end = (first + Cic::SYSTEM).min(group.size());
+        let end = (first + Cic::PER_SYSTEM).min(group.size());
         let waiting = |used| matches!(used, CircuitUse::Idle | CircuitUse::Resetting { timer: None });
         let open: Vec<_> =
             (first..end).filter(|index| group.get(*index).is_some_and(|c| waiting(c.used))).collect();
@@ -696,7 +697,7 @@
         self.desk.tally.resets += 1;
         let again = self.desk.with_jitter(again);
         self.desk.timers.set(self.now + again, Timer::GroupReset(to, first));
-        self.send(to, Cic::at(first), Body::Grs { count: (end - first) as u8 });
+        self.send(to, Cic::from_index(first), Body::Grs { count: (end - first) as u8 });
     }
 }
 
--- a/crates/callcontrol/src/calls.rs
+++ b/crates/callcontrol/src/calls.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mintstall::interface::{Cause, ExchangeId, ExchangeNumber, SeizureNumber};
-use mintstall_isup::{Identity, Number};
+use mintstall_isup::{CallIdentity, Number};
 
 use crate::circuits::CircuitUse;
 use crate::context::EventContext;
@@ -68,7 +68,7 @@
 pub(crate) struct CallRecord {
     pub source: IncomingSide,
     pub sink: OutgoingSide,
-    pub identity: Identity,
+    pub identity: CallIdentity,
     pub called: Number,
     pub dialled: u64,
     pub dest: ExchangeNumber,
--- a/crates/callcontrol/src/circuits.rs
+++ b/crates/callcontrol/src/circuits.rs
@@ -96,7 +96,7 @@
     pub fn new(own: ExchangeNumber, to: ExchangeNumber, count: u16) -> Self {
         let circuit = Circuit { used: CircuitUse::Idle, blocked: Blocking::Open, turns: 0 };
         let mut group = Self {
-            circuits: vec![circuit; usize::from(count.min(Cic::IN_GROUP))],
+            circuits: vec![circuit; usize::from(count.min(Cic::MAX_PER_GROUP))],
             controls_even: own > to,
             free_own: BTreeSet::new(),
             free_other: BTreeSet::new(),
@@ -128,7 +128,7 @@
 
     /// The place of a circuit that this group has.
     pub fn index_of(&self, cic: Cic) -> Option<u16> {
-        cic.place().filter(|index| *index < self.size())
+        cic.index().filter(|index| *index < self.size())
     }
 
     pub fn put(&mut self, index: u16, used: CircuitUse) {
@@ -159,7 +159,7 @@
 
     /// Whether this exchange prevails on a circuit that both ends seize at once.
     pub fn controls(&self, index: u16) -> bool {
-        Cic::at(index).0.is_multiple_of(2) == self.controls_even
+        Cic::from_index(index).0.is_multiple_of(2) == self.controls_even
     }
 
     /// The circuits for a call, none taken yet: the lowest free one that is controlled here, else the highest of the
@@ -170,9 +170,9 @@
             let index = self.free_own.first().or(self.free_other.last())?;
             return Some(vec![*index]);
         }
-        let systems = self.size().div_ceil(Cic::SYSTEM);
+        let systems = self.size().div_ceil(Cic::PER_SYSTEM);
         let free_in = |system: u16| {
-            let indices = system * Cic::SYSTEM..(system + 1) * Cic::SYSTEM;
+            let indices = system * Cic::PER_SYSTEM..(system + 1) * Cic::PER_SYSTEM;
             let own = self.free_own.range(indices.clone()).copied();
             own.chain(self.free_other.range(indices).rev().copied()).collect::<Vec<_>>()
         };
@@ -185,11 +185,11 @@
 
     /// A circuit and those let go along with it.
     pub fn together(&self, first: u16) -> Vec<u16> {
-        let system = first / Cic::SYSTEM * Cic::SYSTEM;
+        let system = first / Cic::PER_SYSTEM * Cic::PER_SYSTEM;
         let along = |index: &u16| {
             self.get(*index).is_some_and(|circuit| circuit.used == CircuitUse::ReleasedWith(first))
         };
-        std::iter::once(first).chain((system..system + Cic::SYSTEM).filter(along)).collect()
+        std::iter::once(first).chain((system..system + Cic::PER_SYSTEM).filter(along)).collect()
     }
 
     /// What is said of a circuit to a query (Q.764 clause 2.8.3).
--- a/crates/callcontrol/src/config.rs
+++ b/crates/callcontrol/src/config.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupConfig {
     pub to: ExchangeNumber,
-    /// Circuits, at most [`mintstall_isup::Cic::IN_GROUP`].
+    /// Circuits, at most [`mintstall_isup::Cic::MAX_PER_GROUP`].
     pub circuits: u16,
 }
 
--- a/crates/callcontrol/tests/common/mod.rs
+++ b/crates/callcontrol/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 use mintstall::interface::*;
 use mintstall_callcontrol::*;
-use mintstall_isup::{Data, Deframer, Frame, Message};
+use mintstall_isup::{Deframer, Frame, Message, ProtocolData};
 
 #[derive(Default)]
 pub struct Wires {
@@ -218,7 +218,9 @@
     deframer.push(octets);
     let frame = deframer.next().ok()??.to_vec();
     match Frame::read(&frame).ok()? {
-        Frame::Data(Data { user, .. }) => Message::read(user).ok().map(|message| message.name().to_string()),
+        Frame::Data(ProtocolData { user, .. }) => {
+            Message::read(user).ok().map(|message| message.name().to_string())
+        }
         _ => None,
     }
 }
