--- a/crates/benchlink/src/switchroom.rs
+++ b/crates/benchlink/src/switchroom.rs
@@ -11,7 +11,7 @@
     Report, RosterLine, SeizureNo, Standing, Stood, Zone,
 };
 
-use mintstall_settings::{ReportLayout, from_lines};
+use mintstall_settings::{LoadReportLayout, from_lines};
 
 use crate::frames::{BadFrame, Fields, Read, Record, bad};
 
@@ -66,7 +66,7 @@
 
 struct Instance {
     controller: Controller,
-    layout: ReportLayout,
+    layout: LoadReportLayout,
 }
 
 #[derive(Default)]
@@ -114,13 +114,13 @@
     Ok((number, lines))
 }
 
-fn report(fields: &mut Fields, layout: &ReportLayout) -> Read<Report> {
+fn report(fields: &mut Fields, layout: &LoadReportLayout) -> Read<Report> {
     let mut values = [0.0; u8::MAX as usize];
     let count = usize::from(fields.u8()?);
     for value in &mut values[..count] {
         *value = fields.f32()?;
     }
-    Ok(layout.report(values[..count].iter().copied()))
+    Ok(layout.positional_report(values[..count].iter().copied()))
 }
 
 /// A number that the wire carries as a float; those below nought mean none.
@@ -204,9 +204,9 @@
         if code == 0 {
             let seed = f.u64()?;
             let length = f.u32()? as usize;
-            let trade = from_lines(f.take(length)?).map_err(|error| BadFrame(error.0))?;
-            let controller = Controller::new(&trade.office, seed);
-            self.instances.insert(number, Instance { controller, layout: trade.reports });
+            let settings = from_lines(f.take(length)?).map_err(|error| BadFrame(error.0))?;
+            let controller = Controller::new(&settings.controller, seed);
+            self.instances.insert(number, Instance { controller, layout: settings.reports });
             return Ok(());
         }
         if code == 9 {
@@ -231,7 +231,7 @@
 /// Tells one controller one thing.
 fn tell(
     controller: &mut Controller,
-    layout: &ReportLayout,
+    layout: &LoadReportLayout,
     rosters: &HashMap<u16, Vec<RosterLine>>,
     now: Duration,
     code: u8,
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -120,7 +120,7 @@
     fn connect(&self) -> Caller {
         let stream = TcpStream::connect(self.callers).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Caller { stream, cutter: sip::Cutter::default() }
+        Caller { stream, cutter: sip::Decoder::default() }
     }
 }
 
@@ -135,7 +135,7 @@
 
 struct Caller {
     stream: TcpStream,
-    cutter: sip::Cutter,
+    cutter: sip::Decoder,
 }
 
 impl Caller {
@@ -148,8 +148,8 @@
         loop {
             if let Some(message) = self.cutter.next_message().unwrap() {
                 let what = match message.start {
-                    sip::Start::Response { status } => status.to_string(),
-                    sip::Start::Request { method, .. } => method.to_string(),
+                    sip::StartLine::Response { status } => status.to_string(),
+                    sip::StartLine::Request { method, .. } => method.to_string(),
                 };
                 return Some((what, String::from_utf8_lossy(message.body).to_string()));
             }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use mintstall_settings::{BadSettings, Trade, from_json};
+use mintstall_settings::{Settings, SettingsError, from_json};
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
@@ -17,7 +17,7 @@
     #[error("{path}: {error}")]
     Json { path: PathBuf, error: serde_json::Error },
     #[error("{path}: {error}")]
-    Settings { path: PathBuf, error: BadSettings },
+    Settings { path: PathBuf, error: SettingsError },
     #[error("{path}: seed: {seed:?} is no number of up to 16 hex digits")]
     Seed { path: PathBuf, seed: String },
     #[error("{path}: known: no event holds the whole list of exchanges")]
@@ -64,7 +64,7 @@
     /// The events of the start, and the number of the last.
     pub known: Vec<Event>,
     pub last: u64,
-    pub trade: Trade,
+    pub settings: Settings,
 }
 
 impl Config {
@@ -79,7 +79,8 @@
             serde_json::from_slice(octets).map_err(|error| ConfigError::Json { path: at(), error })?;
         let seed = u64::from_str_radix(&file.seed, 16);
         let seed = seed.map_err(|_| ConfigError::Seed { path: at(), seed: file.seed.clone() })?;
-        let trade = from_json(&file.settings).map_err(|error| ConfigError::Settings { path: at(), error })?;
+        let settings =
+            from_json(&file.settings).map_err(|error| ConfigError::Settings { path: at(), error })?;
         if file.limits.sockets < LEAST_SOCKETS {
             return Err(ConfigError::Limits { path: at(), what: "sockets: fewer than 64" });
         }
@@ -95,7 +96,7 @@
             sockets: file.limits.sockets,
             known: file.known.batch,
             last: file.known.offset,
-            trade,
+            settings,
         })
     }
 }
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -12,7 +12,7 @@
 
 use mintstall::Controller;
 use mintstall::host::{CallId, ExchangeId};
-use mintstall_settings::Trade;
+use mintstall_settings::Settings;
 
 use self::shutdown::Shutdown;
 use crate::bus::Bus;
@@ -65,7 +65,7 @@
 pub struct Core {
     controller: Controller,
     desk: Desk,
-    trade: Trade,
+    settings: Settings,
     bus: Bus,
     bus_at: SocketAddr,
     bus_state: BusState,
@@ -82,12 +82,13 @@
 impl Core {
     /// `now` is the span since the Unix epoch. Dials the bus and every exchange.
     pub fn new(config: &Config, now: Duration, port: &mut dyn Port) -> Self {
-        let trade = config.trade.clone();
-        let dial_within = if trade.dial_within.is_zero() { BUS_DIAL } else { trade.dial_within };
+        let settings = config.settings.clone();
+        let connect_timeout =
+            if settings.connect_timeout.is_zero() { BUS_DIAL } else { settings.connect_timeout };
         let mut core = Self {
-            controller: Controller::new(&trade.office, config.seed),
-            desk: Desk::new(now, config.seed, config.sockets / 4, dial_within),
-            trade,
+            controller: Controller::new(&settings.controller, config.seed),
+            desk: Desk::new(now, config.seed, config.sockets / 4, connect_timeout),
+            settings,
             bus: Bus::new(config.last),
             bus_at: config.bus,
             bus_state: BusState::Down,
--- a/crates/platform/src/core/callers.rs
+++ b/crates/platform/src/core/callers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mintstall::host::{CallId, Cause, Ended, Offer, SeizureNo};
-use mintstall_sip::{self as sip, Message, Start};
+use mintstall_sip::{self as sip, Message, StartLine};
 
 use super::shutdown::Shutdown;
 use super::{Core, MOST_HELD, MOST_OPEN, MOST_STANDING};
@@ -34,7 +34,7 @@
                     self.fail_open_calls(port, no);
                     let mut answer = Vec::new();
                     let why = [("Warning", &*spoilt.to_string())];
-                    sip::write_response(&mut answer, spoilt.status(), &why, b"");
+                    sip::encode_response(&mut answer, spoilt.status(), &why, b"");
                     port.say(no, &answer);
                     self.close_caller(port, no, CallerClose::Malformed);
                     break;
@@ -46,7 +46,7 @@
             }
         }
         if let Some(caller) = self.desk.callers.get_mut(&no) {
-            caller.half = if cutter.half() { caller.half.or(Some(now)) } else { None };
+            caller.half = if cutter.has_partial() { caller.half.or(Some(now)) } else { None };
             caller.cutter = cutter;
         }
         self.settle(port);
@@ -87,7 +87,7 @@
 
     pub(super) fn message(&mut self, port: &mut dyn Port, no: CallerNo, message: &Message) {
         match message.start {
-            Start::Request { method, .. } => {
+            StartLine::Request { method, .. } => {
                 if method != "INVITE" {
                     self.usual(port, no);
                 }
@@ -103,7 +103,7 @@
                     _ => reply(port, no, message, 405, ""),
                 }
             }
-            Start::Response { .. } => {
+            StartLine::Response { .. } => {
                 if let (Some((_, "BYE")), Some(id)) =
                     (message.cseq(), message.header("Call-ID").and_then(WireId::read))
                 {
@@ -123,7 +123,7 @@
     }
 
     pub(super) fn invite(&mut self, port: &mut dyn Port, no: CallerNo, message: &Message) {
-        let wish = match offer::read(message, &self.trade) {
+        let wish = match offer::read(message, &self.settings) {
             Ok(wish) if message.cseq().is_some() => wish,
             Ok(_) => return reply(port, no, message, 400, "CSeq is missing"),
             Err(refusal) => return reply(port, no, message, 400, &refusal.to_string()),
@@ -260,6 +260,6 @@
         headers.push(("Warning", why));
     }
     let mut octets = Vec::new();
-    sip::write_response(&mut octets, status, &headers, b"");
+    sip::encode_response(&mut octets, status, &headers, b"");
     port.say(no, &octets);
 }
--- a/crates/platform/src/core/discovery.rs
+++ b/crates/platform/src/core/discovery.rs
@@ -82,7 +82,7 @@
 
     /// A topology as the decisions read it; exchanges that are new get their number.
     pub(super) fn lines(&mut self, topology: &Topology) -> Vec<RosterLine> {
-        let zones = &self.trade.zones;
+        let zones = &self.settings.zones;
         let mut lines = Vec::new();
         for target in &topology.targets {
             let zone = zones.iter().position(|zone| **zone == *target.az);
@@ -115,7 +115,7 @@
         let mut ended = Vec::new();
         for (line, target) in lines.iter().zip(&topology.targets) {
             // Calls to the own exchange are not set up over the platform.
-            if Some(line.office) == self.trade.office.own {
+            if Some(line.office) == self.settings.controller.own {
                 continue;
             }
             let fresh = RemoteExchange {
--- a/crates/platform/src/core/exchanges.rs
+++ b/crates/platform/src/core/exchanges.rs
@@ -95,7 +95,7 @@
             Kind::Answer => self.answered(port, no, exchange, message),
             Kind::Release => self.released(port, no, exchange, message),
             Kind::State if self.desk.first_up(exchange) != Some(no) => {
-                let told = message.report.and_then(|text| self.trade.reports.named_report(text));
+                let told = message.report.and_then(|text| self.settings.reports.parse_named(text));
                 self.desk.links.entry(no).and_modify(|link| link.state_told = told.or(link.state_told));
             }
             Kind::State | Kind::TestResult => self.report(port, exchange, message.report),
@@ -105,7 +105,7 @@
     }
 
     pub(super) fn report(&mut self, port: &mut dyn Port, exchange: ExchangeId, text: Option<&str>) {
-        let report = text.and_then(|text| self.trade.reports.named_report(text));
+        let report = text.and_then(|text| self.settings.reports.parse_named(text));
         port.detail(format_args!("exchange {} reports {text:?}", exchange.0));
         if let Some(report) = report {
             self.end_calls_of_former_process(port, exchange, &report);
--- a/crates/platform/src/core/leases.rs
+++ b/crates/platform/src/core/leases.rs
@@ -20,7 +20,7 @@
             let quiet = self.desk.now.saturating_sub(remote.lease.last_heard());
             match remote.lease.check(self.desk.now, holder) {
                 Check::Valid => {}
-                Check::SendHeartbeat if self.trade.may_probe => {
+                Check::SendHeartbeat if self.settings.may_probe => {
                     port.detail(format_args!("exchange {} quiet for {quiet:?}: heartbeat", exchange.0));
                     self.desk.send_heartbeat(port, exchange);
                 }
@@ -48,7 +48,7 @@
             Some(link) => self.desk.drain_link(port, link),
             None => self.desk.maintain_pool(port, exchange),
         }
-        if self.trade.may_probe {
+        if self.settings.may_probe {
             self.desk.send_heartbeat(port, exchange);
         }
     }
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -44,7 +44,7 @@
         if self.shutdown != Shutdown::NotAsked {
             return;
         }
-        let deadlines = self.trade.office.call_types.iter().map(|of| of.guard_time);
+        let deadlines = self.settings.controller.call_types.iter().map(|of| of.guard_time);
         let longest = deadlines.max().unwrap_or_default().clamp(SERVED_FOR, LONGEST_DEADLINE_COUNTED);
         let lasts = longest + ANSWERED_AFTER_DEADLINE;
         port.note(&format!(
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -124,7 +124,7 @@
 /// One connection of a caller.
 #[derive(Debug)]
 pub struct Caller {
-    pub cutter: sip::Cutter,
+    pub cutter: sip::Decoder,
     pub open: BTreeSet<CallId>,
     pub heard: Duration,
     /// Since when a message has come in part, or nothing at all.
@@ -219,13 +219,13 @@
     /// Whether the process ends, and dials no further links.
     pub links_closed: bool,
     pub links_budget: usize,
-    pub dial_within: Duration,
+    pub connect_timeout: Duration,
     chance: Chance,
     next: u64,
 }
 
 impl Desk {
-    pub fn new(now: Duration, seed: u64, links_budget: usize, dial_within: Duration) -> Self {
+    pub fn new(now: Duration, seed: u64, links_budget: usize, connect_timeout: Duration) -> Self {
         Self {
             now,
             calls: BTreeMap::new(),
@@ -242,7 +242,7 @@
             links_each: 1,
             links_closed: false,
             links_budget,
-            dial_within,
+            connect_timeout,
             chance: Chance::new(seed ^ 0x5eed),
             next: 0,
         }
@@ -267,7 +267,7 @@
 
     pub fn caller_connected(&mut self, caller: CallerNo) {
         let fresh = Caller {
-            cutter: sip::Cutter::default(),
+            cutter: sip::Decoder::default(),
             open: BTreeSet::new(),
             heard: self.now,
             half: Some(self.now),
--- a/crates/platform/src/desk/calls.rs
+++ b/crates/platform/src/desk/calls.rs
@@ -33,7 +33,7 @@
         let mut headers = vec![("Via", &*call.via), ("Call-ID", &wire), ("CSeq", &cseq)];
         headers.extend_from_slice(more);
         let (mut octets, caller) = (Vec::new(), call.caller);
-        sip::write_response(&mut octets, status, &headers, body);
+        sip::encode_response(&mut octets, status, &headers, body);
         self.named.remove(&call.id);
         if let Some(caller) = self.callers.get_mut(&caller) {
             caller.open.remove(&id);
--- a/crates/platform/src/desk/links.rs
+++ b/crates/platform/src/desk/links.rs
@@ -159,7 +159,7 @@
             Link { to, state, cutter, heard: self.now, half: None, out: BTreeMap::new(), state_told: None };
         self.links.insert(no, link);
         self.exchanges.entry(to).and_modify(|far| far.links.push(no));
-        self.set(self.dial_within, Timer::Dial(no));
+        self.set(self.connect_timeout, Timer::Dial(no));
         metrics::counter!("links_dialled").increment(1);
         port.detail(format_args!("link {} to exchange {} dialled at {at}", no.0, to.0));
         port.dial(no, at);
--- a/crates/platform/src/desk/releases.rs
+++ b/crates/platform/src/desk/releases.rs
@@ -33,7 +33,7 @@
         let headers =
             [("Via", "SIP/2.0/TCP controller"), ("Call-ID", &*wire), ("CSeq", "1 BYE"), ("Reason", &*reason)];
         let mut octets = Vec::new();
-        sip::write(&mut octets, "BYE sip:peer@net SIP/2.0", &headers, b"");
+        sip::encode(&mut octets, "BYE sip:peer@net SIP/2.0", &headers, b"");
         if let Some(caller) = self.callers.get_mut(&no) {
             while caller.unconfirmed.pop_front_if(|(at, ..)| *at + CONFIRM_WITHIN < self.now).is_some() {}
             if caller.unconfirmed.len() < MOST_PENDING_RELEASES {
--- a/crates/platform/src/offer.rs
+++ b/crates/platform/src/offer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mintstall::host::{CallType, CustomerNo, Dialled, OfficeNo};
-use mintstall_settings::Trade;
+use mintstall_settings::Settings;
 use mintstall_sip::Message;
 use thiserror::Error;
 
@@ -117,7 +117,7 @@
 }
 
 /// Reads an INVITE.
-pub fn read<'a>(message: &Message<'a>, trade: &Trade) -> Result<SetupRequest<'a>, Refusal> {
+pub fn read<'a>(message: &Message<'a>, settings: &Settings) -> Result<SetupRequest<'a>, Refusal> {
     let id = WireId::read(must(message, "Call-ID")?).ok_or(Refusal::Nonsense("Call-ID"))?;
     let info = Info::read(one(message, INFO)?.unwrap_or_default())?;
     if let Some(at) = info.at {
@@ -126,16 +126,16 @@
     let user = message.user().ok_or(Refusal::Nonsense("the address"))?;
     let dialled = WireId::read(user).ok_or(Refusal::Nonsense("the address"))?.0;
     let call_type_name = must(message, "Priority-Class")?;
-    let call_type = trade.call_types.iter().position(|name| name == call_type_name);
+    let call_type = settings.call_types.iter().position(|name| name == call_type_name);
     let call_type = call_type.ok_or(Refusal::Unknown("Priority-Class"))?;
     let customer = match one(message, "P-Customer")? {
-        Some(name) => trade.customers.iter().position(|known| known == name),
+        Some(name) => settings.customers.iter().position(|known| known == name),
         None => Some(0),
     };
     let customer = customer.ok_or(Refusal::Unknown("P-Customer"))?;
     let patience = must(message, "Expires-Ms")?.parse().map_err(|_| Refusal::Nonsense("Expires-Ms"))?;
     let patience = Duration::from_millis(patience);
-    let longest = trade.office.call_types.get(call_type).map_or(Duration::ZERO, |of| of.guard_time);
+    let longest = settings.controller.call_types.get(call_type).map_or(Duration::ZERO, |of| of.guard_time);
     if patience.is_zero() || patience > longest.saturating_add(ROUNDING) {
         return Err(Refusal::Nonsense("Expires-Ms"));
     }
--- a/crates/platform/tests/stories.rs
+++ b/crates/platform/tests/stories.rs
@@ -81,15 +81,15 @@
 impl Port for Wires {
     fn say(&mut self, caller: CallerNo, octets: &[u8]) {
         assert!(!self.hung_up.contains(&caller), "said to one that was hung up on");
-        let mut cutter = sip::Cutter::default();
+        let mut cutter = sip::Decoder::default();
         cutter.push(octets);
         while let Some(message) = cutter.next_message().unwrap() {
             let id = message.header("Call-ID").unwrap_or("-").to_string();
             let what = match message.start {
-                sip::Start::Response { status } => {
+                sip::StartLine::Response { status } => {
                     format!("{status} {}", message.cseq().map_or("-", |of| of.1))
                 }
-                sip::Start::Request { method, .. } => {
+                sip::StartLine::Request { method, .. } => {
                     format!("{method} {}", message.header("Reason").unwrap_or("-"))
                 }
             };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -11,12 +11,12 @@
 /// What is wrong with the settings, and where.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
-pub struct BadSettings(pub String);
+pub struct SettingsError(pub String);
 
-type Read<T> = Result<T, BadSettings>;
+type Read<T> = Result<T, SettingsError>;
 
 fn bad<T>(what: impl Into<String>) -> Read<T> {
-    Err(BadSettings(what.into()))
+    Err(SettingsError(what.into()))
 }
 
 /// What a position in a load report stands for.
@@ -31,9 +31,9 @@
 
 /// The figures in this controller's load reports, by name and in order.
 #[derive(Clone, Debug, Default)]
-pub struct ReportLayout(Vec<(String, Figure)>);
+pub struct LoadReportLayout(Vec<(String, Figure)>);
 
-impl ReportLayout {
+impl LoadReportLayout {
     fn parse(names: &str) -> Self {
         let figure = |name: &str| match name {
             "idle" => Figure::Free,
@@ -47,7 +47,7 @@
 
     /// A report whose figures stand by name, as in `idle:12;circuits:40`. Names that the settings don't have are
     /// passed over; a figure that is none makes the whole unreadable.
-    pub fn named_report(&self, text: &str) -> Option<Report> {
+    pub fn parse_named(&self, text: &str) -> Option<Report> {
         let mut values = vec![-1.0; self.0.len()];
         for part in text.split(';').filter(|part| !part.is_empty()) {
             let (name, value) = part.split_once(':')?;
@@ -56,11 +56,11 @@
                 values[at] = value;
             }
         }
-        Some(self.report(values.into_iter()))
+        Some(self.positional_report(values.into_iter()))
     }
 
     /// Figures below nought were not told.
-    pub fn report(&self, values: impl Iterator<Item = f32>) -> Report {
+    pub fn positional_report(&self, values: impl Iterator<Item = f32>) -> Report {
         let mut report = Report::default();
         for ((_, figure), value) in self.0.iter().zip(values) {
             let told = Some(f64::from(value)).filter(|told| *told >= 0.0);
@@ -166,21 +166,21 @@
 
 /// What a controller reads at start.
 #[derive(Clone, Debug)]
-pub struct Trade {
-    pub office: OfficeData,
-    pub reports: ReportLayout,
+pub struct Settings {
+    pub controller: OfficeData,
+    pub reports: LoadReportLayout,
     /// Names by their number, where messages name what the decisions know by number.
     pub call_types: Vec<String>,
     pub customers: Vec<String>,
     pub zones: Vec<String>,
     /// A connection that is not there by then is not waited for.
-    pub dial_within: Duration,
+    pub connect_timeout: Duration,
     /// Whether exchanges may be sent tests.
     pub may_probe: bool,
 }
 
 /// The settings as path=value lines.
-pub fn from_lines(settings: &[u8]) -> Read<Trade> {
+pub fn from_lines(settings: &[u8]) -> Read<Settings> {
     let Ok(text) = std::str::from_utf8(settings) else {
         return bad("settings: not UTF-8");
     };
@@ -195,7 +195,7 @@
 }
 
 /// The same settings as nested JSON.
-pub fn from_json(settings: &Value) -> Read<Trade> {
+pub fn from_json(settings: &Value) -> Read<Settings> {
     if !settings.is_object() {
         return bad("settings: not an object");
     }
@@ -226,7 +226,7 @@
     }
 }
 
-fn read(paths: &Paths) -> Read<Trade> {
+fn read(paths: &Paths) -> Read<Settings> {
     let pooled = paths.text("specifics.network_form") == "skills";
     let own: i32 = if pooled { -1 } else { paths.must("specifics.own_number")? };
     let come_back = paths.span_or_none("limits.max_retry_after_s")?;
@@ -234,7 +234,7 @@
     if count > MOST_ITEMS {
         return bad(format!("settings: lanes.count={count} is too many"));
     }
-    let office = OfficeData {
+    let controller = OfficeData {
         own: u16::try_from(own).ok().map(OfficeNo),
         call_types: (0..count).map(|at| call_type(paths, at)).collect::<Read<_>>()?,
         seizure_limit: paths.or("limits.most_tries", u8::MAX)?,
@@ -248,13 +248,13 @@
         release_wait: paths.span_or_none("specifics.clear_wait_s")?,
         repeat_after: paths.span_or_none("specifics.retransmit_s")?,
     };
-    Ok(Trade {
-        office,
-        reports: ReportLayout::parse(paths.text("report.fields")),
+    Ok(Settings {
+        controller,
+        reports: LoadReportLayout::parse(paths.text("report.fields")),
         call_types: paths.names("lanes")?,
         customers: paths.names("tenants")?,
         zones: paths.texts("dcs"),
-        dial_within: paths.span_or_none("limits.dial_timeout_s")?,
+        connect_timeout: paths.span_or_none("limits.dial_timeout_s")?,
         may_probe: paths.or("limits.probes", false)?,
     })
 }
@@ -267,9 +267,9 @@
     fn settings_are_read_and_unknown_ones_passed_over() {
         let text = "lanes.count=1\nlanes.0.aim_s=0.8\nlanes.0.hard_limit_s=6.0\nspecifics.own_number=3\n\
                     specifics.widths=4\nreport.fields=idle,circuits,new_thing,max_rate\nnew.key=what\n";
-        let Trade { office, reports, .. } = from_lines(text.as_bytes()).unwrap();
-        assert_eq!((office.own, office.call_types[0].width), (Some(OfficeNo(3)), 4));
-        let report = reports.report([5.0, -1.0, 9.0, 40.0].into_iter());
+        let Settings { controller, reports, .. } = from_lines(text.as_bytes()).unwrap();
+        assert_eq!((controller.own, controller.call_types[0].width), (Some(OfficeNo(3)), 4));
+        let report = reports.positional_report([5.0, -1.0, 9.0, 40.0].into_iter());
         assert_eq!((report.free, report.size, report.rate), (Some(5.0), None, Some(40.0)));
     }
 
@@ -294,15 +294,15 @@
                      tenants.0.name=a\ntenants.1.name=b\n";
         let (json, lines) = (from_json(&json).unwrap(), from_lines(lines.as_bytes()).unwrap());
         assert_eq!(format!("{json:?}"), format!("{lines:?}"));
-        assert_eq!((json.zones.len(), json.customers.len(), json.office.call_types[0].width), (2, 2, 4));
+        assert_eq!((json.zones.len(), json.customers.len(), json.controller.call_types[0].width), (2, 2, 4));
     }
 
     #[test]
     fn reports_are_read_by_name_and_nonsense_is_not() {
-        let reports = ReportLayout::parse("idle,circuits,reduce");
-        let report = reports.named_report("circuits:40;idle:12;new:3;reduce:-1").unwrap();
+        let reports = LoadReportLayout::parse("idle,circuits,reduce");
+        let report = reports.parse_named("circuits:40;idle:12;new:3;reduce:-1").unwrap();
         assert_eq!((report.free, report.size, report.rate), (Some(12.0), Some(40.0), None));
-        assert_eq!(reports.named_report("idle:-1;circuits:40").unwrap().free, None);
-        assert!(reports.named_report("idle=12").is_none() && reports.named_report("idle:NaN").is_none());
+        assert_eq!(reports.parse_named("idle:-1;circuits:40").unwrap().free, None);
+        assert!(reports.parse_named("idle=12").is_none() && reports.parse_named("idle:NaN").is_none());
     }
 }
--- a/crates/sip/src/lib.rs
+++ b/crates/sip/src/lib.rs
@@ -1,6 +1,6 @@
 //! SIP (RFC 3261) as the operators' callers speak it over TCP: octets to requests and responses and back.
 //!
-//! No I/O. Everything that comes is bounded: a message has at most [`LONGEST`] octets, says its length exactly once, and
+//! No I/O. Everything that comes is bounded: a message has at most [`MAX_MESSAGE_OCTETS`] octets, says its length exactly once, and
 //! what it is short of or has too much of is told with the status that answers it. The header block is httparse's.
 
 use std::fmt::Write;
@@ -8,13 +8,13 @@
 use thiserror::Error;
 
 /// Octets that a message may have, its body included.
-pub const LONGEST: usize = 16 << 10;
+pub const MAX_MESSAGE_OCTETS: usize = 16 << 10;
 const MOST_HEADERS: usize = 64;
 
 /// Why the stream can't be cut into messages any more: the connection is of no use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    #[error("a message of more than {LONGEST} octets")]
+    #[error("a message of more than {MAX_MESSAGE_OCTETS} octets")]
     TooLong,
     #[error("no start line of SIP/2.0")]
     StartLine,
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start<'a> {
+pub enum StartLine<'a> {
     Request { method: &'a str, uri: &'a str },
     Response { status: u16 },
 }
@@ -43,7 +43,7 @@
 /// One message, as it lies in the octets that came.
 #[derive(Debug)]
 pub struct Message<'a> {
-    pub start: Start<'a>,
+    pub start: StartLine<'a>,
     headers: Vec<(&'a str, &'a str)>,
     pub body: &'a [u8],
 }
@@ -69,14 +69,14 @@
 
     /// The user part of a request's `sip:` address.
     pub fn user(&self) -> Option<&'a str> {
-        let Start::Request { uri, .. } = self.start else { return None };
+        let StartLine::Request { uri, .. } = self.start else { return None };
         uri.strip_prefix("sip:")?.split_once('@').map(|(user, _)| user)
     }
 }
 
 /// Cuts what comes on a connection into messages.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct Decoder {
     held: Vec<u8>,
     /// Octets of `held` that were handed out.
     done: usize,
@@ -84,7 +84,7 @@
     searched: usize,
 }
 
-impl Cutter {
+impl Decoder {
     /// Takes what came. What waits to be cut is bounded by the reader: one read, and one message half come.
     pub fn push(&mut self, octets: &[u8]) {
         if self.done > 0 {
@@ -95,7 +95,7 @@
     }
 
     /// Whether a message has come in part.
-    pub fn half(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         self.done < self.held.len()
     }
 
@@ -106,7 +106,7 @@
             self.done += 1;
         }
         let Some((head, length)) = self.measure()? else {
-            if !self.half() {
+            if !self.has_partial() {
                 self.held = Vec::new();
                 (self.done, self.searched) = (0, 0);
             }
@@ -132,27 +132,27 @@
                 None if rest.len() > 512 => return Err(DecodeError::StartLine),
                 None => {}
             }
-            return if rest.len() > LONGEST { Err(DecodeError::TooLong) } else { Ok(None) };
+            return if rest.len() > MAX_MESSAGE_OCTETS { Err(DecodeError::TooLong) } else { Ok(None) };
         };
         let head = from + end + 4;
         self.searched = from + end;
-        if head > LONGEST {
+        if head > MAX_MESSAGE_OCTETS {
             return Err(DecodeError::TooLong);
         }
         let length = length(&headers(&rest[..head])?)?;
-        if head + length > LONGEST {
+        if head + length > MAX_MESSAGE_OCTETS {
             return Err(DecodeError::TooLong);
         }
         Ok((rest.len() >= head + length).then_some((head, length)))
     }
 }
 
-fn start_line(line: &[u8]) -> Result<Start<'_>, DecodeError> {
+fn start_line(line: &[u8]) -> Result<StartLine<'_>, DecodeError> {
     let line = std::str::from_utf8(line).map_err(|_| DecodeError::StartLine)?.trim_end();
     if let Some(rest) = line.strip_prefix("SIP/2.0 ") {
         let status = rest.get(..3).and_then(|status| status.parse().ok());
         return match status {
-            Some(status @ 100..=699) => Ok(Start::Response { status }),
+            Some(status @ 100..=699) => Ok(StartLine::Response { status }),
             _ => Err(DecodeError::StartLine),
         };
     }
@@ -161,7 +161,7 @@
         (Some(method), Some(uri), Some("SIP/2.0"), None)
             if !method.is_empty() && method.bytes().all(|octet| octet.is_ascii_uppercase()) =>
         {
-            Ok(Start::Request { method, uri })
+            Ok(StartLine::Request { method, uri })
         }
         _ => Err(DecodeError::StartLine),
     }
@@ -218,12 +218,12 @@
 }
 
 /// Writes a response.
-pub fn write_response(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], body: &[u8]) {
-    write(out, &format!("SIP/2.0 {status} {}", reason(status)), headers, body);
+pub fn encode_response(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], body: &[u8]) {
+    encode(out, &format!("SIP/2.0 {status} {}", reason(status)), headers, body);
 }
 
 /// Writes a message: its start line, its headers in order, its length and its body.
-pub fn write(out: &mut Vec<u8>, start: &str, headers: &[(&str, &str)], body: &[u8]) {
+pub fn encode(out: &mut Vec<u8>, start: &str, headers: &[(&str, &str)], body: &[u8]) {
     let mut head = String::with_capacity(256);
     head.push_str(start);
     head.push_str("\r\n");
@@ -244,7 +244,7 @@
         Call-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\nPriority-Class: voice\r\nContent-Length: 5\r\n\r\nhello";
 
     fn cut(octets: &[u8]) -> Result<usize, DecodeError> {
-        let mut cutter = Cutter::default();
+        let mut cutter = Decoder::default();
         cutter.push(octets);
         let mut count = 0;
         while cutter.next_message()?.is_some() {
@@ -255,17 +255,17 @@
 
     #[test]
     fn a_set_up_is_read_octet_by_octet_as_at_once() {
-        let mut cutter = Cutter::default();
+        let mut cutter = Decoder::default();
         for octet in &INVITE[..INVITE.len() - 1] {
             cutter.push(&[*octet]);
-            assert!(cutter.next_message().unwrap().is_none() && cutter.half());
+            assert!(cutter.next_message().unwrap().is_none() && cutter.has_partial());
         }
         cutter.push(b"o\r\n");
         let message = cutter.next_message().unwrap().unwrap();
         assert_eq!((message.user(), message.cseq()), (Some("7f3a9c21e0b4d655"), Some((1, "INVITE"))));
         assert_eq!((message.header("call-id"), message.body), (Some("9b1f03aa5c7e2d41"), &b"hello"[..]));
         assert!(
-            cutter.next_message().unwrap().is_none() && !cutter.half(),
+            cutter.next_message().unwrap().is_none() && !cutter.has_partial(),
             "an empty line is no half message"
         );
         assert_eq!(cut(&[INVITE, INVITE, &INVITE[..9]].concat()), Ok(2));
@@ -298,11 +298,14 @@
     #[test]
     fn what_is_written_is_read_again() {
         let mut out = Vec::new();
-        write(&mut out, "SIP/2.0 503 Service Unavailable", &[("Call-ID", "a"), ("CSeq", "7 INVITE")], b"x");
-        let mut cutter = Cutter::default();
+        encode(&mut out, "SIP/2.0 503 Service Unavailable", &[("Call-ID", "a"), ("CSeq", "7 INVITE")], b"x");
+        let mut cutter = Decoder::default();
         cutter.push(&out);
         let message = cutter.next_message().unwrap().unwrap();
-        assert_eq!((message.start, message.cseq()), (Start::Response { status: 503 }, Some((7, "INVITE"))));
+        assert_eq!(
+            (message.start, message.cseq()),
+            (StartLine::Response { status: 503 }, Some((7, "INVITE")))
+        );
         assert_eq!(message.body, b"x");
     }
 }
--- a/crates/sip/tests/fuzz.rs
+++ b/crates/sip/tests/fuzz.rs
@@ -1,6 +1,6 @@
 //! Fuzz target of the cutter. As an ordinary test it runs some seconds' worth of new inputs.
 
-use mintstall_sip::{Cutter, LONGEST, Start, write};
+use mintstall_sip::{Decoder, MAX_MESSAGE_OCTETS, StartLine, encode};
 
 #[test]
 fn whatever_is_cut_is_bounded_and_reads_the_same_in_two_parts() {
@@ -9,7 +9,7 @@
         let octets = [b"OPTIONS sip:ping@net SIP/2.0\r\nContent-Length: 0\r\n", &octets[..]].concat();
         let at = at % octets.len();
         let cut = |parts: &[&[u8]]| {
-            let (mut cutter, mut all) = (Cutter::default(), Vec::new());
+            let (mut cutter, mut all) = (Decoder::default(), Vec::new());
             for part in parts {
                 cutter.push(part);
                 loop {
@@ -26,7 +26,7 @@
             all
         };
         let whole = cut(&[&octets]);
-        assert!(whole.iter().flatten().all(|length| *length <= LONGEST));
+        assert!(whole.iter().flatten().all(|length| *length <= MAX_MESSAGE_OCTETS));
         assert_eq!(whole, cut(&[&octets[..at], &octets[at..]]));
     });
 }
@@ -35,13 +35,13 @@
 fn any_body_is_written_and_read_back() {
     bolero::check!().with_iterations(5_000).for_each(|body: &[u8]| {
         let mut out = Vec::new();
-        write(&mut out, "INVITE sip:a@net SIP/2.0", &[("Call-ID", "a")], body);
-        let mut cutter = Cutter::default();
+        encode(&mut out, "INVITE sip:a@net SIP/2.0", &[("Call-ID", "a")], body);
+        let mut cutter = Decoder::default();
         cutter.push(&out);
         let message = cutter.next_message().unwrap().unwrap();
         assert_eq!(
             (message.start, message.body),
-            (Start::Request { method: "INVITE", uri: "sip:a@net" }, body)
+            (StartLine::Request { method: "INVITE", uri: "sip:a@net" }, body)
         );
     });
 }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use mintstall_sip::{Cutter, Message, Start};
+use mintstall_sip::{Decoder, Message, StartLine};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -182,7 +182,7 @@
     }
 
     fn read(&self, connection: &Arc<Connection>, mut stream: TcpStream) {
-        let (mut cutter, mut buffer) = (Cutter::default(), [0; 8192]);
+        let (mut cutter, mut buffer) = (Decoder::default(), [0; 8192]);
         while !self.over.load(Ordering::Relaxed) {
             match stream.read(&mut buffer) {
                 Ok(0) => break,
@@ -201,7 +201,7 @@
         }
     }
 
-    fn messages(&self, connection: &Arc<Connection>, cutter: &mut Cutter) -> bool {
+    fn messages(&self, connection: &Arc<Connection>, cutter: &mut Decoder) -> bool {
         loop {
             match cutter.next_message() {
                 Ok(Some(message)) => self.message(connection, &message),
@@ -219,11 +219,13 @@
         let call = message.header("Call-ID").and_then(|id| CallId::from_str_radix(id, 16).ok());
         let Some(call) = call else { return };
         match message.start {
-            Start::Response { status: 100..=199 } => {}
-            Start::Response { status } if message.cseq().is_some_and(|(_, method)| method == "INVITE") => {
+            StartLine::Response { status: 100..=199 } => {}
+            StartLine::Response { status }
+                if message.cseq().is_some_and(|(_, method)| method == "INVITE") =>
+            {
                 self.final_answer(connection, call, status, message.body);
             }
-            Start::Request { method: "BYE", .. } => {
+            StartLine::Request { method: "BYE", .. } => {
                 self.recorder.add(Event::ReleaseHeard { call, controller: self.controller.no });
                 self.lock().standing.remove(&call);
                 let answer = format!(
