--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -32,7 +32,7 @@
         Ok(node) => node,
         Err(error) => return crate::failed(error),
     };
-    if let Ok(addr) = node.listens() {
+    if let Ok(addr) = node.local_addr() {
         println!("{}", json!({ "callers": addr }));
     }
     let name = args.name.unwrap_or(config.name);
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 use common::{LONG, file, says};
-use mintstall_platform::message::{self, Kind, code};
+use mintstall_platform::exchange_protocol::{self, MessageType, parameter};
 use mintstall_sip as sip;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
 
 /// An exchange that answers every set-up; it tells what it was sent.
-fn exchange() -> (SocketAddr, Receiver<(Kind, u64)>) {
+fn exchange() -> (SocketAddr, Receiver<(MessageType, u64)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let (tell, told) = channel();
@@ -31,10 +31,15 @@
     (addr, told)
 }
 
-fn link(mut stream: TcpStream, tell: &Sender<(Kind, u64)>) {
+fn link(mut stream: TcpStream, tell: &Sender<(MessageType, u64)>) {
     let mut out = Vec::new();
-    message::write(&mut out, Kind::State, message::WireId(0), &[(code::REPORT, b"idle:9;circuits:9")]);
-    let (mut cutter, mut buffer) = (message::Cutter::default(), [0; 4096]);
+    exchange_protocol::encode(
+        &mut out,
+        MessageType::State,
+        exchange_protocol::WireCallId(0),
+        &[(parameter::REPORT, b"idle:9;circuits:9")],
+    );
+    let (mut cutter, mut buffer) = (exchange_protocol::Decoder::default(), [0; 4096]);
     loop {
         // The other end may be gone, with the test.
         if stream.write_all(&out).is_err() {
@@ -45,9 +50,14 @@
         cutter.push(&buffer[..count]);
         while let Some(message) = cutter.next_message().unwrap() {
             let _ = tell.send((message.kind, message.call.0));
-            if message.kind == Kind::SetUp {
+            if message.kind == MessageType::SetUp {
                 let description = message.description.unwrap().to_ascii_uppercase();
-                message::write(&mut out, Kind::Answer, message.call, &[(code::DESCRIPTION, &description)]);
+                exchange_protocol::encode(
+                    &mut out,
+                    MessageType::Answer,
+                    message.call,
+                    &[(parameter::DESCRIPTION, &description)],
+                );
             }
         }
     }
@@ -192,7 +202,7 @@
     assert_eq!(caller.status(), "200");
     caller.says(&invite(7, "1"));
     assert_eq!(caller.hears().unwrap(), ("200".to_string(), "HELLO".to_string()));
-    assert_eq!(sent.recv_timeout(LONG).unwrap(), (Kind::SetUp, 7));
+    assert_eq!(sent.recv_timeout(LONG).unwrap(), (MessageType::SetUp, 7));
 
     let mut bad = node.connect();
     bad.says(&invite(8, "nowhere"));
@@ -218,8 +228,8 @@
     assert_eq!(caller.status(), "200", "calls keep coming for a while");
     caller.says(&request("BYE", 7));
     assert_eq!(caller.status(), "200");
-    assert_eq!(sent.recv_timeout(LONG).unwrap(), (Kind::SetUp, 9));
-    assert_eq!(sent.recv_timeout(LONG).unwrap(), (Kind::Release, 7));
+    assert_eq!(sent.recv_timeout(LONG).unwrap(), (MessageType::SetUp, 9));
+    assert_eq!(sent.recv_timeout(LONG).unwrap(), (MessageType::Release, 7));
     let started = Instant::now();
     let ended = loop {
         match node.child.try_wait().unwrap() {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use mintstall_daemon::wires::Outbox;
-use mintstall_platform::{CallerNo, Config, Core, Disconnect, LinkNo, Port};
+use mintstall_platform::{CallerConnectionId, Config, Core, Disconnect, LinkId, Transport};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -52,8 +52,8 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Purpose {
     Bus,
-    Link(LinkNo),
-    Caller(CallerNo),
+    Link(LinkId),
+    Caller(CallerConnectionId),
     /// A caller's, told why it is closed: what still comes is thrown away until then.
     Leaving,
 }
@@ -80,7 +80,7 @@
 struct Wires {
     poll: Poll,
     connections: BTreeMap<Token, Connection>,
-    links: BTreeMap<LinkNo, Token>,
+    links: BTreeMap<LinkId, Token>,
     bus: Option<Token>,
     callers: usize,
     /// Connections with something to write.
@@ -190,12 +190,12 @@
     if error.kind() == io::ErrorKind::ConnectionRefused { Disconnect::Refused } else { Disconnect::Lost }
 }
 
-impl Port for Wires {
-    fn say(&mut self, caller: CallerNo, octets: &[u8]) {
+impl Transport for Wires {
+    fn send_to_caller(&mut self, caller: CallerConnectionId, octets: &[u8]) {
         self.push(Some(Token(caller.0 as usize)), octets);
     }
 
-    fn hang_up(&mut self, caller: CallerNo) {
+    fn close_caller_after_flush(&mut self, caller: CallerConnectionId) {
         let token = Token(caller.0 as usize);
         if let Some(connection) = self.connections.get_mut(&token) {
             connection.purpose = Purpose::Leaving;
@@ -205,22 +205,22 @@
         }
     }
 
-    fn dial(&mut self, link: LinkNo, to: SocketAddr) {
+    fn connect_link(&mut self, link: LinkId, to: SocketAddr) {
         if let Some(token) = self.dial_out(to, Purpose::Link(link)) {
             self.links.insert(link, token);
         }
     }
 
-    fn send(&mut self, link: LinkNo, octets: &[u8]) {
+    fn send_to_link(&mut self, link: LinkId, octets: &[u8]) {
         self.push(self.links.get(&link).copied(), octets);
     }
 
-    fn backed_up(&self, link: LinkNo) -> bool {
+    fn is_write_blocked(&self, link: LinkId) -> bool {
         let connection = self.links.get(&link).and_then(|token| self.connections.get(token));
         connection.is_none_or(|connection| matches!(connection.phase, Phase::Full | Phase::Broken(_)))
     }
 
-    fn finish(&mut self, link: LinkNo) {
+    fn shutdown_link_write(&mut self, link: LinkId) {
         let Some(token) = self.links.get(&link).copied() else { return };
         self.flush(token);
         if let Some(connection) = self.connections.get_mut(&token)
@@ -232,7 +232,7 @@
         }
     }
 
-    fn cut(&mut self, link: LinkNo) {
+    fn close_link(&mut self, link: LinkId) {
         if let Some(token) = self.links.get(&link).copied() {
             // What was sent before goes out first: a release, mostly.
             self.flush(token);
@@ -240,26 +240,26 @@
         }
     }
 
-    fn dial_bus(&mut self, to: SocketAddr) {
-        self.cut_bus();
+    fn connect_bus(&mut self, to: SocketAddr) {
+        self.close_bus();
         self.bus = self.dial_out(to, Purpose::Bus);
     }
 
-    fn ask_bus(&mut self, text: &str) {
+    fn send_to_bus(&mut self, text: &str) {
         self.push(self.bus, text.as_bytes());
     }
 
-    fn cut_bus(&mut self) {
+    fn close_bus(&mut self) {
         if let Some(token) = self.bus {
             self.remove(token);
         }
     }
 
-    fn note(&mut self, line: &str) {
+    fn log_info(&mut self, line: &str) {
         info!(target: "mintstall::mode", "{line}");
     }
 
-    fn detail(&mut self, step: Arguments) {
+    fn log_debug(&mut self, step: Arguments) {
         debug!(target: "mintstall::calls", "{step}");
     }
 }
@@ -331,7 +331,7 @@
     }
 
     /// Where callers connect.
-    pub fn listens(&self) -> io::Result<SocketAddr> {
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
@@ -378,7 +378,7 @@
 
     /// Whether nothing is owed any more, and callers have seen that their connections are closed.
     fn may_end(&mut self) -> bool {
-        if !self.core.stopped(self.now()) {
+        if !self.core.is_shutdown_complete(self.now()) {
             self.stopped_since = None;
             return false;
         }
@@ -387,7 +387,7 @@
         let since = *self.stopped_since.get_or_insert_with(Instant::now);
         let waits = self.wires.connections.values().any(|connection| connection.out.waiting() > 0);
         let lingers = self.wires.callers > 0 || waits;
-        self.core.stopped(self.now()) && (!lingers || since.elapsed() >= LAST_LINGER)
+        self.core.is_shutdown_complete(self.now()) && (!lingers || since.elapsed() >= LAST_LINGER)
     }
 
     fn log_counters(&mut self) {
@@ -445,7 +445,7 @@
                 // Closed at once: all that are open have set-ups in hand.
                 continue;
             }
-            let caller = CallerNo(self.wires.next as u64);
+            let caller = CallerConnectionId(self.wires.next as u64);
             match self.wires.add(stream, Purpose::Caller(caller), Phase::Open) {
                 Ok(_) => {
                     self.wires.callers += 1;
@@ -464,7 +464,7 @@
                 return true;
             }
         }
-        let Some(idle) = self.core.idlest() else { return false };
+        let Some(idle) = self.core.least_active_caller() else { return false };
         self.core.caller_disconnected(self.now(), &mut self.wires, idle);
         self.wires.remove(Token(idle.0 as usize)).is_some()
     }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use thiserror::Error;
 
-use crate::bus::Event;
+use crate::event_bus::Event;
 
 #[derive(Debug, Error)]
 pub enum ConfigError {
@@ -62,7 +62,7 @@
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// The events of the start, and the number of the last.
-    pub known: Vec<Event>,
+    pub initial_events: Vec<Event>,
     pub last: u64,
     pub settings: Settings,
 }
@@ -84,7 +84,7 @@
         if file.limits.sockets < LEAST_SOCKETS {
             return Err(ConfigError::Limits { path: at(), what: "sockets: fewer than 64" });
         }
-        let whole = |event: &Event| event.topology.as_ref().is_some_and(|topology| topology.all);
+        let whole = |event: &Event| event.topology.as_ref().is_some_and(|topology| topology.is_full);
         if !file.known.batch.iter().any(whole) {
             return Err(ConfigError::NoList { path: at() });
         }
@@ -94,7 +94,7 @@
             bus: file.bus,
             seed,
             sockets: file.limits.sockets,
-            known: file.known.batch,
+            initial_events: file.known.batch,
             last: file.known.offset,
             settings,
         })
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -15,10 +15,10 @@
 use mintstall_settings::Settings;
 
 use self::shutdown::Shutdown;
-use crate::bus::Bus;
-use crate::desk::{Caller, Desk, LinkState, Owed, Timer, Turn, doubled};
+use crate::event_bus::EventDecoder;
 use crate::reasons::{CallerClose, LinkLoss};
-use crate::{Config, Port};
+use crate::state::{AnswerState, Caller, EventContext, LinkState, PlatformState, Timer, exponential_backoff};
+use crate::{Config, Transport};
 
 /// How often half messages and silent connections are looked for.
 const SWEEP: Duration = Duration::from_millis(250);
@@ -56,7 +56,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BusState {
-    Dialled,
+    Connecting,
     Up,
     /// To be dialled again when its timer rings.
     Down,
@@ -64,9 +64,9 @@
 
 pub struct Core {
     controller: Controller,
-    desk: Desk,
+    desk: PlatformState,
     settings: Settings,
-    bus: Bus,
+    bus: EventDecoder,
     bus_at: SocketAddr,
     bus_state: BusState,
     /// Since when the bus has been in that state, or was last heard.
@@ -81,15 +81,15 @@
 
 impl Core {
     /// `now` is the span since the Unix epoch. Dials the bus and every exchange.
-    pub fn new(config: &Config, now: Duration, port: &mut dyn Port) -> Self {
+    pub fn new(config: &Config, now: Duration, port: &mut dyn Transport) -> Self {
         let settings = config.settings.clone();
         let connect_timeout =
             if settings.connect_timeout.is_zero() { BUS_DIAL } else { settings.connect_timeout };
         let mut core = Self {
             controller: Controller::new(&settings.controller, config.seed),
-            desk: Desk::new(now, config.seed, config.sockets / 4, connect_timeout),
+            desk: PlatformState::new(now, config.seed, config.sockets / 4, connect_timeout),
             settings,
-            bus: Bus::new(config.last),
+            bus: EventDecoder::new(config.last),
             bus_at: config.bus,
             bus_state: BusState::Down,
             bus_since: now,
@@ -98,25 +98,29 @@
             next_exchange: 0,
             shutdown: Shutdown::NotAsked,
         };
-        for event in &config.known {
+        for event in &config.initial_events {
             core.apply(port, event);
         }
         core.dial_bus(port);
         core.desk.set(SWEEP, Timer::Sweep);
-        core.settle(port);
+        core.report_ended_seizures(port);
         core
     }
 
     /// Tells the decisions one thing; they act at once.
-    fn decide(&mut self, port: &mut dyn Port, tell: impl FnOnce(&mut Controller, Duration, &mut Turn)) {
+    fn with_controller(
+        &mut self,
+        port: &mut dyn Transport,
+        tell: impl FnOnce(&mut Controller, Duration, &mut EventContext),
+    ) {
         let now = self.desk.now;
-        tell(&mut self.controller, now, &mut Turn { desk: &mut self.desk, port });
+        tell(&mut self.controller, now, &mut EventContext { desk: &mut self.desk, port });
     }
 
     /// Tells the decisions which seizures ended through what was done since.
-    fn settle(&mut self, port: &mut dyn Port) {
+    fn report_ended_seizures(&mut self, port: &mut dyn Transport) {
         while let Some(end) = self.desk.ends.pop_front() {
-            self.decide(port, |controller, now, turn| controller.ended(now, turn, &end));
+            self.with_controller(port, |controller, now, turn| controller.ended(now, turn, &end));
         }
     }
 
@@ -128,78 +132,78 @@
     }
 
     /// What has fallen due.
-    pub fn on_timer(&mut self, now: Duration, port: &mut dyn Port) {
+    pub fn on_timer(&mut self, now: Duration, port: &mut dyn Transport) {
         self.desk.now = now;
         while self.desk.timers.peek().is_some_and(|first| first.0.0 <= now)
             && let Some(first) = self.desk.timers.pop()
         {
             let (_, _, timer) = first.0;
             self.falls_due(port, timer);
-            self.settle(port);
+            self.report_ended_seizures(port);
         }
     }
 
-    fn falls_due(&mut self, port: &mut dyn Port, timer: Timer) {
+    fn falls_due(&mut self, port: &mut dyn Transport, timer: Timer) {
         match timer {
             Timer::Alarm(alarm) => {
-                self.decide(port, |controller, now, turn| controller.rings(now, turn, alarm))
+                self.with_controller(port, |controller, now, turn| controller.rings(now, turn, alarm))
             }
-            Timer::Limit(call, no) => self.desk.limit(port, call, no),
-            Timer::Guard(call) => self.time_is_up(port, call, 408),
-            Timer::Dial(link) => {
-                if self.desk.links.get(&link).is_some_and(|link| link.state == LinkState::Dialled) {
-                    self.lose(port, link, LinkLoss::DialTimeout);
+            Timer::SeizureTimeout(call, no) => self.desk.limit(port, call, no),
+            Timer::GuardTime(call) => self.time_is_up(port, call, 408),
+            Timer::ConnectTimeout(link) => {
+                if self.desk.links.get(&link).is_some_and(|link| link.state == LinkState::Connecting) {
+                    self.remove_link(port, link, LinkLoss::DialTimeout);
                 }
             }
             Timer::DialForReleases(exchange) => self.desk.dial_for_releases(port, exchange),
             Timer::MaintainPool(exchange) => self.desk.maintain_pool(port, exchange),
-            Timer::Bus if self.bus_state == BusState::Down => self.dial_bus(port),
-            Timer::Bus => {}
+            Timer::ReconnectBus if self.bus_state == BusState::Down => self.dial_bus(port),
+            Timer::ReconnectBus => {}
             Timer::Sweep => self.sweep(port),
-            Timer::Stop => {
-                let owed: Vec<_> = self.desk.named.values().copied().collect();
+            Timer::ShutdownDeadline => {
+                let owed: Vec<_> = self.desk.unanswered.values().copied().collect();
                 owed.into_iter().for_each(|call| self.time_is_up(port, call, 500));
             }
-            Timer::Drain => self.drain_callers(port),
+            Timer::DrainCallers => self.drain_callers(port),
         }
     }
 
     /// The decisions leave time for their answer; what has none by now fails.
-    fn time_is_up(&mut self, port: &mut dyn Port, id: CallId, status: u16) {
-        if self.desk.calls.get(&id).is_some_and(|call| call.owed == Owed::Answer) {
+    fn time_is_up(&mut self, port: &mut dyn Transport, id: CallId, status: u16) {
+        if self.desk.calls.get(&id).is_some_and(|call| call.answer_state == AnswerState::Pending) {
             self.desk.answer(port, id, status, &[], b"");
-            self.decide(port, |controller, now, turn| controller.withdrawn(now, turn, id));
+            self.with_controller(port, |controller, now, turn| controller.withdrawn(now, turn, id));
         }
     }
 
     /// Looks for half messages, silent connections, quiet exchanges and a silent bus.
-    fn sweep(&mut self, port: &mut dyn Port) {
+    fn sweep(&mut self, port: &mut dyn Transport) {
         let now = self.desk.now;
         self.desk.set(SWEEP, Timer::Sweep);
         let late = |since: Option<Duration>, span| since.is_some_and(|since| since + span < now);
         let stuck = |caller: &Caller| {
-            let patience = if caller.proven { HALF_FOR_PROVEN } else { HALF_FOR };
+            let patience = if caller.had_standing_call { HALF_FOR_PROVEN } else { HALF_FOR };
             // What has been taken is answered first.
-            late(caller.half, patience) && caller.open.is_empty()
+            late(caller.partial_since, patience) && caller.open.is_empty()
         };
         let callers = self.desk.callers.iter().filter(|(_, caller)| stuck(caller));
         for no in callers.map(|(no, _)| *no).collect::<Vec<_>>() {
             self.close_caller(port, no, CallerClose::IncompleteMessage);
         }
-        let links = self.desk.links.iter().filter(|(_, link)| late(link.half, HALF_ANSWER_FOR));
+        let links = self.desk.links.iter().filter(|(_, link)| late(link.partial_since, HALF_ANSWER_FOR));
         for no in links.map(|(no, _)| *no).collect::<Vec<_>>() {
-            self.lose(port, no, LinkLoss::IncompleteMessage);
+            self.remove_link(port, no, LinkLoss::IncompleteMessage);
         }
         for no in self.desk.expire_links(port) {
-            self.lose(port, no, LinkLoss::DrainExpired);
+            self.remove_link(port, no, LinkLoss::DrainExpired);
         }
         self.check_leases(port);
         let patience = match self.bus_state {
-            BusState::Dialled => doubled(BUS_DIAL, self.bus_failures, BUS_DIAL_LONGEST),
+            BusState::Connecting => exponential_backoff(BUS_DIAL, self.bus_failures, BUS_DIAL_LONGEST),
             _ => BUS_SILENT,
         };
         if self.bus_state != BusState::Down && self.bus_since + patience < now {
-            let reason = if self.bus_state == BusState::Dialled { "dial timeout" } else { "silent" };
+            let reason = if self.bus_state == BusState::Connecting { "dial timeout" } else { "silent" };
             self.drop_bus(port, reason);
         }
     }
--- a/crates/platform/src/core/callers.rs
+++ b/crates/platform/src/core/callers.rs
@@ -7,19 +7,25 @@
 
 use super::shutdown::Shutdown;
 use super::{Core, MOST_HELD, MOST_OPEN, MOST_STANDING};
-use crate::desk::{Call, Owed, Standing, TEMPORARY_FAILURE, Timer};
-use crate::message::WireId;
-use crate::offer::{self, SetUp, SetupRequest};
+use crate::exchange_protocol::WireCallId;
+use crate::invite::{self, Invite, SetUp};
 use crate::reasons::{CallEnd, CallerClose};
-use crate::{CallerNo, Port};
+use crate::state::{AnswerState, Call, Standing, TEMPORARY_FAILURE, Timer};
+use crate::{CallerConnectionId, Transport};
 
 impl Core {
-    pub fn caller_connected(&mut self, now: Duration, caller: CallerNo) {
+    pub fn caller_connected(&mut self, now: Duration, caller: CallerConnectionId) {
         self.desk.now = now;
         self.desk.caller_connected(caller);
     }
 
-    pub fn caller_data(&mut self, now: Duration, port: &mut dyn Port, no: CallerNo, octets: &[u8]) {
+    pub fn caller_data(
+        &mut self,
+        now: Duration,
+        port: &mut dyn Transport,
+        no: CallerConnectionId,
+        octets: &[u8],
+    ) {
         self.desk.now = now;
         let Some(caller) = self.desk.callers.get_mut(&no) else { return };
         caller.heard = now;
@@ -30,62 +36,68 @@
                 Ok(Some(message)) => self.message(port, no, &message),
                 Ok(None) => break,
                 Err(spoilt) => {
-                    port.detail(format_args!("caller {}: {spoilt}", no.0));
+                    port.log_debug(format_args!("caller {}: {spoilt}", no.0));
                     self.fail_open_calls(port, no);
                     let mut answer = Vec::new();
                     let why = [("Warning", &*spoilt.to_string())];
                     sip::encode_response(&mut answer, spoilt.status(), &why, b"");
-                    port.say(no, &answer);
+                    port.send_to_caller(no, &answer);
                     self.close_caller(port, no, CallerClose::Malformed);
                     break;
                 }
             }
-            self.settle(port);
+            self.report_ended_seizures(port);
             if !self.desk.callers.contains_key(&no) {
                 break;
             }
         }
         if let Some(caller) = self.desk.callers.get_mut(&no) {
-            caller.half = if cutter.has_partial() { caller.half.or(Some(now)) } else { None };
+            caller.partial_since =
+                if cutter.has_partial() { caller.partial_since.or(Some(now)) } else { None };
             caller.cutter = cutter;
         }
-        self.settle(port);
+        self.report_ended_seizures(port);
     }
 
     /// A caller's connection has ended.
-    pub fn caller_disconnected(&mut self, now: Duration, port: &mut dyn Port, no: CallerNo) {
+    pub fn caller_disconnected(&mut self, now: Duration, port: &mut dyn Transport, no: CallerConnectionId) {
         self.desk.now = now;
         self.caller_gone(port, no);
-        self.settle(port);
+        self.report_ended_seizures(port);
     }
 
-    pub(super) fn caller_gone(&mut self, port: &mut dyn Port, no: CallerNo) {
+    pub(super) fn caller_gone(&mut self, port: &mut dyn Transport, no: CallerConnectionId) {
         for id in self.desk.caller_disconnected(port, no) {
             self.withdraw(port, id);
         }
     }
 
     /// Closes a caller's connection, once what was said on it is written.
-    pub(super) fn close_caller(&mut self, port: &mut dyn Port, no: CallerNo, reason: CallerClose) {
-        port.detail(format_args!("caller {} closed: {reason}", no.0));
+    pub(super) fn close_caller(
+        &mut self,
+        port: &mut dyn Transport,
+        no: CallerConnectionId,
+        reason: CallerClose,
+    ) {
+        port.log_debug(format_args!("caller {} closed: {reason}", no.0));
         metrics::counter!("callers_closed", "reason" => reason.label()).increment(1);
         self.caller_gone(port, no);
-        port.hang_up(no);
+        port.close_caller_after_flush(no);
     }
 
     /// Final answers for what is open on a connection that is about to be closed here: its calls were taken.
-    fn fail_open_calls(&mut self, port: &mut dyn Port, no: CallerNo) {
+    fn fail_open_calls(&mut self, port: &mut dyn Transport, no: CallerConnectionId) {
         let open = self.desk.callers.get(&no).map(|caller| caller.open.clone()).unwrap_or_default();
         open.into_iter().for_each(|call| self.time_is_up(port, call, 500));
     }
 
     /// Nothing is owed for a call any more.
-    pub(super) fn withdraw(&mut self, port: &mut dyn Port, id: CallId) {
-        self.desk.forget(id);
-        self.decide(port, |controller, now, turn| controller.withdrawn(now, turn, id));
+    pub(super) fn withdraw(&mut self, port: &mut dyn Transport, id: CallId) {
+        self.desk.withdraw_call(id);
+        self.with_controller(port, |controller, now, turn| controller.withdrawn(now, turn, id));
     }
 
-    pub(super) fn message(&mut self, port: &mut dyn Port, no: CallerNo, message: &Message) {
+    pub(super) fn message(&mut self, port: &mut dyn Transport, no: CallerConnectionId, message: &Message) {
         match message.start {
             StartLine::Request { method, .. } => {
                 if method != "INVITE" {
@@ -105,7 +117,7 @@
             }
             StartLine::Response { .. } => {
                 if let (Some((_, "BYE")), Some(id)) =
-                    (message.cseq(), message.header("Call-ID").and_then(WireId::read))
+                    (message.cseq(), message.header("Call-ID").and_then(WireCallId::parse))
                 {
                     self.desk.release_confirmed(no, id);
                 }
@@ -114,27 +126,29 @@
     }
 
     /// A connection that says something that makes sense can be told of calls that ended.
-    pub(super) fn usual(&mut self, port: &mut dyn Port, no: CallerNo) {
+    pub(super) fn usual(&mut self, port: &mut dyn Transport, no: CallerConnectionId) {
         if let Some(caller) = self.desk.callers.get_mut(&no)
-            && !std::mem::replace(&mut caller.usual, true)
+            && !std::mem::replace(&mut caller.sent_valid, true)
         {
             self.desk.send_pending_releases(port);
         }
     }
 
-    pub(super) fn invite(&mut self, port: &mut dyn Port, no: CallerNo, message: &Message) {
-        let wish = match offer::read(message, &self.settings) {
+    pub(super) fn invite(&mut self, port: &mut dyn Transport, no: CallerConnectionId, message: &Message) {
+        let wish = match invite::read(message, &self.settings) {
             Ok(wish) if message.cseq().is_some() => wish,
             Ok(_) => return reply(port, no, message, 400, "CSeq is missing"),
             Err(refusal) => return reply(port, no, message, 400, &refusal.to_string()),
         };
         match wish {
-            SetupRequest::Stands { id, at } => {
+            Invite::Stands { id, at } => {
                 self.usual(port, no);
                 self.stood_before(port, no, id, at);
             }
-            SetupRequest::Call(set_up) => {
-                if self.desk.named.contains_key(&set_up.id) || self.desk.standing.contains_key(&set_up.id) {
+            Invite::Call(set_up) => {
+                if self.desk.unanswered.contains_key(&set_up.id)
+                    || self.desk.standing.contains_key(&set_up.id)
+                {
                     return reply(port, no, message, 400, "a call has this id");
                 }
                 self.usual(port, no);
@@ -153,11 +167,17 @@
         }
     }
 
-    pub(super) fn offer(&mut self, port: &mut dyn Port, no: CallerNo, message: &Message, set_up: &SetUp) {
+    pub(super) fn offer(
+        &mut self,
+        port: &mut dyn Transport,
+        no: CallerConnectionId,
+        message: &Message,
+        set_up: &SetUp,
+    ) {
         let now = self.desk.now;
-        let until = self.answered_by(now + set_up.patience);
+        let until = self.answered_by(now + set_up.expires);
         let id = CallId(self.desk.number());
-        port.detail(format_args!("{} offered by {}: {set_up:?}", set_up.id, no.0));
+        port.log_debug(format_args!("{} offered by {}: {set_up:?}", set_up.id, no.0));
         let call = Call {
             id: set_up.id,
             caller: no,
@@ -166,17 +186,17 @@
             call_type: set_up.call_type_name.into(),
             number: set_up.number.into(),
             description: set_up.description.into(),
-            owed: Owed::Answer,
+            answer_state: AnswerState::Pending,
             seizures: 0,
-            out: None,
+            open_seizure: None,
             left: Vec::new(),
         };
         self.desk.take(id, call);
-        self.desk.named.insert(set_up.id, id);
+        self.desk.unanswered.insert(set_up.id, id);
         if let Some(caller) = self.desk.callers.get_mut(&no) {
             caller.open.insert(id);
         }
-        self.desk.set(until - now, Timer::Guard(id));
+        self.desk.set(until - now, Timer::GuardTime(id));
         let offer = Offer {
             call: id,
             call_type: set_up.call_type,
@@ -185,22 +205,28 @@
             until,
             dest: set_up.dest,
             width: set_up.width,
-            advised: set_up.via,
+            advised: set_up.advised,
             transit: set_up.transit,
             cut: set_up.again,
             redial: false,
         };
-        self.decide(port, |controller, now, turn| controller.offered(now, turn, offer));
+        self.with_controller(port, |controller, now, turn| controller.offered(now, turn, offer));
     }
 
     /// A call that stood before this process: remembered for its release.
-    pub(super) fn stood_before(&mut self, port: &mut dyn Port, no: CallerNo, id: WireId, at: &str) {
+    pub(super) fn stood_before(
+        &mut self,
+        port: &mut dyn Transport,
+        no: CallerConnectionId,
+        id: WireCallId,
+        at: &str,
+    ) {
         if self.desk.standing.contains_key(&id) || self.desk.standing.len() >= MOST_STANDING {
             return;
         }
         let now = self.desk.now;
         if let Some(cause) = self.desk.unmatched_release(id) {
-            port.detail(format_args!("{id} was released by its exchange before its caller named it"));
+            port.log_debug(format_args!("{id} was released by its exchange before its caller named it"));
             return self.desk.notify_release(port, Some(no), id, cause, now);
         }
         match self.uids.get(at) {
@@ -213,47 +239,52 @@
             // Its exchange has gone, and the call with it.
             None => {
                 let reason = CallEnd::ExchangeUnknown;
-                port.detail(format_args!("{id} ended: {reason} ({at})"));
+                port.log_debug(format_args!("{id} ended: {reason} ({at})"));
                 reason.count(1);
                 self.desk.notify_release(port, Some(no), id, TEMPORARY_FAILURE, now);
             }
         }
     }
 
-    pub(super) fn cancel(&mut self, port: &mut dyn Port, no: CallerNo, message: &Message) {
-        let id = message.header("Call-ID").and_then(WireId::read);
-        let call = id.and_then(|id| self.desk.named.get(&id).copied());
+    pub(super) fn cancel(&mut self, port: &mut dyn Transport, no: CallerConnectionId, message: &Message) {
+        let id = message.header("Call-ID").and_then(WireCallId::parse);
+        let call = id.and_then(|id| self.desk.unanswered.get(&id).copied());
         let own = call.filter(|id| self.desk.calls.get(id).is_some_and(|call| call.caller == no));
         let Some(id) = own else { return reply(port, no, message, 481, "") };
         reply(port, no, message, 200, "");
         self.desk.answer(port, id, 487, &[], b"");
-        self.decide(port, |controller, now, turn| controller.withdrawn(now, turn, id));
+        self.with_controller(port, |controller, now, turn| controller.withdrawn(now, turn, id));
     }
 
-    pub(super) fn caller_releases(&mut self, port: &mut dyn Port, no: CallerNo, message: &Message) {
-        let id = message.header("Call-ID").and_then(WireId::read);
+    pub(super) fn caller_releases(
+        &mut self,
+        port: &mut dyn Transport,
+        no: CallerConnectionId,
+        message: &Message,
+    ) {
+        let id = message.header("Call-ID").and_then(WireCallId::parse);
         let Some((id, call)) = id.and_then(|id| Some((id, self.desk.standing.remove(&id)?))) else {
             return reply(port, no, message, 481, "");
         };
         reply(port, no, message, 200, "");
         let reason = CallEnd::ReleasedByCaller;
-        port.detail(format_args!("{id} ended: {reason}"));
+        port.log_debug(format_args!("{id} ended: {reason}"));
         reason.count(1);
-        self.desk.release_there(port, call.exchange, id);
+        self.desk.release_at_exchange(port, call.exchange, id);
         self.over(port, &call, Cause::Cancelled);
     }
 
     /// A standing call has ended, for the decisions to be told.
-    pub(super) fn over(&mut self, port: &mut dyn Port, call: &Standing, cause: Cause) {
+    pub(super) fn over(&mut self, port: &mut dyn Transport, call: &Standing, cause: Cause) {
         let Standing { call, seizure, exchange, sent, .. } = *call;
         let after = self.desk.now.saturating_sub(sent);
         let end = Ended { call, seizure, exchange, cause, after, closed: true };
-        self.decide(port, |controller, now, turn| controller.ended(now, turn, &end));
+        self.with_controller(port, |controller, now, turn| controller.ended(now, turn, &end));
     }
 }
 
 /// Answers a request that is no call taken.
-fn reply(port: &mut dyn Port, no: CallerNo, message: &Message, status: u16, why: &str) {
+fn reply(port: &mut dyn Transport, no: CallerConnectionId, message: &Message, status: u16, why: &str) {
     let names = ["Via", "Call-ID", "CSeq"];
     let mut headers: Vec<_> = names.iter().filter_map(|name| Some((*name, message.header(name)?))).collect();
     if !why.is_empty() {
@@ -261,5 +292,5 @@
     }
     let mut octets = Vec::new();
     sip::encode_response(&mut octets, status, &headers, b"");
-    port.say(no, &octets);
+    port.send_to_caller(no, &octets);
 }
--- a/crates/platform/src/core/discovery.rs
+++ b/crates/platform/src/core/discovery.rs
@@ -6,71 +6,72 @@
 use mintstall::liveness::Lease;
 
 use super::{BUS_AGAIN, BUS_AGAIN_LONGEST, BusState, Core};
-use crate::bus::{self, Event, Topology};
-use crate::desk::{RemoteExchange, Timer, doubled};
+use crate::event_bus::{self, Event, Topology};
 use crate::reasons::{CallEnd, LinkLoss};
-use crate::{Config, Port};
+use crate::state::{RemoteExchange, Timer, exponential_backoff};
+use crate::{Config, Transport};
 
 impl Core {
-    pub(super) fn dial_bus(&mut self, port: &mut dyn Port) {
-        (self.bus_state, self.bus_since) = (BusState::Dialled, self.desk.now);
-        port.dial_bus(self.bus_at);
+    pub(super) fn dial_bus(&mut self, port: &mut dyn Transport) {
+        (self.bus_state, self.bus_since) = (BusState::Connecting, self.desk.now);
+        port.connect_bus(self.bus_at);
     }
 
-    pub fn bus_connected(&mut self, now: Duration, port: &mut dyn Port) {
+    pub fn bus_connected(&mut self, now: Duration, port: &mut dyn Transport) {
         self.desk.now = now;
         (self.bus_state, self.bus_since) = (BusState::Up, now);
-        port.ask_bus(&self.bus.ask());
+        port.send_to_bus(&self.bus.resume_request());
     }
 
-    pub fn bus_disconnected(&mut self, now: Duration, port: &mut dyn Port) {
+    pub fn bus_disconnected(&mut self, now: Duration, port: &mut dyn Transport) {
         self.desk.now = now;
         self.drop_bus(port, "connection lost or refused");
     }
 
-    pub(super) fn drop_bus(&mut self, port: &mut dyn Port, reason: &str) {
+    pub(super) fn drop_bus(&mut self, port: &mut dyn Transport, reason: &str) {
         let after = self.desk.now.saturating_sub(self.bus_since);
-        port.detail(format_args!(
+        port.log_debug(format_args!(
             "event bus dropped: {reason}, {after:?} after it was last heard or dialled"
         ));
         metrics::counter!("bus_dropped").increment(1);
-        port.cut_bus();
+        port.close_bus();
         (self.bus_state, self.bus_since) = (BusState::Down, self.desk.now);
-        let pause = self.desk.jittered(doubled(BUS_AGAIN, self.bus_failures, BUS_AGAIN_LONGEST));
+        let pause = self.desk.jittered(exponential_backoff(BUS_AGAIN, self.bus_failures, BUS_AGAIN_LONGEST));
         self.bus_failures = self.bus_failures.saturating_add(1);
-        self.desk.set(pause, Timer::Bus);
+        self.desk.set(pause, Timer::ReconnectBus);
     }
 
-    pub fn bus_data(&mut self, now: Duration, port: &mut dyn Port, octets: &[u8]) {
+    pub fn bus_data(&mut self, now: Duration, port: &mut dyn Transport, octets: &[u8]) {
         self.desk.now = now;
         (self.bus_since, self.bus_failures) = (now, 0);
         let mut events = Vec::new();
-        let taken = self.bus.take(octets, |event| events.push(event));
+        let taken = self.bus.decode(octets, |event| events.push(event));
         events.iter().for_each(|event| self.apply(port, event));
         if let Err(spoilt) = taken {
-            port.note(&format!("event bus: {spoilt}; asked again from {}", self.bus.last()));
+            port.log_info(&format!("event bus: {spoilt}; asked again from {}", self.bus.last()));
             self.drop_bus(port, "unreadable line or gap");
         }
-        self.settle(port);
+        self.report_ended_seizures(port);
     }
 
     /// A new configuration: only where the bus is may change while calls are in hand.
-    pub fn configured(&mut self, now: Duration, port: &mut dyn Port, config: &Config) {
+    pub fn configured(&mut self, now: Duration, port: &mut dyn Transport, config: &Config) {
         self.desk.now = now;
         if config.bus != self.bus_at {
-            port.note(&format!("event bus: now at {}, was at {}", config.bus, self.bus_at));
+            port.log_info(&format!("event bus: now at {}, was at {}", config.bus, self.bus_at));
             (self.bus_at, self.bus_failures) = (config.bus, 0);
             self.dial_bus(port);
         }
     }
 
-    pub(super) fn apply(&mut self, port: &mut dyn Port, event: &Event) {
+    pub(super) fn apply(&mut self, port: &mut dyn Transport, event: &Event) {
         let Some(topology) = &event.topology else { return };
         let lines = self.lines(topology);
         let gone: Vec<_> = self.changes(port, topology, &lines);
-        match topology.all {
-            true => self.decide(port, |controller, now, turn| controller.roster(now, turn, &lines)),
-            false => self.decide(port, |controller, now, turn| controller.roster_changes(now, turn, &lines)),
+        match topology.is_full {
+            true => self.with_controller(port, |controller, now, turn| controller.roster(now, turn, &lines)),
+            false => self
+                .with_controller(port, |controller, now, turn| controller.roster_changes(now, turn, &lines)),
         }
         for (exchange, before, reason) in gone {
             self.cut_calls(port, exchange, before, reason);
@@ -95,9 +96,9 @@
                 office: OfficeNo(target.pod_group),
                 zone: Zone(zone.map_or(u8::MAX, |at| at as u8)),
                 standing: match target.state {
-                    bus::Service::InService => Service::Ready,
-                    bus::Service::Terminating => Service::Draining,
-                    bus::Service::Terminated => Service::Gone,
+                    event_bus::TargetState::InService => Service::Ready,
+                    event_bus::TargetState::Terminating => Service::Draining,
+                    event_bus::TargetState::Terminated => Service::Gone,
                 },
                 started: Duration::from_millis(target.boot_ms),
             });
@@ -108,7 +109,7 @@
     /// Takes changes into the books; gives the exchanges whose calls, from before some time, ended through them.
     pub(super) fn changes(
         &mut self,
-        port: &mut dyn Port,
+        port: &mut dyn Transport,
         topology: &Topology,
         lines: &[RosterLine],
     ) -> Vec<(ExchangeId, Duration, CallEnd)> {
@@ -127,7 +128,7 @@
                 draining: Default::default(),
                 failures: 0,
                 next_dial: Duration::ZERO,
-                waiting: Default::default(),
+                queued_set_ups: Default::default(),
                 releases: Default::default(),
                 lease: Lease::new(self.desk.now),
                 all_links_lost: None,
@@ -141,11 +142,11 @@
             if std::mem::replace(&mut far.at, target.endpoint) != target.endpoint {
                 let links = far.links.clone();
                 for link in links {
-                    self.desk.lose(port, link, LinkLoss::AddressChanged);
+                    self.desk.remove_link(port, link, LinkLoss::AddressChanged);
                 }
             }
         }
-        let missing = |id: &ExchangeId| topology.all && lines.iter().all(|line| line.exchange != *id);
+        let missing = |id: &ExchangeId| topology.is_full && lines.iter().all(|line| line.exchange != *id);
         for (id, far) in &mut self.desk.exchanges {
             if missing(id) {
                 far.service = Service::Gone;
@@ -158,7 +159,7 @@
             let far = self.desk.exchanges.get(&id);
             let links = far.map(|far| far.links.iter().chain(&far.draining).copied().collect::<Vec<_>>());
             for link in links.unwrap_or_default() {
-                self.desk.lose(port, link, LinkLoss::ExchangeGone);
+                self.desk.remove_link(port, link, LinkLoss::ExchangeGone);
             }
             if let Some(far) = self.desk.exchanges.remove(&id) {
                 self.uids.remove(&far.uid);
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 use super::Core;
-use crate::desk::{Caller, Standing, Timer};
 use crate::reasons::CallerClose;
-use crate::{CallerNo, Port};
+use crate::state::{Caller, Standing, Timer};
+use crate::{CallerConnectionId, Transport};
 
 /// After the signal calls keep coming for 0.6 s as if nothing were; the rest is for the way and for a late start.
 const SERVED_FOR: Duration = Duration::from_millis(750);
@@ -39,7 +39,7 @@
 
 impl Core {
     /// The signal to stop: what comes is still taken, with time for its answer before the process is ended.
-    pub fn stop(&mut self, now: Duration, port: &mut dyn Port) {
+    pub fn stop(&mut self, now: Duration, port: &mut dyn Transport) {
         self.desk.now = now;
         if self.shutdown != Shutdown::NotAsked {
             return;
@@ -47,15 +47,15 @@
         let deadlines = self.settings.controller.call_types.iter().map(|of| of.guard_time);
         let longest = deadlines.max().unwrap_or_default().clamp(SERVED_FOR, LONGEST_DEADLINE_COUNTED);
         let lasts = longest + ANSWERED_AFTER_DEADLINE;
-        port.note(&format!(
+        port.log_info(&format!(
             "told to stop: {} calls to be answered, {} stand, {} connections",
-            self.desk.named.len(),
+            self.desk.unanswered.len(),
             self.desk.standing.len(),
             self.desk.callers.len(),
         ));
         self.shutdown = Shutdown::Asked { at: now, ends: now + lasts };
-        self.desk.set(lasts, Timer::Stop);
-        self.desk.set(SERVED_FOR, Timer::Drain);
+        self.desk.set(lasts, Timer::ShutdownDeadline);
+        self.desk.set(SERVED_FOR, Timer::DrainCallers);
     }
 
     /// Whether set-ups are refused because the process is about to end.
@@ -64,9 +64,9 @@
     }
 
     /// Whether nothing is left to be done before the process ends.
-    pub fn stopped(&self, now: Duration) -> bool {
+    pub fn is_shutdown_complete(&self, now: Duration) -> bool {
         let served = matches!(self.shutdown, Shutdown::Asked { at, .. } if at + SERVED_FOR < now);
-        served && self.desk.named.is_empty() && self.desk.callers.is_empty()
+        served && self.desk.unanswered.is_empty() && self.desk.callers.is_empty()
     }
 
     /// Until when a set-up that came in the shutdown has its answer.
@@ -78,13 +78,13 @@
     }
 
     /// Closes connections on which nothing is left; when the shutdown ends, all.
-    pub(super) fn drain_callers(&mut self, port: &mut dyn Port) {
+    pub(super) fn drain_callers(&mut self, port: &mut dyn Transport) {
         let Shutdown::Asked { ends, .. } = self.shutdown else { return };
         let all = ends <= self.desk.now;
         let carrying = self.carrying();
-        let finished = |no: &CallerNo, caller: &Caller| {
+        let finished = |no: &CallerConnectionId, caller: &Caller| {
             caller.open.is_empty()
-                && caller.half.is_none()
+                && caller.partial_since.is_none()
                 && !carrying.contains(no)
                 && !caller.awaits_confirmation(self.desk.now)
         };
@@ -96,22 +96,24 @@
             // What an exchange tells from now on is for the successor: nobody is left to pass it on to.
             self.desk.close_links(port);
         }
-        self.desk.set(DRAIN_INTERVAL, Timer::Drain);
+        self.desk.set(DRAIN_INTERVAL, Timer::DrainCallers);
     }
 
     /// Connections on which the ends of calls that stand will be told: a call whose own has gone needs any other.
-    fn carrying(&self) -> BTreeSet<CallerNo> {
+    fn carrying(&self) -> BTreeSet<CallerConnectionId> {
         let any = self.desk.connection_for(None);
-        let open = |no: &CallerNo| self.desk.callers.contains_key(no);
+        let open = |no: &CallerConnectionId| self.desk.callers.contains_key(no);
         let told_on = |call: &Standing| Some(call.caller).filter(open).or(any);
         self.desk.standing.values().filter_map(told_on).collect()
     }
 
     /// The connection that can be closed to make room for another: the longest silent without an open set-up, and not
     /// in the middle of a message if it has sent others.
-    pub fn idlest(&self) -> Option<CallerNo> {
-        let closable = |caller: &Caller| caller.open.is_empty() && !(caller.usual && caller.half.is_some());
+    pub fn least_active_caller(&self) -> Option<CallerConnectionId> {
+        let closable = |caller: &Caller| {
+            caller.open.is_empty() && !(caller.sent_valid && caller.partial_since.is_some())
+        };
         let idle = self.desk.callers.iter().filter(|(_, caller)| closable(caller));
-        idle.min_by_key(|(_, caller)| (caller.usual, caller.heard)).map(|(no, _)| *no)
+        idle.min_by_key(|(_, caller)| (caller.sent_valid, caller.heard)).map(|(no, _)| *no)
     }
 }
--- a/crates/platform/src/bus.rs
+++ b/crates/platform/src/event_bus.rs
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Service {
+pub enum TargetState {
     InService,
     Terminating,
     Terminated,
@@ -28,7 +28,7 @@
     #[serde(default)]
     pub az: String,
     pub pod_group: u16,
-    pub state: Service,
+    pub state: TargetState,
     /// Unix milliseconds of a late start, or 0.
     #[serde(default)]
     pub boot_ms: u64,
@@ -37,8 +37,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Topology {
     /// Whether the list is whole; else it holds what has changed.
-    #[serde(default)]
-    pub all: bool,
+    #[serde(rename = "all", default)]
+    pub is_full: bool,
     pub targets: Vec<Target>,
 }
 
@@ -61,7 +61,7 @@
 
 /// What has come from the bus so far.
 #[derive(Debug)]
-pub struct Bus {
+pub struct EventDecoder {
     /// Number of the last event that was taken.
     last: u64,
     lines: LineCutter,
@@ -69,7 +69,7 @@
     asked_from: Option<u64>,
 }
 
-impl Bus {
+impl EventDecoder {
     pub fn new(last: u64) -> Self {
         Self { last, lines: LineCutter::new(LONGEST_LINE), asked_from: None }
     }
@@ -79,13 +79,13 @@
     }
 
     /// The line that asks for all events behind the last; what had come in part is dropped.
-    pub fn ask(&mut self) -> String {
+    pub fn resume_request(&mut self) -> String {
         self.lines = LineCutter::new(LONGEST_LINE);
         format!("from {}\n", self.last)
     }
 
     /// Takes what came and hands on each new event.
-    pub fn take(&mut self, octets: &[u8], mut each: impl FnMut(Event)) -> Result<(), DecodeError> {
+    pub fn decode(&mut self, octets: &[u8], mut each: impl FnMut(Event)) -> Result<(), DecodeError> {
         let mut lines = std::mem::replace(&mut self.lines, LineCutter::new(LONGEST_LINE));
         lines.push(octets);
         while let Some(line) = lines.next().map_err(|_| DecodeError::TooLong)? {
@@ -136,40 +136,40 @@
         ) + "\n"
     }
 
-    fn taken(bus: &mut Bus, text: &str) -> Vec<u64> {
+    fn taken(bus: &mut EventDecoder, text: &str) -> Vec<u64> {
         let mut all = Vec::new();
-        bus.take(text.as_bytes(), |event| all.push(event.offset)).unwrap();
+        bus.decode(text.as_bytes(), |event| all.push(event.offset)).unwrap();
         all
     }
 
     #[test]
     fn repeats_are_passed_over_and_half_lines_are_dropped_at_a_break() {
-        let mut bus = Bus::new(3);
+        let mut bus = EventDecoder::new(3);
         let (four, five) = (line(4, "in_service"), line(5, "terminating"));
         assert_eq!(taken(&mut bus, &format!("{four}{four}4\n{}", &five[..30])), [4]);
-        assert_eq!(bus.ask(), "from 4\n");
+        assert_eq!(bus.resume_request(), "from 4\n");
         assert_eq!(taken(&mut bus, &format!("{four}{five}5\n\n")), [5]);
         assert_eq!(bus.last(), 5);
     }
 
     #[test]
     fn a_gap_is_asked_for_once_and_what_stays_missing_is_taken_as_it_is() {
-        let mut bus = Bus::new(3);
+        let mut bus = EventDecoder::new(3);
         let six = line(6, "in_service");
-        assert!(matches!(bus.take(six.as_bytes(), |_| ()), Err(DecodeError::Gap { had: 3, came: 6 })));
-        assert_eq!(bus.ask(), "from 3\n");
+        assert!(matches!(bus.decode(six.as_bytes(), |_| ()), Err(DecodeError::Gap { had: 3, came: 6 })));
+        assert_eq!(bus.resume_request(), "from 3\n");
         assert_eq!(taken(&mut bus, &six), [6]);
-        assert!(bus.take(b"9\n", |_| ()).is_err(), "the pulse shows a gap too");
+        assert!(bus.decode(b"9\n", |_| ()).is_err(), "the pulse shows a gap too");
     }
 
     #[test]
     fn a_line_that_cant_be_read_changes_nothing() {
-        let mut bus = Bus::new(3);
+        let mut bus = EventDecoder::new(3);
         for wrong in ["{\"offset\":4,\n", "nonsense\n", &line(4, "in_doubt"), "99999999999999999999999\n"] {
-            let taken = bus.take(wrong.as_bytes(), |_| panic!("nothing was told"));
+            let taken = bus.decode(wrong.as_bytes(), |_| panic!("nothing was told"));
             assert!(matches!(taken, Err(DecodeError::Line(_))), "{wrong}");
-            assert_eq!(bus.ask(), "from 3\n");
+            assert_eq!(bus.resume_request(), "from 3\n");
         }
-        assert!(matches!(bus.take(&vec![b'x'; LONGEST_LINE + 1], |_| ()), Err(DecodeError::TooLong)));
+        assert!(matches!(bus.decode(&vec![b'x'; LONGEST_LINE + 1], |_| ()), Err(DecodeError::TooLong)));
     }
 }
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/exchange_protocol.rs
@@ -6,23 +6,30 @@
 use thiserror::Error;
 
 /// Octets that a message may have.
-pub const LONGEST: usize = 16 << 10;
+pub const MAX_MESSAGE_OCTETS: usize = 16 << 10;
 /// Type and id.
 const LEAST: usize = 9;
 
 /// A call as it is named on every wire of the platform.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct WireId(pub u64);
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct WireCallId(pub u64);
 
-impl WireId {
+impl WireCallId {
     /// Sixteen hex digits, as they are written here.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let digits = text.len() == 16 && text.bytes().all(|octet| matches!(octet, b'0'..=b'9' | b'a'..=b'f'));
         digits.then(|| u64::from_str_radix(text, 16).ok().map(Self)).flatten()
     }
 }
 
-impl std::fmt::Display for WireId {
+/// The log of calls holds this type under its former name.
+impl std::fmt::Debug for WireCallId {
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        f.debug_tuple("WireId").field(&self.0).finish()
+    }
+}
+
+impl std::fmt::Display for WireCallId {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -43,35 +50,35 @@
 
 /// What a message is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageType {
     SetUp = 1,
     Progress = 6,
     Answer = 9,
     Release = 12,
-    ReleaseHeard = 16,
+    ReleaseComplete = 16,
     State = 43,
     Test = 52,
     TestResult = 53,
 }
 
-impl Kind {
+impl MessageType {
     fn read(octet: u8) -> Result<Self, DecodeError> {
-        const ALL: [Kind; 8] = [
-            Kind::SetUp,
-            Kind::Progress,
-            Kind::Answer,
-            Kind::Release,
-            Kind::ReleaseHeard,
-            Kind::State,
-            Kind::Test,
-            Kind::TestResult,
+        const ALL: [MessageType; 8] = [
+            MessageType::SetUp,
+            MessageType::Progress,
+            MessageType::Answer,
+            MessageType::Release,
+            MessageType::ReleaseComplete,
+            MessageType::State,
+            MessageType::Test,
+            MessageType::TestResult,
         ];
         ALL.into_iter().find(|kind| *kind as u8 == octet).ok_or(DecodeError::Type(octet))
     }
 }
 
 /// Parameters that are known here; others are passed over.
-pub mod code {
+pub mod parameter {
     pub const CALL_TYPE: u8 = 33;
     pub const PATIENCE_MS: u8 = 34;
     pub const NUMBER: u8 = 37;
@@ -85,8 +92,8 @@
 /// One message, as it lies in the octets that came.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    pub kind: Kind,
-    pub call: WireId,
+    pub kind: MessageType,
+    pub call: WireCallId,
     pub cause: Option<u8>,
     pub note: Option<&'a str>,
     pub wait_ms: Option<u32>,
@@ -98,8 +105,8 @@
     /// Reads what follows the length.
     pub fn read(octets: &'a [u8]) -> Result<Self, DecodeError> {
         let (head, mut rest) = octets.split_at_checked(LEAST).ok_or(DecodeError::Length(octets.len()))?;
-        let call = WireId(head[1..].iter().fold(0, |id, octet| id << 8 | u64::from(*octet)));
-        let (kind, mut seen) = (Kind::read(head[0])?, [false; 256]);
+        let call = WireCallId(head[1..].iter().fold(0, |id, octet| id << 8 | u64::from(*octet)));
+        let (kind, mut seen) = (MessageType::read(head[0])?, [false; 256]);
         let mut message =
             Self { kind, call, cause: None, note: None, wait_ms: None, report: None, description: None };
         while let [code, high, low, more @ ..] = rest {
@@ -111,14 +118,14 @@
             }
             let text = || std::str::from_utf8(value).map_err(|_| wrong);
             match *code {
-                code::CAUSE => match value {
+                parameter::CAUSE => match value {
                     [cause] => message.cause = Some(*cause),
                     _ => return Err(wrong),
                 },
-                code::NOTE => message.note = Some(text()?),
-                code::WAIT_MS => message.wait_ms = Some(wait(text()?).ok_or(wrong)?),
-                code::REPORT => message.report = Some(text()?),
-                code::DESCRIPTION => message.description = Some(value),
+                parameter::NOTE => message.note = Some(text()?),
+                parameter::WAIT_MS => message.wait_ms = Some(wait(text()?).ok_or(wrong)?),
+                parameter::REPORT => message.report = Some(text()?),
+                parameter::DESCRIPTION => message.description = Some(value),
                 _ => {}
             }
             rest = next;
@@ -127,9 +134,13 @@
             return Err(DecodeError::Parameter);
         }
         let lacks = match kind {
-            Kind::Answer => message.description.is_none_or(<[u8]>::is_empty).then_some(code::DESCRIPTION),
-            Kind::Release | Kind::TestResult => message.cause.is_none().then_some(code::CAUSE),
-            Kind::State => message.report.is_none().then_some(code::REPORT),
+            MessageType::Answer => {
+                message.description.is_none_or(<[u8]>::is_empty).then_some(parameter::DESCRIPTION)
+            }
+            MessageType::Release | MessageType::TestResult => {
+                message.cause.is_none().then_some(parameter::CAUSE)
+            }
+            MessageType::State => message.report.is_none().then_some(parameter::REPORT),
             _ => None,
         };
         lacks.map_or(Ok(message), |code| Err(DecodeError::Value(code)))
@@ -144,12 +155,12 @@
 
 /// Cuts what comes on a link into messages.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct Decoder {
     held: Vec<u8>,
     done: usize,
 }
 
-impl Cutter {
+impl Decoder {
     pub fn push(&mut self, octets: &[u8]) {
         if self.done > 0 {
             self.held.drain(..self.done);
@@ -159,7 +170,7 @@
     }
 
     /// Whether a message has come in part.
-    pub fn half(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         self.done < self.held.len()
     }
 
@@ -173,11 +184,11 @@
             return Ok(None);
         };
         let length = usize::from(u16::from_be_bytes([*high, *low]));
-        if !(LEAST..=LONGEST - 2).contains(&length) {
+        if !(LEAST..=MAX_MESSAGE_OCTETS - 2).contains(&length) {
             return Err(DecodeError::Length(length));
         }
         // A type that is none is told before a long message has come.
-        after.first().map_or(Ok(()), |octet| Kind::read(*octet).map(drop))?;
+        after.first().map_or(Ok(()), |octet| MessageType::read(*octet).map(drop))?;
         if after.len() < length {
             return Ok(None);
         }
@@ -188,9 +199,9 @@
 }
 
 /// Writes a message with its parameters; what is too long for a message is the caller's fault and was refused before.
-pub fn write(out: &mut Vec<u8>, kind: Kind, call: WireId, parameters: &[(u8, &[u8])]) {
+pub fn encode(out: &mut Vec<u8>, kind: MessageType, call: WireCallId, parameters: &[(u8, &[u8])]) {
     let length = LEAST + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
-    debug_assert!(length <= LONGEST - 2);
+    debug_assert!(length <= MAX_MESSAGE_OCTETS - 2);
     out.extend((length as u16).to_be_bytes());
     out.push(kind as u8);
     out.extend(call.0.to_be_bytes());
@@ -210,46 +221,49 @@
 mod tests {
     use super::*;
 
-    fn written(kind: Kind, parameters: &[(u8, &[u8])]) -> Vec<u8> {
+    fn written(kind: MessageType, parameters: &[(u8, &[u8])]) -> Vec<u8> {
         let mut out = Vec::new();
-        write(&mut out, kind, WireId(0x9b1f_03aa_5c7e_2d41), parameters);
+        encode(&mut out, kind, WireCallId(0x9b1f_03aa_5c7e_2d41), parameters);
         out
     }
 
     #[test]
     fn a_release_is_written_as_the_page_says_and_read_again() {
         let octets = written(
-            Kind::Release,
-            &[(code::CAUSE, &[34]), (code::NOTE, b"throttled"), (code::WAIT_MS, b"250")],
+            MessageType::Release,
+            &[(parameter::CAUSE, &[34]), (parameter::NOTE, b"throttled"), (parameter::WAIT_MS, b"250")],
         );
         assert_eq!(octets[..14], [0, 31, 12, 0x9b, 0x1f, 0x03, 0xaa, 0x5c, 0x7e, 0x2d, 0x41, 47, 0, 1]);
-        let mut cutter = Cutter::default();
+        let mut cutter = Decoder::default();
         for octet in &octets[..octets.len() - 1] {
             cutter.push(&[*octet]);
             assert_eq!(cutter.next_message(), Ok(None));
-            assert!(cutter.half());
+            assert!(cutter.has_partial());
         }
         cutter.push(&octets[octets.len() - 1..]);
         let message = cutter.next_message().unwrap().unwrap();
         assert_eq!((message.cause, message.note, message.wait_ms), (Some(34), Some("throttled"), Some(250)));
-        assert!(cutter.next_message() == Ok(None) && !cutter.half());
+        assert!(cutter.next_message() == Ok(None) && !cutter.has_partial());
     }
 
     #[test]
     fn what_lacks_what_it_needs_or_runs_over_is_spoilt() {
         let spoilt = |octets: &[u8]| {
-            let mut cutter = Cutter::default();
+            let mut cutter = Decoder::default();
             cutter.push(octets);
             cutter.next_message().unwrap_err()
         };
-        assert_eq!(spoilt(&written(Kind::Answer, &[])), DecodeError::Value(48));
-        assert_eq!(spoilt(&written(Kind::Release, &[(47, &[1, 2])])), DecodeError::Value(47));
-        assert_eq!(spoilt(&written(Kind::Release, &[(47, &[1]), (47, &[1])])), DecodeError::Value(47));
-        assert_eq!(spoilt(&written(Kind::Release, &[(47, &[1]), (41, b"-1")])), DecodeError::Value(41));
+        assert_eq!(spoilt(&written(MessageType::Answer, &[])), DecodeError::Value(48));
+        assert_eq!(spoilt(&written(MessageType::Release, &[(47, &[1, 2])])), DecodeError::Value(47));
+        assert_eq!(spoilt(&written(MessageType::Release, &[(47, &[1]), (47, &[1])])), DecodeError::Value(47));
+        assert_eq!(
+            spoilt(&written(MessageType::Release, &[(47, &[1]), (41, b"-1")])),
+            DecodeError::Value(41)
+        );
         assert_eq!(spoilt(&[0xff, 0xff, 9]), DecodeError::Length(0xffff));
         assert_eq!(spoilt(&[0, 8]), DecodeError::Length(8));
         assert_eq!(spoilt(&[0, 9, 77]), DecodeError::Type(77));
-        let mut over = written(Kind::Release, &[(47, &[1])]);
+        let mut over = written(MessageType::Release, &[(47, &[1])]);
         *over.last_mut().unwrap() = 9;
         over[13] = 200;
         assert_eq!(spoilt(&over), DecodeError::Parameter);
@@ -258,11 +272,11 @@
     #[test]
     fn ids_are_sixteen_small_hex_digits() {
         assert_eq!(
-            WireId::read("9b1f03aa5c7e2d41").map(|id| id.to_string()).as_deref(),
+            WireCallId::parse("9b1f03aa5c7e2d41").map(|id| id.to_string()).as_deref(),
             Some("9b1f03aa5c7e2d41")
         );
         for wrong in ["", "9b1f03aa5c7e2d4", "9B1F03AA5C7E2D41", "+b1f03aa5c7e2d41", "9b1f03aa5c7e2d411"] {
-            assert_eq!(WireId::read(wrong), None);
+            assert_eq!(WireCallId::parse(wrong), None);
         }
     }
 }
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/state.rs
@@ -7,6 +7,7 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -15,10 +16,10 @@
 use mintstall::liveness::Lease;
 use mintstall_sip as sip;
 
-use crate::message::{self, WireId};
-use crate::{CallerNo, LinkNo};
+use crate::exchange_protocol::{self, WireCallId};
+use crate::{CallerConnectionId, LinkId};
 
-pub use self::actions::Turn;
+pub use self::actions::EventContext;
 
 /// Q.850: normal clearing; temporary failure.
 pub const NORMAL_CLEARING: u8 = 16;
@@ -52,56 +53,56 @@
 pub enum Timer {
     Alarm(AlarmId),
     /// A seizure's time-out.
-    Limit(CallId, SeizureNo),
+    SeizureTimeout(CallId, SeizureNo),
     /// The end of the caller's time.
-    Guard(CallId),
+    GuardTime(CallId),
     /// A dial that is not answered by now is given up.
-    Dial(LinkNo),
+    ConnectTimeout(LinkId),
     /// A connection on which an exchange repeats releases.
     DialForReleases(ExchangeId),
     /// Another try to reach an exchange.
     MaintainPool(ExchangeId),
     Sweep,
-    Bus,
-    Stop,
+    ReconnectBus,
+    ShutdownDeadline,
     /// Another look at which connections of callers can be closed in a shutdown.
-    Drain,
+    DrainCallers,
 }
 
 /// A seizure that is out.
 #[derive(Debug)]
-pub struct Out {
+pub struct OpenSeizure {
     pub no: SeizureNo,
     pub to: ExchangeId,
     /// None while its link is dialled.
-    pub link: Option<LinkNo>,
+    pub link: Option<LinkId>,
     pub since: Duration,
     pub limit: Duration,
 }
 
 /// Whether the caller still waits for the final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owed {
-    Answer,
-    Nothing,
+pub enum AnswerState {
+    Pending,
+    Settled,
 }
 
 /// A call that has no final answer, or whose seizure is out. Emptied by both ends.
 #[derive(Debug)]
 pub struct Call {
-    pub id: WireId,
-    pub caller: CallerNo,
+    pub id: WireCallId,
+    pub caller: CallerConnectionId,
     /// Headers of the set-up that its answers repeat.
     pub via: Box<str>,
     pub cseq: u32,
     pub call_type: Box<str>,
     pub number: Box<str>,
     pub description: Box<[u8]>,
-    pub owed: Owed,
+    pub answer_state: AnswerState,
     pub seizures: u8,
-    pub out: Option<Out>,
+    pub open_seizure: Option<OpenSeizure>,
     /// Links on which a seizure of this call was given up: what still comes there is not for a later one.
-    pub left: Vec<LinkNo>,
+    pub left: Vec<LinkId>,
 }
 
 impl Call {
@@ -116,7 +117,7 @@
     pub call: CallId,
     pub seizure: SeizureNo,
     pub exchange: ExchangeId,
-    pub caller: CallerNo,
+    pub caller: CallerConnectionId,
     pub sent: Duration,
     pub since: Duration,
 }
@@ -128,13 +129,13 @@
     pub open: BTreeSet<CallId>,
     pub heard: Duration,
     /// Since when a message has come in part, or nothing at all.
-    pub half: Option<Duration>,
+    pub partial_since: Option<Duration>,
     /// Whether it has sent something that makes sense.
-    pub usual: bool,
+    pub sent_valid: bool,
     /// Whether a call of its has stood: no caller that only breaks things gets so far.
-    pub proven: bool,
+    pub had_standing_call: bool,
     /// Releases written lately that it has not confirmed, oldest first.
-    unconfirmed: VecDeque<(Duration, WireId, u8)>,
+    unconfirmed: VecDeque<(Duration, WireCallId, u8)>,
 }
 
 impl Caller {
@@ -144,30 +145,42 @@
     }
 }
 
-#[derive(Debug, PartialEq, Eq)]
+#[derive(PartialEq, Eq)]
 pub enum LinkState {
-    Dialled,
+    Connecting,
     Up,
     /// Nothing came on it for long: no set-up goes there, but what still comes is read, a release perhaps.
     Draining {
         at: Duration,
     },
     /// Closed in the direction to the exchange: read to its end, as a release may be on its way.
-    Finishing {
+    HalfClosed {
         at: Duration,
     },
 }
 
+/// The log of calls holds `Connecting` as `Dialled` and `HalfClosed` as `Finishing`.
+impl fmt::Debug for LinkState {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Self::Connecting => f.write_str("Dialled"),
+            Self::Up => f.write_str("Up"),
+            Self::Draining { at } => f.debug_struct("Draining").field("at", at).finish(),
+            Self::HalfClosed { at } => f.debug_struct("Finishing").field("at", at).finish(),
+        }
+    }
+}
+
 /// One connection to an exchange.
 #[derive(Debug)]
 pub struct Link {
     pub to: ExchangeId,
     pub state: LinkState,
-    pub cutter: message::Cutter,
+    pub cutter: exchange_protocol::Decoder,
     pub heard: Duration,
-    pub half: Option<Duration>,
+    pub partial_since: Option<Duration>,
     /// Set-ups out on it.
-    pub out: BTreeMap<WireId, CallId>,
+    pub open_set_ups: BTreeMap<WireCallId, CallId>,
     /// The group's state that came last on it, while another link's is believed.
     pub state_told: Option<Report>,
 }
@@ -180,15 +193,15 @@
     pub service: Service,
     pub started: Duration,
     /// Dialled or up, oldest first.
-    pub links: Vec<LinkNo>,
+    pub links: Vec<LinkId>,
     /// Those that are only read on.
-    pub draining: VecDeque<LinkNo>,
+    pub draining: VecDeque<LinkId>,
     pub failures: u32,
     pub next_dial: Duration,
     /// Set-ups that wait for a link.
-    pub waiting: VecDeque<CallId>,
+    pub queued_set_ups: VecDeque<CallId>,
     /// Calls to be released there once a link is up, and those whose release it has not confirmed, with their time.
-    pub releases: VecDeque<(Duration, WireId)>,
+    pub releases: VecDeque<(Duration, WireCallId)>,
     /// For how long it is believed to hold the calls that stand there.
     pub lease: Lease,
     /// When its last open link was lost by the other side: whoever listens there next may be another process.
@@ -197,22 +210,22 @@
     pub dials_for_releases: bool,
 }
 
-pub struct Desk {
+pub struct PlatformState {
     pub now: Duration,
     pub calls: BTreeMap<CallId, Call>,
     /// Calls whose answer is owed, by the id on the wire.
-    pub named: BTreeMap<WireId, CallId>,
-    pub standing: BTreeMap<WireId, Standing>,
-    pub callers: BTreeMap<CallerNo, Caller>,
+    pub unanswered: BTreeMap<WireCallId, CallId>,
+    pub standing: BTreeMap<WireCallId, Standing>,
+    pub callers: BTreeMap<CallerConnectionId, Caller>,
     pub exchanges: BTreeMap<ExchangeId, RemoteExchange>,
-    pub links: BTreeMap<LinkNo, Link>,
+    pub links: BTreeMap<LinkId, Link>,
     pub timers: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
     /// Ends of seizures that the decisions are to be told.
     pub ends: VecDeque<Ended>,
     /// Releases for callers to whom no connection is open, oldest first.
-    pending_releases: VecDeque<(Duration, WireId, u8)>,
+    pending_releases: VecDeque<(Duration, WireCallId, u8)>,
     /// Releases by exchanges of calls that are not known here, oldest first.
-    unmatched_releases: VecDeque<(Duration, WireId, u8)>,
+    unmatched_releases: VecDeque<(Duration, WireCallId, u8)>,
     /// Octets of all descriptions and headers in `calls`.
     pub held: usize,
     pub links_each: usize,
@@ -224,12 +237,12 @@
     next: u64,
 }
 
-impl Desk {
+impl PlatformState {
     pub fn new(now: Duration, seed: u64, links_budget: usize, connect_timeout: Duration) -> Self {
         Self {
             now,
             calls: BTreeMap::new(),
-            named: BTreeMap::new(),
+            unanswered: BTreeMap::new(),
             standing: BTreeMap::new(),
             callers: BTreeMap::new(),
             exchanges: BTreeMap::new(),
@@ -265,14 +278,14 @@
 
     // Callers.
 
-    pub fn caller_connected(&mut self, caller: CallerNo) {
+    pub fn caller_connected(&mut self, caller: CallerConnectionId) {
         let fresh = Caller {
             cutter: sip::Decoder::default(),
             open: BTreeSet::new(),
             heard: self.now,
-            half: Some(self.now),
-            usual: false,
-            proven: false,
+            partial_since: Some(self.now),
+            sent_valid: false,
+            had_standing_call: false,
             unconfirmed: VecDeque::new(),
         };
         self.callers.insert(caller, fresh);
@@ -280,7 +293,7 @@
 }
 
 /// A span doubled with each failure, up to the last.
-pub fn doubled(first: Duration, failures: u32, last: Duration) -> Duration {
+pub fn exponential_backoff(first: Duration, failures: u32, last: Duration) -> Duration {
     const MOST_DOUBLINGS: u32 = 8;
     last.min(first * 2u32.pow(failures.min(MOST_DOUBLINGS)))
 }
--- a/crates/platform/src/desk/actions.rs
+++ b/crates/platform/src/state/actions.rs
@@ -4,23 +4,23 @@
 
 use mintstall::host::{AlarmId, CallId, Cause, ExchangeId, Host, PeerNo, SeizureNo, Standing as Service};
 
-use super::{Desk, Out, SPARE_LINKS, Timer};
-use crate::Port;
+use super::{OpenSeizure, PlatformState, SPARE_LINKS, Timer};
+use crate::Transport;
 
 /// The decisions act through this.
-pub struct Turn<'a> {
-    pub desk: &'a mut Desk,
-    pub port: &'a mut dyn Port,
+pub struct EventContext<'a> {
+    pub desk: &'a mut PlatformState,
+    pub port: &'a mut dyn Transport,
 }
 
-impl Host for Turn<'_> {
+impl Host for EventContext<'_> {
     fn seize(&mut self, id: CallId, to: ExchangeId, limit: Duration) {
         let Self { desk, port } = self;
         let Some(call) = desk.calls.get_mut(&id) else { return };
         let no = SeizureNo(call.seizures);
         call.seizures = call.seizures.saturating_add(1);
-        call.out = Some(Out { no, to, link: None, since: desk.now, limit });
-        desk.set(limit, Timer::Limit(id, no));
+        call.open_seizure = Some(OpenSeizure { no, to, link: None, since: desk.now, limit });
+        desk.set(limit, Timer::SeizureTimeout(id, no));
         if desk.send_set_up(*port, id) {
             return;
         }
@@ -33,13 +33,13 @@
             desk.dial(*port, to, at);
         }
         if let Some(far) = desk.exchanges.get_mut(&to) {
-            far.waiting.push_back(id);
+            far.queued_set_ups.push_back(id);
         }
         desk.unreached(to);
     }
 
     fn cancel(&mut self, id: CallId, seizure: SeizureNo) {
-        let out = self.desk.calls.get(&id).and_then(|call| call.out.as_ref());
+        let out = self.desk.calls.get(&id).and_then(|call| call.open_seizure.as_ref());
         if out.is_some_and(|out| out.no == seizure) {
             self.desk.give_up(self.port, id, Cause::Cancelled);
         }
@@ -69,6 +69,6 @@
     }
 
     fn log(&mut self, line: &str) {
-        self.port.note(line);
+        self.port.log_info(line);
     }
 }
--- a/crates/platform/src/desk/calls.rs
+++ b/crates/platform/src/state/calls.rs
@@ -4,11 +4,11 @@
 use mintstall_sip as sip;
 
 use super::releases::release_on;
-use super::{Call, Desk, LinkState, Owed, RemoteExchange};
-use crate::message::{self, Kind, code};
-use crate::{LinkNo, Port};
+use super::{AnswerState, Call, LinkState, PlatformState, RemoteExchange};
+use crate::exchange_protocol::{self, MessageType, parameter};
+use crate::{LinkId, Transport};
 
-impl Desk {
+impl PlatformState {
     pub fn take(&mut self, id: CallId, call: Call) {
         self.held += call.octets();
         self.calls.insert(id, call);
@@ -21,97 +21,100 @@
     /// The final answer of a call: written once, and nothing after it.
     pub fn answer(
         &mut self,
-        port: &mut dyn Port,
+        port: &mut dyn Transport,
         id: CallId,
         status: u16,
         more: &[(&str, &str)],
         body: &[u8],
     ) {
-        let Some(call) = self.calls.get_mut(&id).filter(|call| call.owed == Owed::Answer) else { return };
-        call.owed = Owed::Nothing;
+        let Some(call) = self.calls.get_mut(&id).filter(|call| call.answer_state == AnswerState::Pending)
+        else {
+            return;
+        };
+        call.answer_state = AnswerState::Settled;
         let (cseq, wire) = (format!("{} INVITE", call.cseq), call.id.to_string());
         let mut headers = vec![("Via", &*call.via), ("Call-ID", &wire), ("CSeq", &cseq)];
         headers.extend_from_slice(more);
         let (mut octets, caller) = (Vec::new(), call.caller);
         sip::encode_response(&mut octets, status, &headers, body);
-        self.named.remove(&call.id);
+        self.unanswered.remove(&call.id);
         if let Some(caller) = self.callers.get_mut(&caller) {
             caller.open.remove(&id);
         }
-        if call.out.is_none() {
+        if call.open_seizure.is_none() {
             self.drop_call(id);
         }
-        port.say(caller, &octets);
+        port.send_to_caller(caller, &octets);
         metrics::counter!("final_answers", "status" => status.to_string()).increment(1);
-        port.detail(format_args!("{wire} told {status} {more:?}"));
+        port.log_debug(format_args!("{wire} told {status} {more:?}"));
     }
 
     /// Nothing more is owed for a call; what is out of it goes on to its end.
-    pub fn forget(&mut self, id: CallId) {
+    pub fn withdraw_call(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if std::mem::replace(&mut call.owed, Owed::Nothing) == Owed::Answer {
-            self.named.remove(&call.id);
+        if std::mem::replace(&mut call.answer_state, AnswerState::Settled) == AnswerState::Pending {
+            self.unanswered.remove(&call.id);
             if let Some(caller) = self.callers.get_mut(&call.caller) {
                 caller.open.remove(&id);
             }
         }
-        if call.out.is_none() {
+        if call.open_seizure.is_none() {
             self.drop_call(id);
         }
     }
 
     /// The link for a further set-up: the one with fewest out.
-    pub(super) fn pick(&self, port: &dyn Port, far: &RemoteExchange, call: &Call) -> Option<LinkNo> {
+    pub(super) fn pick(&self, port: &dyn Transport, far: &RemoteExchange, call: &Call) -> Option<LinkId> {
         let links = far.links.iter().filter_map(|no| self.links.get(no).map(|link| (no, link)));
         let free = links.filter(|(no, link)| {
             link.state == LinkState::Up
-                && link.half.is_none()
+                && link.partial_since.is_none()
                 && !call.left.contains(no)
-                && !port.backed_up(**no)
+                && !port.is_write_blocked(**no)
         });
-        free.min_by_key(|(_, link)| link.out.len()).map(|(no, _)| *no)
+        free.min_by_key(|(_, link)| link.open_set_ups.len()).map(|(no, _)| *no)
     }
 
     /// Sends the set-up of a call whose seizure waits, if a link is free.
-    pub(super) fn send_set_up(&mut self, port: &mut dyn Port, id: CallId) -> bool {
+    pub(super) fn send_set_up(&mut self, port: &mut dyn Transport, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else { return true };
-        let Some(out) = call.out.as_ref().filter(|out| out.link.is_none()) else { return true };
+        let Some(out) = call.open_seizure.as_ref().filter(|out| out.link.is_none()) else { return true };
         let Some(far) = self.exchanges.get(&out.to) else { return false };
         let Some(no) = self.pick(port, far, call) else { return false };
         let left = out.limit.saturating_sub(self.now.saturating_sub(out.since));
         let patience = left.as_millis().to_string();
         let mut octets = Vec::with_capacity(64 + call.description.len());
         let parameters = [
-            (code::CALL_TYPE, call.call_type.as_bytes()),
-            (code::PATIENCE_MS, patience.as_bytes()),
-            (code::NUMBER, call.number.as_bytes()),
-            (code::DESCRIPTION, &call.description[..]),
+            (parameter::CALL_TYPE, call.call_type.as_bytes()),
+            (parameter::PATIENCE_MS, patience.as_bytes()),
+            (parameter::NUMBER, call.number.as_bytes()),
+            (parameter::DESCRIPTION, &call.description[..]),
         ];
-        message::write(&mut octets, Kind::SetUp, call.id, &parameters);
+        exchange_protocol::encode(&mut octets, MessageType::SetUp, call.id, &parameters);
         let wire = call.id;
         if let Some(link) = self.links.get_mut(&no) {
-            link.out.insert(wire, id);
+            link.open_set_ups.insert(wire, id);
         }
-        if let Some(out) = self.calls.get_mut(&id).and_then(|call| call.out.as_mut()) {
+        if let Some(out) = self.calls.get_mut(&id).and_then(|call| call.open_seizure.as_mut()) {
             out.link = Some(no);
         }
-        port.send(no, &octets);
-        port.detail(format_args!("{wire} sent on link {} with {patience} ms", no.0));
+        port.send_to_link(no, &octets);
+        port.log_debug(format_args!("{wire} sent on link {} with {patience} ms", no.0));
         true
     }
 
     /// A seizure has ended: taken off the books, to be told.
     pub fn end(&mut self, id: CallId, cause: Cause) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = call.out.take() else { return };
-        let closed = call.owed == Owed::Nothing;
+        let Some(out) = call.open_seizure.take() else { return };
+        let closed = call.answer_state == AnswerState::Settled;
         if let Some(link) = out.link.and_then(|no| self.links.get_mut(&no)) {
-            link.out.remove(&call.id);
+            link.open_set_ups.remove(&call.id);
         }
         if out.link.is_none()
             && let Some(far) = self.exchanges.get_mut(&out.to)
         {
-            far.waiting.retain(|waits| *waits != id);
+            far.queued_set_ups.retain(|waits| *waits != id);
         }
         let after = self.now.saturating_sub(out.since);
         metrics::counter!("attempts_ended", "cause" => cause_label(cause)).increment(1);
@@ -122,9 +125,9 @@
     }
 
     /// Gives up a seizure: the exchange is told, and what still comes on that link is not for a later one.
-    pub fn give_up(&mut self, port: &mut dyn Port, id: CallId, cause: Cause) {
+    pub fn give_up(&mut self, port: &mut dyn Transport, id: CallId, cause: Cause) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = &call.out else { return };
+        let Some(out) = &call.open_seizure else { return };
         // What never went out is not reached, and has not run.
         let Some(link) = out.link else { return self.end(id, Cause::Unreachable) };
         call.left.push(link);
@@ -133,8 +136,8 @@
     }
 
     /// The time of a seizure is up.
-    pub fn limit(&mut self, port: &mut dyn Port, id: CallId, no: SeizureNo) {
-        let Some(out) = self.calls.get(&id).and_then(|call| call.out.as_ref()) else { return };
+    pub fn limit(&mut self, port: &mut dyn Transport, id: CallId, no: SeizureNo) {
+        let Some(out) = self.calls.get(&id).and_then(|call| call.open_seizure.as_ref()) else { return };
         if out.no != no {
             return;
         }
--- a/crates/platform/src/desk/links.rs
+++ b/crates/platform/src/state/links.rs
@@ -7,12 +7,12 @@
 use mintstall::host::{Cause, ExchangeId, Standing as Service};
 
 use super::{
-    DRAINING_FOR, Desk, FINISHED_WITHIN, Link, LinkState, MOST_LINKS, REDIAL_FIRST, REDIAL_LAST,
-    RemoteExchange, Timer, doubled,
+    DRAINING_FOR, FINISHED_WITHIN, Link, LinkState, MOST_LINKS, PlatformState, REDIAL_FIRST, REDIAL_LAST,
+    RemoteExchange, Timer, exponential_backoff,
 };
-use crate::message::{self, Kind, WireId, code};
+use crate::exchange_protocol::{self, MessageType, WireCallId, parameter};
 use crate::reasons::LinkLoss;
-use crate::{LinkNo, Port};
+use crate::{LinkId, Transport};
 
 /// The connection for releases that may have been lost is opened after this: the other side has noticed the loss, and a
 /// process that had hung has worked off what had piled up.
@@ -23,15 +23,15 @@
 /// before its lease expires.
 const REDIAL_IN_DOUBT: Duration = Duration::from_millis(250);
 
-impl Desk {
+impl PlatformState {
     /// Closes draining links whose time is over in our direction; gives those that the other side has not closed since.
-    pub fn expire_links(&mut self, port: &mut dyn Port) -> Vec<LinkNo> {
+    pub fn expire_links(&mut self, port: &mut dyn Transport) -> Vec<LinkId> {
         let now = self.now;
         let (mut drained, mut expired) = (Vec::new(), Vec::new());
         for (no, link) in &self.links {
             match link.state {
                 LinkState::Draining { at } if at + DRAINING_FOR < now => drained.push(*no),
-                LinkState::Finishing { at } if at + FINISHED_WITHIN < now => expired.push(*no),
+                LinkState::HalfClosed { at } if at + FINISHED_WITHIN < now => expired.push(*no),
                 _ => {}
             }
         }
@@ -40,11 +40,11 @@
     }
 
     /// Sends nothing new on a link, reads it on for a while, and has another dialled in its place.
-    pub fn drain_link(&mut self, port: &mut dyn Port, no: LinkNo) {
+    pub fn drain_link(&mut self, port: &mut dyn Transport, no: LinkId) {
         let Some(link) = self.links.get_mut(&no) else { return };
         let to = link.to;
         link.state = LinkState::Draining { at: self.now };
-        port.detail(format_args!("link {} to exchange {} drained", no.0, to.0));
+        port.log_debug(format_args!("link {} to exchange {} drained", no.0, to.0));
         if let Some(far) = self.exchanges.get_mut(&to) {
             far.links.retain(|known| *known != no);
             far.draining.push_back(no);
@@ -54,8 +54,8 @@
     }
 
     /// No more than some links of an exchange are read on.
-    fn finish_oldest(&mut self, port: &mut dyn Port, to: ExchangeId) {
-        let draining = |no: &&LinkNo| {
+    fn finish_oldest(&mut self, port: &mut dyn Transport, to: ExchangeId) {
+        let draining = |no: &&LinkId| {
             self.links.get(no).is_some_and(|link| matches!(link.state, LinkState::Draining { .. }))
         };
         let Some(remote) = self.exchanges.get(&to) else { return };
@@ -64,34 +64,34 @@
         if remote.draining.len() > 2 * MOST_LINKS
             && let Some(oldest) = oldest
         {
-            self.lose(port, oldest, LinkLoss::DrainExpired);
+            self.remove_link(port, oldest, LinkLoss::DrainExpired);
         } else if all.len() > MOST_LINKS {
             self.finish(port, all[0]);
         }
     }
 
     /// Closes a link in our direction; it is read to its end.
-    fn finish(&mut self, port: &mut dyn Port, no: LinkNo) {
+    fn finish(&mut self, port: &mut dyn Transport, no: LinkId) {
         if let Some(link) = self.links.get_mut(&no) {
-            link.state = LinkState::Finishing { at: self.now };
-            port.finish(no);
+            link.state = LinkState::HalfClosed { at: self.now };
+            port.shutdown_link_write(no);
         }
     }
 
     /// Closes all links, and dials none any more. Exchanges repeat on the next connection what they have told meanwhile.
-    pub fn close_links(&mut self, port: &mut dyn Port) {
+    pub fn close_links(&mut self, port: &mut dyn Transport) {
         self.links_closed = true;
         let all: Vec<_> = self.links.keys().copied().collect();
         for no in all {
-            self.lose(port, no, LinkLoss::Shutdown);
+            self.remove_link(port, no, LinkLoss::Shutdown);
         }
     }
 
     /// A link that was dialled for the releases that another may have lost makes the oldest one superfluous.
-    fn drain_surplus(&mut self, port: &mut dyn Port, to: ExchangeId) {
+    fn drain_surplus(&mut self, port: &mut dyn Transport, to: ExchangeId) {
         let Some(remote) = self.exchanges.get(&to) else { return };
         if self.up_links(remote).count() > self.links_each
-            && let Some(oldest) = self.first_up(to)
+            && let Some(oldest) = self.oldest_open_link(to)
         {
             self.drain_link(port, oldest);
         }
@@ -106,7 +106,7 @@
         }
     }
 
-    pub fn dial_for_releases(&mut self, port: &mut dyn Port, to: ExchangeId) {
+    pub fn dial_for_releases(&mut self, port: &mut dyn Transport, to: ExchangeId) {
         let Some(remote) = self.exchanges.get_mut(&to) else { return };
         remote.dials_for_releases = false;
         let (listed, at) = (remote.service != Service::Gone, remote.at);
@@ -116,11 +116,16 @@
     }
 
     /// Asks an exchange for a sign of life, if a link is up; a new one brings its own.
-    pub fn send_heartbeat(&mut self, port: &mut dyn Port, to: ExchangeId) {
-        let Some(link) = self.first_up(to) else { return };
+    pub fn send_heartbeat(&mut self, port: &mut dyn Transport, to: ExchangeId) {
+        let Some(link) = self.oldest_open_link(to) else { return };
         let mut octets = Vec::new();
-        message::write(&mut octets, Kind::Test, WireId(self.number()), &[(code::CAUSE, &[TEST])]);
-        port.send(link, &octets);
+        exchange_protocol::encode(
+            &mut octets,
+            MessageType::Test,
+            WireCallId(self.number()),
+            &[(parameter::CAUSE, &[TEST])],
+        );
+        port.send_to_link(link, &octets);
         metrics::counter!("heartbeats_sent").increment(1);
     }
 
@@ -131,7 +136,7 @@
     }
 
     /// Dials what an exchange is short of links.
-    pub fn maintain_pool(&mut self, port: &mut dyn Port, to: ExchangeId) {
+    pub fn maintain_pool(&mut self, port: &mut dyn Transport, to: ExchangeId) {
         let Some(far) = self.exchanges.get(&to) else { return };
         let wanted = match far.service {
             Service::Ready => self.links_each,
@@ -149,35 +154,42 @@
         (0..if first { short } else { 1 }).for_each(|_| self.dial(port, to, at));
     }
 
-    pub(super) fn dial(&mut self, port: &mut dyn Port, to: ExchangeId, at: SocketAddr) {
+    pub(super) fn dial(&mut self, port: &mut dyn Transport, to: ExchangeId, at: SocketAddr) {
         if self.links_closed {
             return;
         }
-        let no = LinkNo(self.number());
-        let (state, cutter) = (LinkState::Dialled, message::Cutter::default());
-        let link =
-            Link { to, state, cutter, heard: self.now, half: None, out: BTreeMap::new(), state_told: None };
+        let no = LinkId(self.number());
+        let (state, cutter) = (LinkState::Connecting, exchange_protocol::Decoder::default());
+        let link = Link {
+            to,
+            state,
+            cutter,
+            heard: self.now,
+            partial_since: None,
+            open_set_ups: BTreeMap::new(),
+            state_told: None,
+        };
         self.links.insert(no, link);
         self.exchanges.entry(to).and_modify(|far| far.links.push(no));
-        self.set(self.connect_timeout, Timer::Dial(no));
+        self.set(self.connect_timeout, Timer::ConnectTimeout(no));
         metrics::counter!("links_dialled").increment(1);
-        port.detail(format_args!("link {} to exchange {} dialled at {at}", no.0, to.0));
-        port.dial(no, at);
+        port.log_debug(format_args!("link {} to exchange {} dialled at {at}", no.0, to.0));
+        port.connect_link(no, at);
     }
 
     /// Whether a link to an exchange is being dialled.
     pub(super) fn dialling(&self, far: &RemoteExchange) -> bool {
-        far.links.iter().any(|no| self.links.get(no).is_some_and(|link| link.state == LinkState::Dialled))
+        far.links.iter().any(|no| self.links.get(no).is_some_and(|link| link.state == LinkState::Connecting))
     }
 
-    pub fn link_connected(&mut self, port: &mut dyn Port, no: LinkNo) {
+    pub fn link_connected(&mut self, port: &mut dyn Transport, no: LinkId) {
         let Some(link) = self.links.get_mut(&no) else { return };
         (link.state, link.heard) = (LinkState::Up, self.now);
         let to = link.to;
-        port.detail(format_args!("link {} to exchange {} up", no.0, to.0));
+        port.log_debug(format_args!("link {} to exchange {} up", no.0, to.0));
         let Some(far) = self.exchanges.get_mut(&to) else { return };
         far.failures = 0;
-        let waiting = std::mem::take(&mut far.waiting);
+        let waiting = std::mem::take(&mut far.queued_set_ups);
         let ready = far.service == Service::Ready;
         self.repeat_releases(port, to, no);
         self.drain_surplus(port, to);
@@ -186,38 +198,39 @@
             if !ready {
                 self.end(id, Cause::Unreachable);
             } else if !self.send_set_up(port, id) {
-                self.exchanges.entry(to).and_modify(|far| far.waiting.push_back(id));
+                self.exchanges.entry(to).and_modify(|far| far.queued_set_ups.push_back(id));
             }
         }
         self.maintain_pool(port, to);
     }
 
     /// A link has gone, or is closed here: every set-up on it was cut. Whether it had ever been up.
-    pub fn lose(
+    pub fn remove_link(
         &mut self,
-        port: &mut dyn Port,
-        no: LinkNo,
+        port: &mut dyn Transport,
+        no: LinkId,
         reason: LinkLoss,
     ) -> Option<(ExchangeId, LinkState)> {
         let link = self.links.remove(&no)?;
-        port.cut(no);
+        port.close_link(no);
         let (to, silent) = (link.to, self.now.saturating_sub(link.heard));
-        let was_open = link.state != LinkState::Dialled;
+        let was_open = link.state != LinkState::Connecting;
         metrics::counter!("links_lost", "reason" => reason.label()).increment(1);
-        port.detail(format_args!(
+        port.log_debug(format_args!(
             "link {} to exchange {} lost: {reason}, was {:?}, {} set-ups out, silent for {silent:?}",
             no.0,
             to.0,
             link.state,
-            link.out.len(),
+            link.open_set_ups.len(),
         ));
-        for id in link.out.into_values() {
+        for id in link.open_set_ups.into_values() {
             self.end(id, Cause::Cut);
         }
         if let Some(far) = self.exchanges.get_mut(&to) {
             far.links.retain(|known| *known != no);
             far.draining.retain(|known| *known != no);
-            let open = |no: &LinkNo| self.links.get(no).is_some_and(|link| link.state != LinkState::Dialled);
+            let open =
+                |no: &LinkId| self.links.get(no).is_some_and(|link| link.state != LinkState::Connecting);
             let none_open = !far.links.iter().chain(&far.draining).any(open);
             if none_open && was_open && reason == LinkLoss::Disconnected {
                 far.all_links_lost = Some(self.now);
@@ -228,7 +241,7 @@
         }
         self.maintain_pool(port, to);
         let read_to_its_end =
-            matches!((&link.state, reason), (LinkState::Finishing { .. }, LinkLoss::Disconnected));
+            matches!((&link.state, reason), (LinkState::HalfClosed { .. }, LinkLoss::Disconnected));
         let dialled_since = self.exchanges.get(&to).is_some_and(|remote| self.dialling(remote));
         if was_open && !read_to_its_end && !dialled_since {
             self.plan_dial_for_releases(to);
@@ -242,7 +255,7 @@
         let Some(far) = self.exchanges.get_mut(&to) else { return };
         far.failures = far.failures.saturating_add(1);
         let last = if far.lease.in_doubt() { REDIAL_IN_DOUBT } else { REDIAL_LAST };
-        let ceiling = doubled(REDIAL_FIRST, far.failures, last);
+        let ceiling = exponential_backoff(REDIAL_FIRST, far.failures, last);
         let next_dial = self.now + self.jittered(ceiling);
         self.exchanges.entry(to).and_modify(|far| far.next_dial = next_dial);
     }
@@ -252,21 +265,21 @@
         if self.exchanges.get(&to).is_some_and(|far| !self.dialling(far))
             && let Some(far) = self.exchanges.get_mut(&to)
         {
-            for id in std::mem::take(&mut far.waiting) {
+            for id in std::mem::take(&mut far.queued_set_ups) {
                 self.end(id, Cause::Unreachable);
             }
         }
     }
 
     /// The links of an exchange that are up, oldest first.
-    fn up_links(&self, of: &RemoteExchange) -> impl Iterator<Item = LinkNo> {
-        let up = |no: &&LinkNo| self.links.get(no).is_some_and(|link| link.state == LinkState::Up);
+    fn up_links(&self, of: &RemoteExchange) -> impl Iterator<Item = LinkId> {
+        let up = |no: &&LinkId| self.links.get(no).is_some_and(|link| link.state == LinkState::Up);
         of.links.iter().filter(up).copied()
     }
 
     /// The oldest link that is up. Its word of the group's state alone is believed: each link is told each change, and
     /// a copy that comes after a further seizure would set the free circuits back up.
-    pub fn first_up(&self, of: ExchangeId) -> Option<LinkNo> {
+    pub fn oldest_open_link(&self, of: ExchangeId) -> Option<LinkId> {
         self.up_links(self.exchanges.get(&of)?).next()
     }
 }
--- a/crates/platform/src/desk/releases.rs
+++ b/crates/platform/src/state/releases.rs
@@ -6,19 +6,19 @@
 use mintstall_sip as sip;
 
 use super::{
-    CONFIRM_WITHIN, Desk, MOST_PENDING_RELEASES, NORMAL_CLEARING, PENDING_RELEASE_KEPT,
+    CONFIRM_WITHIN, MOST_PENDING_RELEASES, NORMAL_CLEARING, PENDING_RELEASE_KEPT, PlatformState,
     REPEAT_RELEASE_WITHIN, Standing, UNMATCHED_RELEASE_KEPT,
 };
-use crate::message::{self, Kind, WireId, code};
-use crate::{CallerNo, LinkNo, Port};
+use crate::exchange_protocol::{self, MessageType, WireCallId, parameter};
+use crate::{CallerConnectionId, LinkId, Transport};
 
-impl Desk {
+impl PlatformState {
     /// Tells a caller that its call is over: on its own connection, else on any, else on the next that opens.
     pub fn notify_release(
         &mut self,
-        port: &mut dyn Port,
-        caller: Option<CallerNo>,
-        id: WireId,
+        port: &mut dyn Transport,
+        caller: Option<CallerConnectionId>,
+        id: WireCallId,
         cause: u8,
         since: Duration,
     ) {
@@ -26,7 +26,7 @@
             if self.pending_releases.len() == MOST_PENDING_RELEASES {
                 self.pending_releases.pop_front();
             }
-            port.detail(format_args!("{id} over: no caller's connection is open"));
+            port.log_debug(format_args!("{id} over: no caller's connection is open"));
             return self.pending_releases.push_back((since, id, cause));
         };
         let (wire, reason) = (id.to_string(), format!("Q.850;cause={cause}"));
@@ -40,29 +40,29 @@
                 caller.unconfirmed.push_back((self.now, id, cause));
             }
         }
-        port.say(no, &octets);
-        port.detail(format_args!("{id} over: told on {}, cause {cause}", no.0));
+        port.send_to_caller(no, &octets);
+        port.log_debug(format_args!("{id} over: told on {}, cause {cause}", no.0));
     }
 
     /// The connection on which the end of a call is told: its caller's, else the best of the others. Those on which a
     /// call has stood come first: others may be of those who only break things.
-    pub fn connection_for(&self, caller: Option<CallerNo>) -> Option<CallerNo> {
-        let usual = |no: &CallerNo| self.callers.get(no).is_some_and(|caller| caller.usual);
+    pub fn connection_for(&self, caller: Option<CallerConnectionId>) -> Option<CallerConnectionId> {
+        let usual = |no: &CallerConnectionId| self.callers.get(no).is_some_and(|caller| caller.sent_valid);
         let any = || {
-            let usual = self.callers.iter().filter(|(_, caller)| caller.usual);
-            usual.max_by_key(|(_, caller)| (caller.proven, caller.heard)).map(|(no, _)| *no)
+            let usual = self.callers.iter().filter(|(_, caller)| caller.sent_valid);
+            usual.max_by_key(|(_, caller)| (caller.had_standing_call, caller.heard)).map(|(no, _)| *no)
         };
         caller.filter(usual).or_else(any)
     }
 
-    pub fn release_confirmed(&mut self, caller: CallerNo, id: WireId) {
+    pub fn release_confirmed(&mut self, caller: CallerConnectionId, id: WireCallId) {
         if let Some(caller) = self.callers.get_mut(&caller) {
             caller.unconfirmed.retain(|(_, known, _)| *known != id);
         }
     }
 
     /// Releases that waited for a connection go out now.
-    pub fn send_pending_releases(&mut self, port: &mut dyn Port) {
+    pub fn send_pending_releases(&mut self, port: &mut dyn Transport) {
         for (since, id, cause) in std::mem::take(&mut self.pending_releases) {
             if since + PENDING_RELEASE_KEPT > self.now {
                 self.notify_release(port, None, id, cause, since);
@@ -71,7 +71,7 @@
     }
 
     /// A caller's connection has gone: the calls that waited on it, for the decisions to be told.
-    pub fn caller_disconnected(&mut self, port: &mut dyn Port, no: CallerNo) -> Vec<CallId> {
+    pub fn caller_disconnected(&mut self, port: &mut dyn Transport, no: CallerConnectionId) -> Vec<CallId> {
         let Some(caller) = self.callers.remove(&no) else { return Vec::new() };
         for (at, id, cause) in caller.unconfirmed {
             if at + CONFIRM_WITHIN > self.now {
@@ -83,8 +83,8 @@
 
     /// Releases a standing call towards its exchange: on a link that is up, and on the next one unless it is confirmed,
     /// as a link may be lost with what was written on it.
-    pub fn release_there(&mut self, port: &mut dyn Port, to: ExchangeId, id: WireId) {
-        if let Some(link) = self.first_up(to) {
+    pub fn release_at_exchange(&mut self, port: &mut dyn Transport, to: ExchangeId, id: WireCallId) {
+        if let Some(link) = self.oldest_open_link(to) {
             release_on(port, link, id);
         }
         let now = self.now;
@@ -97,14 +97,14 @@
     }
 
     /// An exchange has confirmed a release.
-    pub fn release_confirmed_there(&mut self, by: ExchangeId, id: WireId) {
+    pub fn exchange_confirmed_release(&mut self, by: ExchangeId, id: WireCallId) {
         if let Some(far) = self.exchanges.get_mut(&by) {
             far.releases.retain(|(_, known)| *known != id);
         }
     }
 
     /// A link has come up: releases that wait, or were not confirmed, go out on it.
-    pub(super) fn repeat_releases(&mut self, port: &mut dyn Port, to: ExchangeId, link: LinkNo) {
+    pub(super) fn repeat_releases(&mut self, port: &mut dyn Transport, to: ExchangeId, link: LinkId) {
         let now = self.now;
         let Some(far) = self.exchanges.get_mut(&to) else { return };
         for (at, id) in std::mem::take(&mut far.releases) {
@@ -115,9 +115,9 @@
     }
 
     /// Keeps the release of a call that is not known here, for a caller that may yet name it.
-    pub fn keep_unmatched_release(&mut self, id: WireId, cause: u8) {
+    pub fn keep_unmatched_release(&mut self, id: WireCallId, cause: u8) {
         let now = self.now;
-        let expired = |(at, ..): &mut (Duration, WireId, u8)| *at + UNMATCHED_RELEASE_KEPT < now;
+        let expired = |(at, ..): &mut (Duration, WireCallId, u8)| *at + UNMATCHED_RELEASE_KEPT < now;
         while self.unmatched_releases.pop_front_if(expired).is_some() {}
         if self.unmatched_releases.len() == MOST_PENDING_RELEASES {
             self.unmatched_releases.pop_front();
@@ -126,19 +126,24 @@
     }
 
     /// The cause with which a call was released before its caller named it, if it was.
-    pub fn unmatched_release(&self, id: WireId) -> Option<u8> {
+    pub fn unmatched_release(&self, id: WireCallId) -> Option<u8> {
         self.unmatched_releases.iter().rev().find(|(_, known, _)| *known == id).map(|(.., cause)| *cause)
     }
 
     /// Calls that stand at an exchange since before some time, taken off the books.
-    pub fn take_standing(&mut self, at: ExchangeId, before: Duration) -> Vec<(WireId, Standing)> {
+    pub fn take_standing(&mut self, at: ExchangeId, before: Duration) -> Vec<(WireCallId, Standing)> {
         self.standing.extract_if(.., |_, call| call.exchange == at && call.since < before).collect()
     }
 }
 
 /// Releases a call on a link, for a reason of its caller's or our own.
-pub(super) fn release_on(port: &mut dyn Port, link: LinkNo, id: WireId) {
+pub(super) fn release_on(port: &mut dyn Transport, link: LinkId, id: WireCallId) {
     let mut octets = Vec::new();
-    message::write(&mut octets, Kind::Release, id, &[(code::CAUSE, &[NORMAL_CLEARING])]);
-    port.send(link, &octets);
+    exchange_protocol::encode(
+        &mut octets,
+        MessageType::Release,
+        id,
+        &[(parameter::CAUSE, &[NORMAL_CLEARING])],
+    );
+    port.send_to_link(link, &octets);
 }
--- a/crates/platform/tests/stories.rs
+++ b/crates/platform/tests/stories.rs
@@ -7,8 +7,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use mintstall_platform::message::{self, Kind, WireId, code};
-use mintstall_platform::{CallerNo, Config, Core, Disconnect, LinkNo, Port};
+use mintstall_platform::exchange_protocol::{self, MessageType, WireCallId, parameter};
+use mintstall_platform::{CallerConnectionId, Config, Core, Disconnect, LinkId, Transport};
 use mintstall_sip as sip;
 use serde_json::json;
 
@@ -56,9 +56,9 @@
 
 #[derive(Debug, Default)]
 struct Judge {
-    final_answers: BTreeSet<(CallerNo, String)>,
-    out: BTreeMap<WireId, LinkNo>,
-    given_up: BTreeMap<WireId, Duration>,
+    final_answers: BTreeSet<(CallerConnectionId, String)>,
+    out: BTreeMap<WireCallId, LinkId>,
+    given_up: BTreeMap<WireCallId, Duration>,
     drained: BTreeMap<SocketAddr, Duration>,
 }
 
@@ -66,20 +66,20 @@
 #[derive(Debug, Default)]
 struct Wires {
     now: Duration,
-    said: Vec<(CallerNo, String, Vec<u8>)>,
-    hung_up: Vec<CallerNo>,
-    dialled: Vec<(LinkNo, SocketAddr)>,
-    sent: Vec<(LinkNo, Kind, WireId, Option<u8>)>,
-    cut: Vec<LinkNo>,
-    finished: Vec<LinkNo>,
-    at: BTreeMap<LinkNo, SocketAddr>,
+    said: Vec<(CallerConnectionId, String, Vec<u8>)>,
+    hung_up: Vec<CallerConnectionId>,
+    dialled: Vec<(LinkId, SocketAddr)>,
+    sent: Vec<(LinkId, MessageType, WireCallId, Option<u8>)>,
+    cut: Vec<LinkId>,
+    finished: Vec<LinkId>,
+    at: BTreeMap<LinkId, SocketAddr>,
     bus: Vec<String>,
     notes: Vec<String>,
     judge: Judge,
 }
 
-impl Port for Wires {
-    fn say(&mut self, caller: CallerNo, octets: &[u8]) {
+impl Transport for Wires {
+    fn send_to_caller(&mut self, caller: CallerConnectionId, octets: &[u8]) {
         assert!(!self.hung_up.contains(&caller), "said to one that was hung up on");
         let mut cutter = sip::Decoder::default();
         cutter.push(octets);
@@ -101,22 +101,22 @@
         }
     }
 
-    fn hang_up(&mut self, caller: CallerNo) {
+    fn close_caller_after_flush(&mut self, caller: CallerConnectionId) {
         self.hung_up.push(caller);
     }
 
-    fn dial(&mut self, link: LinkNo, to: SocketAddr) {
+    fn connect_link(&mut self, link: LinkId, to: SocketAddr) {
         self.dialled.push((link, to));
         self.at.insert(link, to);
     }
 
-    fn send(&mut self, link: LinkNo, octets: &[u8]) {
-        let mut cutter = message::Cutter::default();
+    fn send_to_link(&mut self, link: LinkId, octets: &[u8]) {
+        let mut cutter = exchange_protocol::Decoder::default();
         cutter.push(octets);
         while let Some(message) = cutter.next_message().unwrap() {
             let (id, now) = (message.call, self.now);
             match message.kind {
-                Kind::SetUp => {
+                MessageType::SetUp => {
                     assert_eq!(self.judge.out.insert(id, link), None, "rule 2: two seizures of {id} out");
                     let given_up = self.judge.given_up.get(&id);
                     assert!(
@@ -129,7 +129,7 @@
                         "rule 3: {id} sent to one that drains"
                     );
                 }
-                Kind::Release if self.judge.out.get(&id) == Some(&link) => {
+                MessageType::Release if self.judge.out.get(&id) == Some(&link) => {
                     self.judge.out.remove(&id);
                     self.judge.given_up.insert(id, now);
                 }
@@ -139,36 +139,36 @@
         }
     }
 
-    fn backed_up(&self, _link: LinkNo) -> bool {
+    fn is_write_blocked(&self, _link: LinkId) -> bool {
         false
     }
 
-    fn finish(&mut self, link: LinkNo) {
+    fn shutdown_link_write(&mut self, link: LinkId) {
         self.finished.push(link);
     }
 
-    fn cut(&mut self, link: LinkNo) {
+    fn close_link(&mut self, link: LinkId) {
         self.judge.out.retain(|_, on| *on != link);
         self.cut.push(link);
     }
 
-    fn dial_bus(&mut self, to: SocketAddr) {
+    fn connect_bus(&mut self, to: SocketAddr) {
         self.bus.push(format!("dial {to}"));
     }
 
-    fn ask_bus(&mut self, text: &str) {
+    fn send_to_bus(&mut self, text: &str) {
         self.bus.push(text.to_string());
     }
 
-    fn cut_bus(&mut self) {
+    fn close_bus(&mut self) {
         self.bus.push("cut".into());
     }
 
-    fn note(&mut self, line: &str) {
+    fn log_info(&mut self, line: &str) {
         self.notes.push(line.to_string());
     }
 
-    fn detail(&mut self, _step: Arguments) {}
+    fn log_debug(&mut self, _step: Arguments) {}
 }
 
 struct Platform {
@@ -200,7 +200,7 @@
     }
 
     /// The links to an office that are up, oldest first.
-    fn links(&self, office: u16) -> Vec<LinkNo> {
+    fn links(&self, office: u16) -> Vec<LinkId> {
         let at: SocketAddr = format!("10.0.0.{office}:3868").parse().unwrap();
         let all = self.wires.at.iter().filter(|(link, to)| **to == at && !self.wires.cut.contains(link));
         all.map(|(link, _)| *link).collect()
@@ -216,49 +216,52 @@
     }
 
     fn says(&mut self, caller: u64, text: &str) {
-        self.core.caller_data(self.wires.now, &mut self.wires, CallerNo(caller), text.as_bytes());
+        self.core.caller_data(self.wires.now, &mut self.wires, CallerConnectionId(caller), text.as_bytes());
     }
 
     fn comes(&mut self, caller: u64) {
-        self.core.caller_connected(self.wires.now, CallerNo(caller));
+        self.core.caller_connected(self.wires.now, CallerConnectionId(caller));
     }
 
     fn calls(&mut self, caller: u64, id: u64) {
         self.says(caller, &invite(id, "dest:1;width:1;via:-1", "1500", "hello"));
     }
 
-    fn link_says(&mut self, link: LinkNo, kind: Kind, id: u64, parameters: &[(u8, &[u8])]) {
+    fn link_says(&mut self, link: LinkId, kind: MessageType, id: u64, parameters: &[(u8, &[u8])]) {
         let mut octets = Vec::new();
-        message::write(&mut octets, kind, WireId(id), parameters);
-        if matches!(kind, Kind::Release | Kind::Answer)
-            && self.wires.judge.out.get(&WireId(id)) == Some(&link)
+        exchange_protocol::encode(&mut octets, kind, WireCallId(id), parameters);
+        if matches!(kind, MessageType::Release | MessageType::Answer)
+            && self.wires.judge.out.get(&WireCallId(id)) == Some(&link)
         {
-            self.wires.judge.out.remove(&WireId(id));
+            self.wires.judge.out.remove(&WireCallId(id));
         }
         self.core.link_data(self.wires.now, &mut self.wires, link, &octets);
     }
 
-    fn state(&mut self, link: LinkNo, free: u32) {
+    fn state(&mut self, link: LinkId, free: u32) {
         let text = format!("idle:{free};circuits:20");
-        self.link_says(link, Kind::State, 0, &[(code::REPORT, text.as_bytes())]);
+        self.link_says(link, MessageType::State, 0, &[(parameter::REPORT, text.as_bytes())]);
     }
 
-    fn answers(&mut self, link: LinkNo, id: u64) {
-        self.link_says(link, Kind::Answer, id, &[(code::DESCRIPTION, SDP)]);
+    fn answers(&mut self, link: LinkId, id: u64) {
+        self.link_says(link, MessageType::Answer, id, &[(parameter::DESCRIPTION, SDP)]);
     }
 
-    fn releases(&mut self, link: LinkNo, id: u64, cause: u8) {
-        self.link_says(link, Kind::Release, id, &[(code::CAUSE, &[cause])]);
+    fn releases(&mut self, link: LinkId, id: u64, cause: u8) {
+        self.link_says(link, MessageType::Release, id, &[(parameter::CAUSE, &[cause])]);
     }
 
     /// The set-ups sent since last asked.
-    fn set_ups(&mut self) -> Vec<(LinkNo, u64)> {
+    fn set_ups(&mut self) -> Vec<(LinkId, u64)> {
         let sent = std::mem::take(&mut self.wires.sent);
-        sent.into_iter().filter(|sent| sent.1 == Kind::SetUp).map(|(link, _, id, _)| (link, id.0)).collect()
+        sent.into_iter()
+            .filter(|sent| sent.1 == MessageType::SetUp)
+            .map(|(link, _, id, _)| (link, id.0))
+            .collect()
     }
 
     /// A call that is set up over one link, which is given.
-    fn stands(&mut self, caller: u64, id: u64) -> LinkNo {
+    fn stands(&mut self, caller: u64, id: u64) -> LinkId {
         self.calls(caller, id);
         let set_ups = self.set_ups();
         let [(link, sent)] = set_ups[..] else { panic!("one set-up, not {set_ups:?}") };
@@ -330,23 +333,27 @@
     platform.says(2, &request("BYE", 7));
     assert_eq!(platform.said(), ["2: 200 BYE"]);
     assert!(
-        platform.wires.sent.iter().any(|sent| (sent.1, sent.2.0, sent.3) == (Kind::Release, 7, Some(16)))
+        platform
+            .wires
+            .sent
+            .iter()
+            .any(|sent| (sent.1, sent.2.0, sent.3) == (MessageType::Release, 7, Some(16)))
     );
     let link = platform.stands(1, 8);
-    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerNo(1));
-    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerNo(2));
+    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerConnectionId(1));
+    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerConnectionId(2));
     platform.releases(link, 8, 41);
     assert!(platform.said().is_empty());
     platform.comes(3);
     platform.says(3, &request("OPTIONS", 0));
     assert_eq!(platform.said(), ["3: BYE Q.850;cause=41", "3: 200 OPTIONS"]);
-    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerNo(3));
+    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerConnectionId(3));
     platform.comes(4);
     platform.says(4, &request("OPTIONS", 0));
     assert_eq!(platform.said(), ["4: BYE Q.850;cause=41", "4: 200 OPTIONS"], "a close crossed the first");
     platform
         .says(4, "SIP/2.0 200 OK\r\nCall-ID: 0000000000000008\r\nCSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n");
-    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerNo(4));
+    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerConnectionId(4));
     platform.comes(5);
     platform.says(5, &request("OPTIONS", 0));
     assert_eq!(platform.said(), ["5: 200 OPTIONS"], "heard");
@@ -369,7 +376,11 @@
     let [(link, 7)] = platform.set_ups()[..] else { panic!("one set-up") };
     platform.pass(ms(820));
     assert!(
-        platform.wires.sent.iter().any(|sent| (sent.0, sent.1, sent.3) == (link, Kind::Release, Some(16)))
+        platform
+            .wires
+            .sent
+            .iter()
+            .any(|sent| (sent.0, sent.1, sent.3) == (link, MessageType::Release, Some(16)))
     );
     platform.pass(ms(320));
     let set_ups = platform.set_ups();
@@ -438,13 +449,13 @@
     assert_eq!(platform.said(), ["1: 200 CANCEL", "1: 487 INVITE"]);
     platform.answers(link, 7);
     assert!(platform.said().is_empty(), "an answer that crossed it");
-    assert!(platform.wires.sent.iter().any(|sent| (sent.1, sent.2.0) == (Kind::Release, 7)));
+    assert!(platform.wires.sent.iter().any(|sent| (sent.1, sent.2.0) == (MessageType::Release, 7)));
     platform.pass(ms(2000));
     assert!(platform.said().is_empty(), "nothing after its answer");
     platform.calls(1, 8);
     platform.set_ups();
-    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerNo(1));
-    assert!(platform.wires.sent.iter().any(|sent| (sent.1, sent.2.0) == (Kind::Release, 8)));
+    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerConnectionId(1));
+    assert!(platform.wires.sent.iter().any(|sent| (sent.1, sent.2.0) == (MessageType::Release, 8)));
 }
 
 #[test]
@@ -456,7 +467,12 @@
     let set_ups = platform.set_ups();
     let (link, id) = set_ups[0];
     let mut answer = Vec::new();
-    message::write(&mut answer, Kind::Answer, WireId(id), &[(code::DESCRIPTION, SDP)]);
+    exchange_protocol::encode(
+        &mut answer,
+        MessageType::Answer,
+        WireCallId(id),
+        &[(parameter::DESCRIPTION, SDP)],
+    );
     answer[0] = 0xff;
     platform.core.link_data(platform.wires.now, &mut platform.wires, link, &answer);
     assert!(platform.wires.cut.contains(&link));
@@ -598,11 +614,11 @@
     platform.core.stop(platform.wires.now, &mut platform.wires);
     platform.pass(ms(600));
     platform.calls(1, 8);
-    assert!(!platform.core.stopped(platform.wires.now));
+    assert!(!platform.core.is_shutdown_complete(platform.wires.now));
     platform.answers(link, 7);
     platform.pass(ms(3000));
     let said = platform.said();
-    assert_eq!((said.len(), platform.core.stopped(platform.wires.now)), (2, true), "{said:?}");
+    assert_eq!((said.len(), platform.core.is_shutdown_complete(platform.wires.now)), (2, true), "{said:?}");
     assert!(said.iter().all(|said| !said.contains("BYE")));
 }
 
@@ -614,10 +630,10 @@
     platform.said();
     platform.core.stop(platform.wires.now, &mut platform.wires);
     platform.pass(ms(600));
-    assert!(!platform.core.stopped(platform.wires.now), "calls may still come");
+    assert!(!platform.core.is_shutdown_complete(platform.wires.now), "calls may still come");
     platform.pass(ms(200));
-    assert_eq!(platform.wires.hung_up, [CallerNo(1)], "nothing is left on it");
-    assert!(platform.core.stopped(platform.wires.now));
+    assert_eq!(platform.wires.hung_up, [CallerConnectionId(1)], "nothing is left on it");
+    assert!(platform.core.is_shutdown_complete(platform.wires.now));
     platform.pass(ms(4200));
     platform.comes(2);
     platform.calls(2, 8);
@@ -632,7 +648,7 @@
     let link = platform.stands(1, 6);
     platform.core.stop(platform.wires.now, &mut platform.wires);
     platform.pass(ms(1000));
-    assert!(platform.wires.hung_up.is_empty() && !platform.core.stopped(platform.wires.now));
+    assert!(platform.wires.hung_up.is_empty() && !platform.core.is_shutdown_complete(platform.wires.now));
     platform.calls(1, 7);
     assert_eq!(platform.said(), ["1: 503 INVITE"], "set-ups on it are refused");
     platform.releases(link, 6, 16);
@@ -642,8 +658,8 @@
     platform
         .says(1, "SIP/2.0 200 OK\r\nCall-ID: 0000000000000006\r\nCSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n");
     platform.pass(ms(100));
-    assert_eq!(platform.wires.hung_up, [CallerNo(1)]);
-    assert!(platform.core.stopped(platform.wires.now));
+    assert_eq!(platform.wires.hung_up, [CallerConnectionId(1)]);
+    assert!(platform.core.is_shutdown_complete(platform.wires.now));
 }
 
 #[test]
@@ -657,7 +673,7 @@
     platform.calls(1, 7);
     // The longest deadline is 3 s: the kill comes 3.7 s after the signal at the earliest.
     platform.pass(ms(2600));
-    assert!(platform.core.stopped(platform.wires.now), "{:?}", platform.wires.hung_up);
+    assert!(platform.core.is_shutdown_complete(platform.wires.now), "{:?}", platform.wires.hung_up);
     assert_eq!(platform.said().len(), 1, "and call 7 has its answer");
 }
 
@@ -682,14 +698,16 @@
     }
     platform.wires.sent.clear();
     platform.links_up();
-    let released = |sent: &&(LinkNo, Kind, WireId, Option<u8>)| (sent.1, sent.2.0) == (Kind::Release, 6);
+    let released = |sent: &&(LinkId, MessageType, WireCallId, Option<u8>)| {
+        (sent.1, sent.2.0) == (MessageType::Release, 6)
+    };
     assert_eq!(platform.wires.sent.iter().filter(released).count(), 1);
     platform.said();
     platform.set_ups();
     platform.stands(1, 7);
     platform.says(1, &request("BYE", 7));
     let link = platform.links(1)[0];
-    platform.link_says(link, Kind::ReleaseHeard, 7, &[]);
+    platform.link_says(link, MessageType::ReleaseComplete, 7, &[]);
     platform.wires.sent.clear();
     platform.core.link_disconnected(platform.wires.now, &mut platform.wires, link, Disconnect::Lost);
     platform.links_up();
@@ -703,14 +721,18 @@
     platform.calls(1, 7);
     platform.says(1, "GET / HTTP/1.1\r\n\r\n");
     assert_eq!(platform.said(), ["1: 500 INVITE", "1: 400 -"]);
-    assert_eq!(platform.wires.hung_up, [CallerNo(1)]);
+    assert_eq!(platform.wires.hung_up, [CallerConnectionId(1)]);
     platform.comes(2);
     platform.calls(2, 8);
     platform.says(2, "INVITE sip:half");
     platform.pass(ms(1400));
-    assert_eq!(platform.wires.hung_up, [CallerNo(1)]);
+    assert_eq!(platform.wires.hung_up, [CallerConnectionId(1)]);
     platform.pass(ms(1500));
-    assert_eq!(platform.wires.hung_up, [CallerNo(1), CallerNo(2)], "once its call has its answer");
+    assert_eq!(
+        platform.wires.hung_up,
+        [CallerConnectionId(1), CallerConnectionId(2)],
+        "once its call has its answer"
+    );
     assert!(platform.said()[0].starts_with("2: "));
 }
 
@@ -741,7 +763,7 @@
     let link = platform.stands(1, 6);
     platform.stands(2, 7);
     platform.calls(3, 8);
-    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerNo(1));
+    platform.core.caller_disconnected(platform.wires.now, &mut platform.wires, CallerConnectionId(1));
     platform.releases(link, 6, 16);
     assert_eq!(platform.said(), ["2: BYE Q.850;cause=16"]);
 }
@@ -811,9 +833,9 @@
     platform.says(2, "GET / HTTP/1.1\r\n\r\n");
     assert_eq!(
         (platform.said(), &platform.wires.hung_up[..]),
-        (vec!["2: 400 -".to_string()], &[CallerNo(2)][..])
+        (vec!["2: 400 -".to_string()], &[CallerConnectionId(2)][..])
     );
-    let link = platform.wires.judge.out[&WireId(7)];
+    let link = platform.wires.judge.out[&WireCallId(7)];
     platform.answers(link, 7);
     assert_eq!(platform.said(), ["1: 200 INVITE"]);
 }
@@ -826,12 +848,12 @@
     platform.says(3, &request("OPTIONS", 0));
     platform.said();
     platform.pass(ms(2800));
-    assert_eq!(platform.wires.hung_up, [CallerNo(1), CallerNo(2)]);
+    assert_eq!(platform.wires.hung_up, [CallerConnectionId(1), CallerConnectionId(2)]);
     (0..500).for_each(|id| platform.calls(3, 1000 + id));
     assert!(platform.said().len() >= 500 - 256, "what is over the bound is refused at once");
     platform.pass(ms(1500));
     assert_eq!(platform.wires.judge.final_answers.len(), 500, "each has its one answer");
-    assert_eq!(platform.core.idlest(), Some(CallerNo(3)));
+    assert_eq!(platform.core.least_active_caller(), Some(CallerConnectionId(3)));
 }
 
 #[test]
@@ -889,10 +911,10 @@
     for _ in 0..5 {
         platform.wires.sent.clear();
         platform.pass(ms(2800));
-        let tests: Vec<_> = platform.wires.sent.iter().filter(|sent| sent.1 == Kind::Test).collect();
+        let tests: Vec<_> = platform.wires.sent.iter().filter(|sent| sent.1 == MessageType::Test).collect();
         let [(link, _, id, _)] = tests[..] else { panic!("one heartbeat, not {tests:?}") };
         let (link, id) = (*link, id.0);
-        platform.link_says(link, Kind::TestResult, id, &[(code::CAUSE, &[1])]);
+        platform.link_says(link, MessageType::TestResult, id, &[(parameter::CAUSE, &[1])]);
     }
     assert!(platform.said().is_empty(), "14 s and the call stands");
     platform.pass(ms(7500));
@@ -922,7 +944,7 @@
         assert!(!platform.wires.dialled.is_empty());
         platform.links_up();
     }
-    assert!(platform.wires.sent.iter().all(|sent| sent.1 != Kind::Test) && platform.said().is_empty());
+    assert!(platform.wires.sent.iter().all(|sent| sent.1 != MessageType::Test) && platform.said().is_empty());
     platform.pass(ms(7500));
     assert_eq!(platform.said(), ["1: BYE Q.850;cause=41"]);
 }
--- a/crates/soak/src/exchange.rs
+++ b/crates/soak/src/exchange.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use mintstall_platform::message::{Cutter, Kind, Message, WireId, code, write};
+use mintstall_platform::exchange_protocol::{Decoder, Message, MessageType, WireCallId, encode, parameter};
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -154,7 +154,7 @@
 }
 
 fn read(shared: &Shared, link: u64, mut stream: TcpStream) {
-    let (mut cutter, mut buffer) = (Cutter::default(), [0; 8192]);
+    let (mut cutter, mut buffer) = (Decoder::default(), [0; 8192]);
     while let Ok(count @ 1..) = stream.read(&mut buffer) {
         cutter.push(&buffer[..count]);
         loop {
@@ -207,7 +207,7 @@
             return link;
         }
         for call in self.repeated.remove(&controller).unwrap_or_default() {
-            self.send(link, Kind::Release, call, &[(code::CAUSE, &[NORMAL_CLEARING])]);
+            self.send(link, MessageType::Release, call, &[(parameter::CAUSE, &[NORMAL_CLEARING])]);
         }
         link
     }
@@ -237,9 +237,9 @@
         format!("idle:{idle};circuits:{}", self.config.circuits)
     }
 
-    fn send(&mut self, link: u64, kind: Kind, call: CallId, parameters: &[(u8, &[u8])]) {
+    fn send(&mut self, link: u64, kind: MessageType, call: CallId, parameters: &[(u8, &[u8])]) {
         let mut octets = Vec::new();
-        write(&mut octets, kind, WireId(call), parameters);
+        encode(&mut octets, kind, WireCallId(call), parameters);
         self.send_raw(link, &octets);
     }
 
@@ -252,7 +252,7 @@
 
     fn send_state(&mut self, link: u64) {
         let report = self.report();
-        self.send(link, Kind::State, 0, &[(code::REPORT, report.as_bytes())]);
+        self.send(link, MessageType::State, 0, &[(parameter::REPORT, report.as_bytes())]);
     }
 
     fn broadcast_state(&mut self) {
@@ -263,12 +263,13 @@
     fn message(&mut self, link: u64, message: &Message) {
         let call = message.call.0;
         match message.kind {
-            Kind::SetUp => self.set_up(link, call),
-            Kind::Release => self.release(link, call),
-            Kind::Test => {
+            MessageType::SetUp => self.set_up(link, call),
+            MessageType::Release => self.release(link, call),
+            MessageType::Test => {
                 let report = self.report();
-                let parameters: &[(u8, &[u8])] = &[(code::CAUSE, &[1]), (code::REPORT, report.as_bytes())];
-                self.send(link, Kind::TestResult, call, parameters);
+                let parameters: &[(u8, &[u8])] =
+                    &[(parameter::CAUSE, &[1]), (parameter::REPORT, report.as_bytes())];
+                self.send(link, MessageType::TestResult, call, parameters);
             }
             _ => {}
         }
@@ -284,9 +285,12 @@
             record(Event::AttemptEnded { uid, call, end: AttemptEnd::Refused });
             let report = self.report();
             let (cause, note): (u8, &[u8]) = if full { (FULL, b"congestion") } else { (ERROR, b"") };
-            let parameters: &[(u8, &[u8])] =
-                &[(code::CAUSE, &[cause]), (code::NOTE, note), (code::REPORT, report.as_bytes())];
-            return self.send(link, Kind::Release, call, parameters);
+            let parameters: &[(u8, &[u8])] = &[
+                (parameter::CAUSE, &[cause]),
+                (parameter::NOTE, note),
+                (parameter::REPORT, report.as_bytes()),
+            ];
+            return self.send(link, MessageType::Release, call, parameters);
         }
         self.calls.insert(call, Call { state: CallState::Waiting, controller, link });
         if self.rng.random_bool(faults.reset) {
@@ -303,7 +307,7 @@
             CallState::Waiting => record(Event::AttemptEnded { uid, call, end: AttemptEnd::GivenUp }),
             CallState::Standing => record(Event::CallOver { uid, call, by_controller: true }),
         }
-        self.send(link, Kind::ReleaseHeard, call, &[]);
+        self.send(link, MessageType::ReleaseComplete, call, &[]);
         self.broadcast_state();
     }
 
@@ -322,7 +326,12 @@
 
     fn answer_octets(&self, call: CallId) -> Vec<u8> {
         let (mut octets, description) = (Vec::new(), description(&self.config.uid, call));
-        write(&mut octets, Kind::Answer, WireId(call), &[(code::DESCRIPTION, description.as_bytes())]);
+        encode(
+            &mut octets,
+            MessageType::Answer,
+            WireCallId(call),
+            &[(parameter::DESCRIPTION, description.as_bytes())],
+        );
         octets
     }
 
@@ -371,7 +380,7 @@
         let mut all = std::iter::once(known.link).chain(of_controller.map(|(no, _)| *no));
         let link = all.find(|no| self.is_open(*no));
         if let Some(link) = link {
-            self.send(link, Kind::Release, call, &[(code::CAUSE, &[NORMAL_CLEARING])]);
+            self.send(link, MessageType::Release, call, &[(parameter::CAUSE, &[NORMAL_CLEARING])]);
         }
         self.repeated.entry(known.controller).or_default().push(call);
         self.broadcast_state();
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-use mintstall_platform::message::{Cutter, Kind};
+use mintstall_platform::exchange_protocol::{Decoder, MessageType};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -197,7 +197,7 @@
     // A stream without a read timeout would only notice a reset late.
     let _ = from.set_nonblocking(false).and_then(|()| from.set_read_timeout(Some(TICK)));
     let _ = to.set_nodelay(true);
-    let (mut cutter, mut buffer, mut held) = (Cutter::default(), [0; 8192], Vec::new());
+    let (mut cutter, mut buffer, mut held) = (Decoder::default(), [0; 8192], Vec::new());
     let mut ended = false;
     while !shared.over.load(Ordering::Relaxed) && !link.reset.load(Ordering::Relaxed) {
         if !ended && held.len() < MOST_HELD {
@@ -254,19 +254,19 @@
 }
 
 /// Records what a direction's octets say, as they are read.
-fn observe(shared: &Shared, link: &Link, direction: Direction, cutter: &mut Cutter, octets: &[u8]) {
+fn observe(shared: &Shared, link: &Link, direction: Direction, cutter: &mut Decoder, octets: &[u8]) {
     cutter.push(octets);
     let controller = shared.controller;
     while let Ok(Some(message)) = cutter.next_message() {
         let (uid, call, link) = (link.uid.clone(), message.call.0, link.no);
         match (direction, message.kind) {
-            (Direction::Up, Kind::SetUp) => {
+            (Direction::Up, MessageType::SetUp) => {
                 shared.recorder.add(Event::SetUpPassed { uid, call, controller, link });
             }
-            (Direction::Up, Kind::Release) => {
+            (Direction::Up, MessageType::Release) => {
                 shared.recorder.add(Event::ReleasePassed { uid, call, controller, link });
             }
-            (Direction::Down, Kind::Release) if get(&shared.network) != Network::Cut => {
+            (Direction::Down, MessageType::Release) if get(&shared.network) != Network::Cut => {
                 shared.recorder.add(Event::ReleaseDelivered { uid, call, controller, link });
             }
             _ => {}
