--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -83,7 +83,7 @@
     let controller = arguments.controller.clone().unwrap_or_else(|| soak.with_file_name("mintstall"));
     let plans: Vec<_> = match arguments.incident {
         true => vec![Plan::vanish_while_the_bus_is_down()],
-        false => (arguments.from..arguments.from + arguments.count).map(Plan::draw).collect(),
+        false => (arguments.from..arguments.from + arguments.count).map(Plan::from_seed).collect(),
     };
     let (next, broken) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     thread::scope(|scope| {
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn fixed_seeds_of_the_soak_break_no_rule() {
-    let threads = SEEDS.map(|seed| thread::spawn(move || play(&Plan::draw(seed))));
+    let threads = SEEDS.map(|seed| thread::spawn(move || play(&Plan::from_seed(seed))));
     let broken: Vec<_> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
--- a/crates/soak/src/bad_callers.rs
+++ b/crates/soak/src/bad_callers.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::controller::{Controller, Phase};
+use crate::controller::{ControllerProcess, Phase};
 use crate::record::{Event, Recorder, now};
 
 /// A bad caller is settled within this time of connecting.
@@ -44,7 +44,7 @@
 ];
 
 /// Sends bad requests to one controller until the run is over.
-pub fn run(controller: &Controller, recorder: &Recorder, over: &Arc<AtomicBool>, seed: u64) {
+pub fn run(controller: &ControllerProcess, recorder: &Recorder, over: &Arc<AtomicBool>, seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     while !over.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(rng.random_range(50..500)));
@@ -67,7 +67,7 @@
     }
 }
 
-fn attempt(controller: &Controller, mut stream: TcpStream, kind: Kind, rng: &mut Pcg64Mcg) -> bool {
+fn attempt(controller: &ControllerProcess, mut stream: TcpStream, kind: Kind, rng: &mut Pcg64Mcg) -> bool {
     let opened = Instant::now();
     let id = format!("{:016x}", rng.random::<u64>());
     let head = format!("INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nCall-ID: {id}\r\nCSeq: 1 INVITE\r\n");
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::controller::Controller;
+use crate::controller::ControllerProcess;
 use crate::exchange::uid_of;
 use crate::record::{CallId, ConnectionNo, Event, Recorder, now};
 use crate::sync::lock;
@@ -31,7 +31,7 @@
 
 /// What a caller does beside setting calls up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Habit {
+pub enum CallerBehavior {
     Plain,
     /// Writes each message in pieces, with pauses.
     WritesSlowly,
@@ -44,7 +44,7 @@
 /// How callers behave in one run.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerPlan {
-    pub habit: Habit,
+    pub behavior: CallerBehavior,
     /// Between two set-ups, on average.
     pub gap: Duration,
     /// Exchanges that are called, by their number from 1.
@@ -72,7 +72,7 @@
 /// All callers of one controller.
 #[derive(Clone, Debug)]
 pub struct CallerGroup {
-    controller: Controller,
+    controller: ControllerProcess,
     recorder: Recorder,
     shared: Arc<Mutex<Shared>>,
     over: Arc<AtomicBool>,
@@ -150,7 +150,7 @@
 }
 
 impl CallerGroup {
-    pub fn new(controller: &Controller, recorder: &Recorder, over: &Arc<AtomicBool>) -> Self {
+    pub fn new(controller: &ControllerProcess, recorder: &Recorder, over: &Arc<AtomicBool>) -> Self {
         Self {
             controller: controller.clone(),
             recorder: recorder.clone(),
@@ -226,7 +226,7 @@
                 self.final_answer(connection, call, status, message.body);
             }
             StartLine::Request { method: "BYE", .. } => {
-                self.recorder.add(Event::ReleaseHeard { call, controller: self.controller.no });
+                self.recorder.add(Event::ReleaseReceivedByCaller { call, controller: self.controller.no });
                 self.lock().standing.remove(&call);
                 let answer = format!(
                     "SIP/2.0 200 OK\r\nCall-ID: {call:016x}\r\nCSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n"
@@ -339,7 +339,7 @@
         for set_up in crossed {
             self.send(connection, set_up, 0);
         }
-        if self.plan.habit == Habit::RepeatsAtOnce {
+        if self.plan.behavior == CallerBehavior::RepeatsAtOnce {
             let refused = std::mem::take(&mut connection.lock().refused);
             for repeats in refused.into_iter().filter(|repeats| *repeats < 3) {
                 self.set_up(connection, repeats + 1);
@@ -382,14 +382,14 @@
         let (no, controller) = (connection.no, self.group.controller.no);
         self.group.recorder.add_at(at, Event::SetUpSent { call, connection: no, controller, patience_ms });
         self.used = Instant::now();
-        if self.plan.habit == Habit::GivesUpEarly && self.rng.random_bool(0.3) {
+        if self.plan.behavior == CallerBehavior::GivesUpEarly && self.rng.random_bool(0.3) {
             let wait = Duration::from_millis(self.rng.random_range(1..300));
             self.cancels.push((Instant::now() + wait, call));
         }
     }
 
     fn write(&mut self, connection: &Connection, text: &str) -> io::Result<()> {
-        if self.plan.habit != Habit::WritesSlowly {
+        if self.plan.behavior != CallerBehavior::WritesSlowly {
             return (&connection.stream).write_all(text.as_bytes());
         }
         let piece = self.rng.random_range(5..120);
@@ -428,7 +428,7 @@
 
     fn close_at_times(&mut self, connection: &Arc<Connection>) {
         let resting = connection.lock().open.is_empty() && self.used.elapsed() > IDLE;
-        let leaves = self.plan.habit == Habit::GivesUpEarly && self.rng.random_bool(0.002);
+        let leaves = self.plan.behavior == CallerBehavior::GivesUpEarly && self.rng.random_bool(0.002);
         if (resting || leaves) && !connection.closed.swap(true, Ordering::Relaxed) {
             self.group.recorder.add(Event::ClosedByCaller { connection: connection.no });
             let _ = connection.stream.shutdown(Shutdown::Both);
--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 
 use crate::callers::{Connection, test_message};
-use crate::record::{ControllerNo, Event, Recorder};
+use crate::record::{ControllerIndex, Event, Recorder};
 use crate::sync::lock;
 
 /// Calls wait no longer than this for their answer.
@@ -49,8 +49,8 @@
 
 /// One controller; clones are the same one.
 #[derive(Clone, Debug)]
-pub struct Controller {
-    pub no: ControllerNo,
+pub struct ControllerProcess {
+    pub no: ControllerIndex,
     pub listen: SocketAddr,
     state: Arc<Mutex<State>>,
     /// Held through a restart: two of them don't run into each other.
@@ -70,9 +70,9 @@
     pub directory: PathBuf,
 }
 
-impl Controller {
+impl ControllerProcess {
     pub fn new(
-        no: ControllerNo,
+        no: ControllerIndex,
         listen: SocketAddr,
         bus: SocketAddr,
         files: &Files,
--- a/crates/soak/src/bus.rs
+++ b/crates/soak/src/event_bus.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 use crate::listener::listen;
-use crate::record::{BusFault, ControllerNo, Event, Recorder};
+use crate::record::{BusFault, ControllerIndex, Event, Recorder};
 use crate::sync::lock;
 
 const TICK: Duration = Duration::from_millis(20);
@@ -31,7 +31,7 @@
 }
 
 impl Target {
-    fn json(&self, controller: ControllerNo) -> Value {
+    fn json(&self, controller: ControllerIndex) -> Value {
         json!({
             "uid": self.uid, "endpoint": self.endpoints[controller], "az": "east", "model": "std",
             "pod_group": self.office, "state": self.state, "capacity_hint": 4, "boot_ms": self.boot_ms,
@@ -53,12 +53,12 @@
 
 /// The bus; clones are the same one.
 #[derive(Clone, Debug)]
-pub struct Bus {
+pub struct EventBus {
     state: Arc<Mutex<State>>,
     recorder: Recorder,
 }
 
-impl Bus {
+impl EventBus {
     /// Listens at all `addresses` of each controller; the first is in use.
     pub fn start(addresses: &[Vec<SocketAddr>], recorder: &Recorder) -> Self {
         let current = addresses.iter().filter_map(|of| of.first().copied()).collect();
@@ -106,7 +106,7 @@
     }
 
     /// Where a controller is to ask from now on.
-    pub fn move_to(&self, controller: ControllerNo, addr: SocketAddr) {
+    pub fn move_to(&self, controller: ControllerIndex, addr: SocketAddr) {
         self.lock().current[controller] = addr;
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// The events so far, as the configuration of a controller holds them.
-    pub fn known(&self, controller: ControllerNo) -> Value {
+    pub fn known(&self, controller: ControllerIndex) -> Value {
         let state = self.lock();
         let mut latest: Vec<&Target> = Vec::new();
         for target in &state.events {
@@ -129,7 +129,7 @@
         json!({"offset": offset, "batch": [{"offset": offset, "topology": topology}]})
     }
 
-    fn accept(&self, controller: ControllerNo, addr: SocketAddr) {
+    fn accept(&self, controller: ControllerIndex, addr: SocketAddr) {
         let mut listener = None;
         loop {
             let (over, open) = {
@@ -155,7 +155,7 @@
     }
 
     /// One connection, until it ends.
-    fn serve(&self, controller: ControllerNo, addr: SocketAddr, mut stream: TcpStream) {
+    fn serve(&self, controller: ControllerIndex, addr: SocketAddr, mut stream: TcpStream) {
         let opened = Instant::now();
         let Some(mut sent) = asked_from(&stream) else { return };
         let (mut pulse, mut left_at) = (Instant::now(), None);
@@ -206,7 +206,7 @@
     line.trim().strip_prefix("from ")?.parse().ok()
 }
 
-fn line(offset: u64, target: &Target, controller: ControllerNo) -> String {
+fn line(offset: u64, target: &Target, controller: ControllerIndex) -> String {
     let topology = json!({"rev": offset, "all": false, "targets": [target.json(controller)]});
     format!("{}\n", json!({"offset": offset, "topology": topology}))
 }
--- a/crates/soak/src/exchange.rs
+++ b/crates/soak/src/exchange.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::listener::reset;
-use crate::record::{AttemptEnd, CallId, ControllerNo, Event, Record, now};
+use crate::record::{AttemptEnd, CallId, ControllerIndex, Event, Record, now};
 use crate::sync;
 
 /// Q.850: normal clearing.
@@ -72,13 +72,13 @@
 #[derive(Debug)]
 struct Call {
     state: CallState,
-    controller: ControllerNo,
+    controller: ControllerIndex,
     link: u64,
 }
 
 #[derive(Debug)]
 struct Link {
-    controller: ControllerNo,
+    controller: ControllerIndex,
     stream: TcpStream,
 }
 
@@ -98,7 +98,7 @@
     next_link: u64,
     due: BinaryHeap<Reverse<(Instant, Due)>>,
     /// Releases that the next connection of a controller brings again.
-    repeated: BTreeMap<ControllerNo, Vec<CallId>>,
+    repeated: BTreeMap<ControllerIndex, Vec<CallId>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -144,7 +144,7 @@
     }
 }
 
-fn accept(shared: &Shared, controller: ControllerNo, listener: &TcpListener) {
+fn accept(shared: &Shared, controller: ControllerIndex, listener: &TcpListener) {
     for stream in listener.incoming().flatten() {
         let Ok(reader) = stream.try_clone() else { continue };
         let link = lock(shared).open(controller, stream);
@@ -197,7 +197,7 @@
         self.due.push(Reverse((Instant::now() + wait, due)));
     }
 
-    fn open(&mut self, controller: ControllerNo, stream: TcpStream) -> u64 {
+    fn open(&mut self, controller: ControllerIndex, stream: TcpStream) -> u64 {
         self.next_link += 1;
         let link = self.next_link;
         self.links.insert(link, Link { controller, stream });
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -8,20 +8,20 @@
 //! | --- | --- |
 //! | [`plan`] | what a seed does |
 //! | [`run`] | carries a plan out |
-//! | [`controller`], [`exchange`], [`bus`], [`callers`], [`bad_callers`] | the parties |
+//! | [`controller`], [`exchange`], [`event_bus`], [`callers`], [`bad_callers`] | the parties |
 //! | [`proxy`], [`listener`] | the network and its faults |
-//! | [`record`], [`judge`] | what happened, and the rules |
+//! | [`record`], [`rule_checker`] | what happened, and the rules |
 
 pub mod address;
 pub mod bad_callers;
-pub mod bus;
 pub mod callers;
 pub mod controller;
+pub mod event_bus;
 pub mod exchange;
-pub mod judge;
 pub mod listener;
 pub mod plan;
 pub mod proxy;
 pub mod record;
+pub mod rule_checker;
 pub mod run;
 mod sync;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -6,10 +6,10 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::callers::Habit;
+use crate::callers::CallerBehavior;
 use crate::exchange::AnswerFaults;
 use crate::proxy::ConnectionFaults;
-use crate::record::{BusFault, ControllerNo};
+use crate::record::{BusFault, ControllerIndex};
 
 pub const CONTROLLERS: usize = 3;
 /// Offices that are called, each served by one exchange at a time.
@@ -21,56 +21,56 @@
 const SETTLE: Duration = Duration::from_millis(11_500);
 
 /// The exchange that serves an office at that time.
-pub type Office = usize;
+pub type OfficeIndex = usize;
 
 /// One fault.
 #[derive(Clone, Debug)]
-pub enum Action {
+pub enum Fault {
     /// SIGTERM, SIGKILL at the earliest, and a new start at once.
     Restart {
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     /// SIGKILL without warning, and a new start.
     Kill {
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     /// A new configuration with another address of the bus.
     Reconfigure {
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     /// The machine is gone and says nothing; the list follows after `listed`.
-    Vanish {
-        office: Office,
+    MachineLost {
+        office: OfficeIndex,
         listed: Duration,
     },
     /// The process dies: its connections are reset; the list follows after `listed`.
-    Die {
-        office: Office,
+    ProcessCrash {
+        office: OfficeIndex,
         listed: Duration,
     },
     /// The process stops for a while, its connections open.
     Hang {
-        office: Office,
+        office: OfficeIndex,
         lasts: Duration,
     },
     /// Listed as leaving, ended after the grace, and replaced by a new one, on the same address or another.
     Replace {
-        office: Office,
+        office: OfficeIndex,
         same_address: bool,
     },
     /// The network between all controllers, or one, and an exchange is cut.
-    Cut {
-        office: Office,
-        only: Option<ControllerNo>,
+    Partition {
+        office: OfficeIndex,
+        only: Option<ControllerIndex>,
         lasts: Duration,
     },
     ResetLinks {
-        office: Office,
-        controller: ControllerNo,
+        office: OfficeIndex,
+        controller: ControllerIndex,
     },
     ResetOneLink {
-        office: Office,
-        controller: ControllerNo,
+        office: OfficeIndex,
+        controller: ControllerIndex,
     },
     Bus {
         fault: BusFault,
@@ -82,9 +82,9 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
-    pub actions: Vec<(Duration, Action)>,
+    pub actions: Vec<(Duration, Fault)>,
     pub lasts: Duration,
-    pub habits: Vec<Habit>,
+    pub behaviors: Vec<CallerBehavior>,
     /// Between two set-ups of one caller.
     pub gap: Duration,
     pub bad_callers: bool,
@@ -114,7 +114,7 @@
 
 struct Draw {
     rng: Pcg64Mcg,
-    actions: Vec<(Duration, Action)>,
+    actions: Vec<(Duration, Fault)>,
 }
 
 impl Draw {
@@ -126,15 +126,15 @@
         millis(self.rng.random_range(from..=to))
     }
 
-    fn office(&mut self) -> Office {
+    fn office(&mut self) -> OfficeIndex {
         self.rng.random_range(0..OFFICES)
     }
 
-    fn controller(&mut self) -> ControllerNo {
+    fn controller(&mut self) -> ControllerIndex {
         self.rng.random_range(0..CONTROLLERS)
     }
 
-    fn add(&mut self, at: Duration, action: Action) {
+    fn add(&mut self, at: Duration, action: Fault) {
         self.actions.push((at, action));
     }
 
@@ -142,7 +142,7 @@
     fn restarts(&mut self) {
         let mut at = self.span(FIRST_FAULT_MS, 5000);
         for controller in 0..CONTROLLERS {
-            self.add(at, Action::Restart { controller });
+            self.add(at, Fault::Restart { controller });
             at += self.span(300, 2500);
         }
     }
@@ -151,10 +151,10 @@
     fn exchange_trouble(&mut self, at: Duration) {
         let office = self.office();
         let action = match self.rng.random_range(0..4) {
-            0 => Action::Vanish { office, listed: self.span(5900, 12_000) },
-            1 => Action::Die { office, listed: self.span(1500, 5000) },
-            2 => Action::Hang { office, lasts: self.span(800, 6000) },
-            _ => Action::Replace { office, same_address: self.rng.random_bool(0.5) },
+            0 => Fault::MachineLost { office, listed: self.span(5900, 12_000) },
+            1 => Fault::ProcessCrash { office, listed: self.span(1500, 5000) },
+            2 => Fault::Hang { office, lasts: self.span(800, 6000) },
+            _ => Fault::Replace { office, same_address: self.rng.random_bool(0.5) },
         };
         self.add(at, action);
     }
@@ -166,14 +166,14 @@
             .choose(&mut self.rng)
             .unwrap_or(&BusFault::Down);
         let lasts = self.span(1000, 8000);
-        self.add(at, Action::Bus { fault, lasts });
+        self.add(at, Fault::Bus { fault, lasts });
         let office = self.office();
         let near = at + lasts - millis(self.rng.random_range(0..800).min(lasts.as_millis() as u64));
         let same_address = self.rng.random_bool(0.5);
-        self.add(near, Action::Replace { office, same_address });
+        self.add(near, Fault::Replace { office, same_address });
         if self.rng.random_bool(0.5) {
             let office = self.office();
-            self.add(at, Action::Vanish { office, listed: lasts + millis(300) });
+            self.add(at, Fault::MachineLost { office, listed: lasts + millis(300) });
         }
     }
 
@@ -182,7 +182,7 @@
         let controller = self.controller();
         let mut at = self.at();
         for _ in 0..self.rng.random_range(2..5) {
-            self.add(at, Action::Reconfigure { controller });
+            self.add(at, Fault::Reconfigure { controller });
             at += self.span(5, 900);
         }
     }
@@ -190,10 +190,10 @@
     fn network_trouble(&mut self) {
         let (at, office, controller) = (self.at(), self.office(), self.controller());
         let action = match self.rng.random_range(0..4) {
-            0 => Action::Cut { office, only: None, lasts: self.span(500, 6000) },
-            1 => Action::Cut { office, only: Some(controller), lasts: self.span(500, 9000) },
-            2 => Action::ResetLinks { office, controller },
-            _ => Action::ResetOneLink { office, controller },
+            0 => Fault::Partition { office, only: None, lasts: self.span(500, 6000) },
+            1 => Fault::Partition { office, only: Some(controller), lasts: self.span(500, 9000) },
+            2 => Fault::ResetLinks { office, controller },
+            _ => Fault::ResetOneLink { office, controller },
         };
         self.add(at, action);
     }
@@ -201,7 +201,7 @@
 
 impl Plan {
     /// The run of a seed.
-    pub fn draw(seed: u64) -> Self {
+    pub fn from_seed(seed: u64) -> Self {
         let theme = THEMES[(seed % THEMES.len() as u64) as usize];
         let mut draw = Draw { rng: Pcg64Mcg::seed_from_u64(seed), actions: Vec::new() };
         let all = theme == Theme::Crowd;
@@ -225,7 +225,7 @@
         }
         if draw.rng.random_bool(0.3) {
             let (at, controller) = (draw.at(), draw.controller());
-            draw.add(at, Action::Kill { controller });
+            draw.add(at, Fault::Kill { controller });
         }
         let spoilt = if theme == Theme::BadPeers || theme == Theme::Fragments || all { 0.01 } else { 0.0 };
         let answers = AnswerFaults {
@@ -241,11 +241,21 @@
             closed_early: if theme == Theme::Network || all { 0.1 } else { 0.0 },
             in_pieces: if theme == Theme::Fragments || all { 0.5 } else { 0.1 },
         };
-        let habits = match theme {
+        let behaviors = match theme {
             Theme::Fragments => {
-                vec![Habit::WritesSlowly, Habit::WritesSlowly, Habit::Plain, Habit::GivesUpEarly]
+                vec![
+                    CallerBehavior::WritesSlowly,
+                    CallerBehavior::WritesSlowly,
+                    CallerBehavior::Plain,
+                    CallerBehavior::GivesUpEarly,
+                ]
             }
-            _ => vec![Habit::Plain, Habit::WritesSlowly, Habit::GivesUpEarly, Habit::RepeatsAtOnce],
+            _ => vec![
+                CallerBehavior::Plain,
+                CallerBehavior::WritesSlowly,
+                CallerBehavior::GivesUpEarly,
+                CallerBehavior::RepeatsAtOnce,
+            ],
         };
         let gap = if all { millis(15) } else { millis(110) };
         draw.actions.sort_by_key(|(at, _)| *at);
@@ -253,7 +263,7 @@
             seed,
             lasts: lasts(&draw.actions),
             actions: draw.actions,
-            habits,
+            behaviors,
             gap,
             may_probe: !(seed / THEMES.len() as u64).is_multiple_of(3),
             bad_callers: theme == Theme::BadPeers || all,
@@ -266,15 +276,15 @@
     pub fn vanish_while_the_bus_is_down() -> Self {
         let listed = millis(12_200);
         let actions = vec![
-            (millis(3000), Action::Bus { fault: BusFault::Down, lasts: millis(12_500) }),
-            (millis(4000), Action::Vanish { office: 0, listed }),
-            (millis(4000), Action::Vanish { office: 1, listed }),
+            (millis(3000), Fault::Bus { fault: BusFault::Down, lasts: millis(12_500) }),
+            (millis(4000), Fault::MachineLost { office: 0, listed }),
+            (millis(4000), Fault::MachineLost { office: 1, listed }),
         ];
         Self {
             seed: 25,
             lasts: millis(14_000),
             actions,
-            habits: vec![Habit::Plain; 4],
+            behaviors: vec![CallerBehavior::Plain; 4],
             gap: millis(110),
             bad_callers: false,
             may_probe: true,
@@ -284,10 +294,10 @@
     }
 }
 
-fn lasts(actions: &[(Duration, Action)]) -> Duration {
+fn lasts(actions: &[(Duration, Fault)]) -> Duration {
     let last = actions.iter().map(|(at, action)| {
         *at + match action {
-            Action::Restart { .. } => millis(3500),
+            Fault::Restart { .. } => millis(3500),
             _ => Duration::ZERO,
         }
     });
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -14,7 +14,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::listener::{CuttableListener, reset};
-use crate::record::{ConnectionNo, ControllerNo, Event, Recorder};
+use crate::record::{ConnectionNo, ControllerIndex, Event, Recorder};
 use crate::sync::lock;
 
 /// How often a thread looks at what has been asked of it.
@@ -24,12 +24,12 @@
 
 /// What the network does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Network {
-    Passes,
+pub enum NetworkState {
+    Up,
     /// Nothing passes, in either direction; connections stay open and new ones never come up.
-    Cut,
+    Partitioned,
     /// Nobody listens.
-    Refuses,
+    Refusing,
 }
 
 /// Shares of connections, each between 0 and 1.
@@ -45,11 +45,11 @@
 
 #[derive(Debug)]
 struct Shared {
-    network: Mutex<Network>,
+    network: Mutex<NetworkState>,
     upstream: Mutex<(SocketAddr, String)>,
     faults: Mutex<ConnectionFaults>,
     links: Mutex<Vec<Arc<Link>>>,
-    controller: ControllerNo,
+    controller: ControllerIndex,
     recorder: Recorder,
     over: AtomicBool,
 }
@@ -80,7 +80,7 @@
 
 impl Proxy {
     pub fn start(
-        controller: ControllerNo,
+        controller: ControllerIndex,
         addr: SocketAddr,
         upstream: SocketAddr,
         uid: &str,
@@ -88,7 +88,7 @@
         recorder: &Recorder,
     ) -> Self {
         let shared = Arc::new(Shared {
-            network: Mutex::new(Network::Passes),
+            network: Mutex::new(NetworkState::Up),
             upstream: Mutex::new((upstream, uid.to_string())),
             faults: Mutex::new(ConnectionFaults::default()),
             links: Mutex::new(Vec::new()),
@@ -101,7 +101,7 @@
         Self { addr, shared }
     }
 
-    pub fn set_network(&self, network: Network) {
+    pub fn set_network(&self, network: NetworkState) {
         set(&self.shared.network, network);
     }
 
@@ -135,18 +135,18 @@
 
 fn accept(shared: &Arc<Shared>, addr: SocketAddr, seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let (mut listener, mut was) = (None, Network::Refuses);
+    let (mut listener, mut was) = (None, NetworkState::Refusing);
     while !shared.over.load(Ordering::Relaxed) {
         let network = get(&shared.network);
         if network != was {
-            if network == Network::Refuses {
+            if network == NetworkState::Refusing {
                 listener = None;
             } else if listener.is_none() {
                 listener = CuttableListener::bind(addr).ok();
             }
             match (&mut listener, network) {
-                (Some(listener), Network::Cut) => drop(listener.cut()),
-                (Some(listener), Network::Passes) => listener.heal(),
+                (Some(listener), NetworkState::Partitioned) => drop(listener.cut()),
+                (Some(listener), NetworkState::Up) => listener.heal(),
                 _ => {}
             }
             was = network;
@@ -220,7 +220,7 @@
         } else {
             thread::sleep(TICK);
         }
-        if get(&shared.network) == Network::Cut {
+        if get(&shared.network) == NetworkState::Partitioned {
             continue;
         }
         let passed = pass_on(link, &held, &mut to);
@@ -266,7 +266,7 @@
             (Direction::Up, MessageType::Release) => {
                 shared.recorder.add(Event::ReleasePassed { uid, call, controller, link });
             }
-            (Direction::Down, MessageType::Release) if get(&shared.network) != Network::Cut => {
+            (Direction::Down, MessageType::Release) if get(&shared.network) != NetworkState::Partitioned => {
                 shared.recorder.add(Event::ReleaseDelivered { uid, call, controller, link });
             }
             _ => {}
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -14,7 +14,7 @@
 pub type CallId = u64;
 
 /// The position of a controller in the run.
-pub type ControllerNo = usize;
+pub type ControllerIndex = usize;
 
 /// A connection or link, numbered over the whole run.
 pub type ConnectionNo = u64;
@@ -50,13 +50,13 @@
     // Callers.
     ConnectionOpened {
         connection: ConnectionNo,
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     /// Its last octet has been written.
     SetUpSent {
         call: CallId,
         connection: ConnectionNo,
-        controller: ControllerNo,
+        controller: ControllerIndex,
         patience_ms: u64,
     },
     /// A final answer has been read; `description` is that of an answer 200.
@@ -76,9 +76,10 @@
     ClosedByCaller {
         connection: ConnectionNo,
     },
-    ReleaseHeard {
+    #[serde(rename = "ReleaseHeard")]
+    ReleaseReceivedByCaller {
         call: CallId,
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     ReleaseSentByCaller {
         call: CallId,
@@ -86,7 +87,7 @@
     /// A standing call has been named to a controller that started again.
     Announced {
         call: CallId,
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     /// What a controller sent can't be read.
     Unreadable {
@@ -96,7 +97,7 @@
     /// A connection that broke the protocol: whether it got a refusal, an error or a close in time.
     BadCaller {
         what: String,
-        controller: ControllerNo,
+        controller: ControllerIndex,
         opened: Micros,
         settled: bool,
     },
@@ -121,35 +122,35 @@
     SetUpPassed {
         uid: String,
         call: CallId,
-        controller: ControllerNo,
+        controller: ControllerIndex,
         link: ConnectionNo,
     },
     /// A release has been read from the controller: the set-up on that link is given up, or the call is over.
     ReleasePassed {
         uid: String,
         call: CallId,
-        controller: ControllerNo,
+        controller: ControllerIndex,
         link: ConnectionNo,
     },
     LinkOpened {
         link: ConnectionNo,
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     /// The controller has closed the link.
     LinkClosed {
         link: ConnectionNo,
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     /// The link has been reset by the network or the exchange.
     LinkReset {
         link: ConnectionNo,
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     /// A release of the exchange has been written to the controller.
     ReleaseDelivered {
         uid: String,
         call: CallId,
-        controller: ControllerNo,
+        controller: ControllerIndex,
         link: ConnectionNo,
     },
     // The run itself.
@@ -180,26 +181,26 @@
         fault: BusFault,
     },
     ControllerReady {
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     Reconfigured {
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     Terminating {
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     Killed {
-        controller: ControllerNo,
+        controller: ControllerIndex,
     },
     /// A controller has ended by itself; `expected` after SIGTERM and with code 0.
     Exited {
-        controller: ControllerNo,
+        controller: ControllerIndex,
         expected: bool,
         status: String,
     },
     /// A limit was broken.
     OverLimit {
-        controller: ControllerNo,
+        controller: ControllerIndex,
         what: String,
     },
 }
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/rule_checker.rs
@@ -10,7 +10,7 @@
 
 use crate::controller::{DRAIN_GRACE, RELEASE_TIME};
 use crate::exchange::{description as description_of, uid_of};
-use crate::record::{AttemptEnd, BusFault, CallId, ConnectionNo, ControllerNo, Event, Micros, Record};
+use crate::record::{AttemptEnd, BusFault, CallId, ConnectionNo, ControllerIndex, Event, Micros, Record};
 
 const SECOND: Micros = 1_000_000;
 const MILLISECOND: Micros = 1_000;
@@ -52,13 +52,13 @@
 
 /// One breach.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     pub rule: Rule,
     pub at: Micros,
     pub what: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{:?} at {}.{:06}: {}", self.rule, self.at / SECOND, self.at % SECOND, self.what)
     }
@@ -67,7 +67,7 @@
 /// What a run came to.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     pub set_ups: usize,
     pub served: usize,
     pub ended_calls: usize,
@@ -77,7 +77,7 @@
 struct Sent {
     at: Micros,
     connection: ConnectionNo,
-    controller: ControllerNo,
+    controller: ControllerIndex,
     patience: Micros,
 }
 
@@ -121,14 +121,14 @@
     /// When each link between a controller and an exchange was opened.
     links: BTreeMap<ConnectionNo, Micros>,
     /// When each controller was ready.
-    ready: BTreeMap<ControllerNo, Vec<Micros>>,
+    ready: BTreeMap<ControllerIndex, Vec<Micros>>,
     exchange_ended: BTreeMap<String, Micros>,
     /// When each controller was sent SIGTERM.
-    terminating: BTreeMap<ControllerNo, Vec<Micros>>,
+    terminating: BTreeMap<ControllerIndex, Vec<Micros>>,
     /// From its end or SIGKILL to ready again.
-    down: BTreeMap<ControllerNo, Vec<Outage>>,
-    killed: BTreeMap<ControllerNo, Vec<Micros>>,
-    reconfigured: BTreeMap<ControllerNo, Vec<Micros>>,
+    down: BTreeMap<ControllerIndex, Vec<Outage>>,
+    killed: BTreeMap<ControllerIndex, Vec<Micros>>,
+    reconfigured: BTreeMap<ControllerIndex, Vec<Micros>>,
     /// When each exchange was listed as leaving.
     drained: BTreeMap<String, Micros>,
     bus_faults: Vec<(BusFault, Micros, Micros)>,
@@ -178,7 +178,7 @@
             Event::ClosedByCaller { connection } => {
                 self.closed_by_caller.insert(*connection, at);
             }
-            Event::ReleaseHeard { call, .. } => {
+            Event::ReleaseReceivedByCaller { call, .. } => {
                 self.call(*call).told.get_or_insert(at);
             }
             Event::ReleaseSentByCaller { call } => self.call(*call).released_by_caller = Some(at),
@@ -232,23 +232,23 @@
         }
     }
 
-    fn went_down(&mut self, controller: ControllerNo, at: Micros) {
+    fn went_down(&mut self, controller: ControllerIndex, at: Micros) {
         self.down.entry(controller).or_default().push(Outage { from: at, until: Micros::MAX });
     }
 
     /// The first time at or after `from` at which the controller was killed or ended.
-    fn next_down(&self, controller: ControllerNo, from: Micros) -> Option<Micros> {
+    fn next_down(&self, controller: ControllerIndex, from: Micros) -> Option<Micros> {
         self.down.get(&controller)?.iter().map(|outage| outage.from).find(|at| *at >= from)
     }
 
     /// Whether the controller was down at some time of a stretch.
-    fn was_down(&self, controller: ControllerNo, from: Micros, until: Micros) -> bool {
+    fn was_down(&self, controller: ControllerIndex, from: Micros, until: Micros) -> bool {
         let overlaps = |outage: &Outage| outage.from <= until && outage.until >= from;
         self.down.get(&controller).is_some_and(|all| all.iter().any(overlaps))
     }
 
     /// Whether the controller was killed without warning in a stretch.
-    fn killed_outright(&self, controller: ControllerNo, from: Micros, until: Micros) -> bool {
+    fn killed_outright(&self, controller: ControllerIndex, from: Micros, until: Micros) -> bool {
         let started = |from: Micros, until: Micros| {
             self.ready.get(&controller).is_some_and(|all| all.iter().any(|at| (from..until).contains(at)))
         };
@@ -360,7 +360,7 @@
         &self,
         call: &Call,
         stood: &Stood,
-        controller: ControllerNo,
+        controller: ControllerIndex,
         over: Micros,
         by_controller: bool,
     ) -> Micros {
@@ -385,7 +385,7 @@
     }
 
     /// From when on a change of the list that was made at some time counts as told to a controller.
-    fn told(&self, controller: ControllerNo, at: Micros) -> Micros {
+    fn told(&self, controller: ControllerIndex, at: Micros) -> Micros {
         let faults = self.bus_faults.iter().filter_map(|(fault, from, until)| match fault {
             BusFault::Break if (*from..*from + TOLD_AFTER_BREAK).contains(&at) => {
                 Some(from + TOLD_AFTER_BREAK)
@@ -410,8 +410,8 @@
     of.as_micros() as Micros
 }
 
-fn breach(rule: Rule, at: Micros, what: String) -> Breach {
-    Breach { rule, at, what }
+fn breach(rule: Rule, at: Micros, what: String) -> Violation {
+    Violation { rule, at, what }
 }
 
 /// An attempt as the network saw it.
@@ -428,7 +428,7 @@
 }
 
 /// Rules 2, 3 and 5, from what passed between controllers and exchanges.
-fn judge_attempts(records: &[Record], facts: &Facts, breaches: &mut Vec<Breach>) {
+fn judge_attempts(records: &[Record], facts: &Facts, breaches: &mut Vec<Violation>) {
     let mut calls: BTreeMap<CallId, Vec<Attempt>> = BTreeMap::new();
     for Record { at, event } in records {
         match event {
@@ -486,9 +486,9 @@
 
 fn judge_drain(
     facts: &Facts,
-    breaches: &mut Vec<Breach>,
+    breaches: &mut Vec<Violation>,
     at: Micros,
-    controller: ControllerNo,
+    controller: ControllerIndex,
     uid: &str,
     call: CallId,
 ) {
@@ -504,7 +504,7 @@
 }
 
 /// A further attempt: the one before must have ended, and its release time passed.
-fn judge_repetition(breaches: &mut Vec<Breach>, at: Micros, call: CallId, attempts: &[Attempt]) {
+fn judge_repetition(breaches: &mut Vec<Violation>, at: Micros, call: CallId, attempts: &[Attempt]) {
     let Some(before) = attempts.last() else { return };
     match before.ended {
         // What has not come whole to its exchange is not out.
@@ -524,7 +524,7 @@
     }
 }
 
-fn judge_processes(records: &[Record], breaches: &mut Vec<Breach>) {
+fn judge_processes(records: &[Record], breaches: &mut Vec<Violation>) {
     for Record { at, event } in records {
         let found = match event {
             Event::Exited { controller, expected: false, status } => {
@@ -589,7 +589,7 @@
 
     #[test]
     fn a_vanished_exchange_leaves_8_s_and_a_delivered_release_1_s() {
-        let told = |ms| at(ms, Event::ReleaseHeard { call: CALL, controller: 0 });
+        let told = |ms| at(ms, Event::ReleaseReceivedByCaller { call: CALL, controller: 0 });
         let vanished = at(1000, Event::ExchangeEnded { uid: "s-1".into() });
         let story = |last: Vec<Record>| [served("s-1").to_vec(), last].concat();
         assert_eq!(rules(&story(vec![vanished.clone(), told(8900)])), []);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -15,14 +15,14 @@
 
 use crate::address::allocate;
 use crate::bad_callers;
-use crate::bus::{Bus, Target};
 use crate::callers::{CallerGroup, CallerPlan};
-use crate::controller::{Controller, DRAIN_GRACE, Files};
+use crate::controller::{ControllerProcess, DRAIN_GRACE, Files};
+use crate::event_bus::{EventBus, Target};
 use crate::exchange::ExchangeConfig;
-use crate::judge::{Verdict, judge};
-use crate::plan::{Action, CONTROLLERS, OFFICES, Plan};
-use crate::proxy::{Network, Proxy};
+use crate::plan::{CONTROLLERS, Fault, OFFICES, Plan};
+use crate::proxy::{NetworkState, Proxy};
 use crate::record::{Event, Record, Recorder, now};
+use crate::rule_checker::{Verdict, judge};
 use crate::sync::lock;
 
 /// Addresses of the bus that each controller's configuration may name.
@@ -94,9 +94,9 @@
     plan: Plan,
     programs: Programs,
     recorder: Recorder,
-    bus: Bus,
+    bus: EventBus,
     bus_addresses: Vec<Vec<SocketAddr>>,
-    controllers: Vec<Controller>,
+    controllers: Vec<ControllerProcess>,
     offices: Vec<Mutex<Office>>,
     all_proxies: Mutex<Vec<Proxy>>,
     over: Arc<AtomicBool>,
@@ -136,11 +136,11 @@
         let recorder = Recorder::default();
         let bus_addresses: Vec<Vec<_>> =
             (0..CONTROLLERS).map(|_| (0..BUS_ADDRESSES).map(|_| allocate()).collect()).collect();
-        let bus = Bus::start(&bus_addresses, &recorder);
+        let bus = EventBus::start(&bus_addresses, &recorder);
         let files = Files { binary: programs.controller.clone(), directory: programs.directory.clone() };
         let controllers = (0..CONTROLLERS)
             .map(|no| {
-                Controller::new(
+                ControllerProcess::new(
                     no,
                     allocate(),
                     bus_addresses[no][0],
@@ -234,9 +234,9 @@
         let mut threads = Vec::new();
         for controller in &self.controllers {
             let group = CallerGroup::new(controller, &self.recorder, &self.over);
-            for (at, habit) in self.plan.habits.iter().copied().enumerate() {
+            for (at, behavior) in self.plan.behaviors.iter().copied().enumerate() {
                 let seed = self.plan.seed << 16 ^ (controller.no * 64 + at) as u64;
-                let plan = CallerPlan { habit, gap: self.plan.gap, offices: OFFICES as u16, seed };
+                let plan = CallerPlan { behavior, gap: self.plan.gap, offices: OFFICES as u16, seed };
                 threads.push(group.spawn(plan));
             }
             if self.plan.bad_callers {
@@ -266,30 +266,30 @@
         self.wait(Instant::now() + span);
     }
 
-    fn carry_out(&self, action: Action) {
+    fn carry_out(&self, action: Fault) {
         match action {
-            Action::Restart { controller } => {
-                self.restart(&self.controllers[controller], Controller::shut_down)
+            Fault::Restart { controller } => {
+                self.restart(&self.controllers[controller], ControllerProcess::shut_down)
             }
-            Action::Kill { controller } => self.restart(&self.controllers[controller], |controller| {
+            Fault::Kill { controller } => self.restart(&self.controllers[controller], |controller| {
                 // What an exchange repeats on the first connection of a start is lost for good where that start is
                 // killed before a caller has named its calls.
                 thread::sleep(NAMED_WITHIN);
                 controller.kill();
             }),
-            Action::Reconfigure { controller } => self.reconfigure(controller),
-            Action::Vanish { office, listed } => self.vanish(office, listed),
-            Action::Die { office, listed } => self.die(office, listed),
-            Action::Hang { office, lasts } => self.hang(office, lasts),
-            Action::Replace { office, same_address } => self.replace(office, same_address),
-            Action::Cut { office, only, lasts } => self.cut(office, only, lasts),
-            Action::ResetLinks { office, controller } => {
+            Fault::Reconfigure { controller } => self.reconfigure(controller),
+            Fault::MachineLost { office, listed } => self.vanish(office, listed),
+            Fault::ProcessCrash { office, listed } => self.die(office, listed),
+            Fault::Hang { office, lasts } => self.hang(office, lasts),
+            Fault::Replace { office, same_address } => self.replace(office, same_address),
+            Fault::Partition { office, only, lasts } => self.cut(office, only, lasts),
+            Fault::ResetLinks { office, controller } => {
                 lock(&self.offices[office]).proxies[controller].reset_links()
             }
-            Action::ResetOneLink { office, controller } => {
+            Fault::ResetOneLink { office, controller } => {
                 lock(&self.offices[office]).proxies[controller].reset_one_link();
             }
-            Action::Bus { fault, lasts } => {
+            Fault::Bus { fault, lasts } => {
                 self.bus.begin(fault);
                 self.pass(lasts);
                 self.bus.end_fault(fault);
@@ -297,7 +297,7 @@
         }
     }
 
-    fn restart(&self, controller: &Controller, end: fn(&Controller)) {
+    fn restart(&self, controller: &ControllerProcess, end: fn(&ControllerProcess)) {
         let _restart = controller.begin_restart();
         end(controller);
         self.pass(RESTART_AFTER);
@@ -320,7 +320,7 @@
     }
 
     /// Ends an exchange, unless another fault has; what follows is about that one while the generation is the same.
-    fn end_exchange(&self, office: usize, network: Network) -> Option<u32> {
+    fn end_exchange(&self, office: usize, network: NetworkState) -> Option<u32> {
         let mut office = lock(&self.offices[office]);
         if std::mem::replace(&mut office.ended, true) {
             return None;
@@ -332,20 +332,20 @@
         self.recorder.add(Event::ExchangeEnded { uid });
         office.exchange.signal(Signal::SIGKILL);
         let _ = office.exchange.child.wait();
-        if network == Network::Refuses {
+        if network == NetworkState::Refusing {
             office.proxies.iter().for_each(Proxy::reset_links);
         }
         Some(office.generation)
     }
 
     fn vanish(&self, office: usize, listed: Duration) {
-        let Some(generation) = self.end_exchange(office, Network::Cut) else { return };
+        let Some(generation) = self.end_exchange(office, NetworkState::Partitioned) else { return };
         self.pass(listed);
         self.replace_ended(office, generation, false);
     }
 
     fn die(&self, office: usize, listed: Duration) {
-        let Some(generation) = self.end_exchange(office, Network::Refuses) else { return };
+        let Some(generation) = self.end_exchange(office, NetworkState::Refusing) else { return };
         self.pass(listed);
         self.replace_ended(office, generation, true);
     }
@@ -361,7 +361,7 @@
         let proxies = if same_address {
             for (proxy, upstream) in present.proxies.iter().zip(&next.listen) {
                 proxy.set_upstream(*upstream, &next.uid);
-                proxy.set_network(Network::Passes);
+                proxy.set_network(NetworkState::Up);
             }
             present.proxies.clone()
         } else {
@@ -380,7 +380,7 @@
         };
         self.pass(DRAIN_GRACE + Duration::from_millis(500));
         if lock(&self.offices[office]).generation == generation {
-            self.end_exchange(office, Network::Refuses);
+            self.end_exchange(office, NetworkState::Refusing);
             self.replace_ended(office, generation, same_address);
         }
     }
@@ -413,17 +413,17 @@
             None => proxies,
         };
         self.recorder.add(Event::NetworkCut { uid: uid.clone() });
-        cut.iter().for_each(|proxy| proxy.set_network(Network::Cut));
+        cut.iter().for_each(|proxy| proxy.set_network(NetworkState::Partitioned));
         self.pass(lasts);
         let present = lock(&self.offices[office]);
         if present.exchange.uid == uid && !present.ended {
-            cut.iter().for_each(|proxy| proxy.set_network(Network::Passes));
+            cut.iter().for_each(|proxy| proxy.set_network(NetworkState::Up));
             self.recorder.add(Event::NetworkHealed { uid });
         }
     }
 
     fn stop(&self) {
-        self.controllers.iter().for_each(Controller::kill);
+        self.controllers.iter().for_each(ControllerProcess::kill);
         self.bus.end();
         lock(&self.all_proxies).iter().for_each(Proxy::end);
     }
