--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -39,7 +39,7 @@
         exchange_protocol::WireCallId(0),
         &[(parameter::REPORT, b"idle:9;circuits:9")],
     );
-    let (mut cutter, mut buffer) = (exchange_protocol::Decoder::default(), [0; 4096]);
+    let (mut decoder, mut buffer) = (exchange_protocol::Decoder::default(), [0; 4096]);
     loop {
         // The other end may be gone, with the test.
         if stream.write_all(&out).is_err() {
@@ -47,8 +47,8 @@
         }
         out.clear();
         let Ok(count @ 1..) = stream.read(&mut buffer) else { return };
-        cutter.push(&buffer[..count]);
-        while let Some(message) = cutter.next_message().unwrap() {
+        decoder.push(&buffer[..count]);
+        while let Some(message) = decoder.next_message().unwrap() {
             let _ = tell.send((message.kind, message.call.0));
             if message.kind == MessageType::SetUp {
                 let description = message.description.unwrap().to_ascii_uppercase();
@@ -130,7 +130,7 @@
     fn connect(&self) -> Caller {
         let stream = TcpStream::connect(self.callers).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Caller { stream, cutter: sip::Decoder::default() }
+        Caller { stream, decoder: sip::Decoder::default() }
     }
 }
 
@@ -145,7 +145,7 @@
 
 struct Caller {
     stream: TcpStream,
-    cutter: sip::Decoder,
+    decoder: sip::Decoder,
 }
 
 impl Caller {
@@ -156,7 +156,7 @@
     /// The next message: what it is, and its body. None: closed.
     fn hears(&mut self) -> Option<(String, String)> {
         loop {
-            if let Some(message) = self.cutter.next_message().unwrap() {
+            if let Some(message) = self.decoder.next_message().unwrap() {
                 let what = match message.start {
                     sip::StartLine::Response { status } => status.to_string(),
                     sip::StartLine::Request { method, .. } => method.to_string(),
@@ -166,7 +166,7 @@
             let mut buffer = [0; 4096];
             match self.stream.read(&mut buffer) {
                 Ok(0) => return None,
-                Ok(count) => self.cutter.push(&buffer[..count]),
+                Ok(count) => self.decoder.push(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return None,
                 Err(error) => panic!("{error}"),
             }
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -64,7 +64,7 @@
 
 pub struct Core {
     controller: Controller,
-    desk: PlatformState,
+    state: PlatformState,
     settings: Settings,
     bus: EventDecoder,
     bus_at: SocketAddr,
@@ -81,13 +81,13 @@
 
 impl Core {
     /// `now` is the span since the Unix epoch. Dials the bus and every exchange.
-    pub fn new(config: &Config, now: Duration, port: &mut dyn Transport) -> Self {
+    pub fn new(config: &Config, now: Duration, transport: &mut dyn Transport) -> Self {
         let settings = config.settings.clone();
         let connect_timeout =
             if settings.connect_timeout.is_zero() { BUS_DIAL } else { settings.connect_timeout };
         let mut core = Self {
             controller: Controller::new(&settings.controller, config.seed),
-            desk: PlatformState::new(now, config.seed, config.sockets / 4, connect_timeout),
+            state: PlatformState::new(now, config.seed, config.sockets / 4, connect_timeout),
             settings,
             bus: EventDecoder::new(config.last),
             bus_at: config.bus,
@@ -99,28 +99,28 @@
             shutdown: Shutdown::NotAsked,
         };
         for event in &config.initial_events {
-            core.apply(port, event);
+            core.apply(transport, event);
         }
-        core.dial_bus(port);
-        core.desk.set(SWEEP, Timer::Sweep);
-        core.report_ended_seizures(port);
+        core.dial_bus(transport);
+        core.state.set(SWEEP, Timer::Sweep);
+        core.report_ended_seizures(transport);
         core
     }
 
     /// Tells the decisions one thing; they act at once.
     fn with_controller(
         &mut self,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         tell: impl FnOnce(&mut Controller, Duration, &mut EventContext),
     ) {
-        let now = self.desk.now;
-        tell(&mut self.controller, now, &mut EventContext { desk: &mut self.desk, port });
+        let now = self.state.now;
+        tell(&mut self.controller, now, &mut EventContext { state: &mut self.state, transport });
     }
 
     /// Tells the decisions which seizures ended through what was done since.
-    fn report_ended_seizures(&mut self, port: &mut dyn Transport) {
-        while let Some(end) = self.desk.ends.pop_front() {
-            self.with_controller(port, |controller, now, turn| controller.ended(now, turn, &end));
+    fn report_ended_seizures(&mut self, transport: &mut dyn Transport) {
+        while let Some(end) = self.state.ends.pop_front() {
+            self.with_controller(transport, |controller, now, context| controller.ended(now, context, &end));
         }
     }
 
@@ -128,83 +128,84 @@
 
     /// When [`Core::on_timer`] is next to be called.
     pub fn next_timer(&self) -> Option<Duration> {
-        self.desk.timers.peek().map(|first| first.0.0)
+        self.state.timers.peek().map(|first| first.0.0)
     }
 
     /// What has fallen due.
-    pub fn on_timer(&mut self, now: Duration, port: &mut dyn Transport) {
-        self.desk.now = now;
-        while self.desk.timers.peek().is_some_and(|first| first.0.0 <= now)
-            && let Some(first) = self.desk.timers.pop()
+    pub fn on_timer(&mut self, now: Duration, transport: &mut dyn Transport) {
+        self.state.now = now;
+        while self.state.timers.peek().is_some_and(|first| first.0.0 <= now)
+            && let Some(first) = self.state.timers.pop()
         {
             let (_, _, timer) = first.0;
-            self.falls_due(port, timer);
-            self.report_ended_seizures(port);
+            self.falls_due(transport, timer);
+            self.report_ended_seizures(transport);
         }
     }
 
-    fn falls_due(&mut self, port: &mut dyn Transport, timer: Timer) {
+    fn falls_due(&mut self, transport: &mut dyn Transport, timer: Timer) {
         match timer {
-            Timer::Alarm(alarm) => {
-                self.with_controller(port, |controller, now, turn| controller.rings(now, turn, alarm))
-            }
-            Timer::SeizureTimeout(call, no) => self.desk.limit(port, call, no),
-            Timer::GuardTime(call) => self.time_is_up(port, call, 408),
+            Timer::Alarm(alarm) => self
+                .with_controller(transport, |controller, now, context| controller.rings(now, context, alarm)),
+            Timer::SeizureTimeout(call, no) => self.state.limit(transport, call, no),
+            Timer::GuardTime(call) => self.time_is_up(transport, call, 408),
             Timer::ConnectTimeout(link) => {
-                if self.desk.links.get(&link).is_some_and(|link| link.state == LinkState::Connecting) {
-                    self.remove_link(port, link, LinkLoss::DialTimeout);
+                if self.state.links.get(&link).is_some_and(|link| link.state == LinkState::Connecting) {
+                    self.remove_link(transport, link, LinkLoss::DialTimeout);
                 }
             }
-            Timer::DialForReleases(exchange) => self.desk.dial_for_releases(port, exchange),
-            Timer::MaintainPool(exchange) => self.desk.maintain_pool(port, exchange),
-            Timer::ReconnectBus if self.bus_state == BusState::Down => self.dial_bus(port),
+            Timer::DialForReleases(exchange) => self.state.dial_for_releases(transport, exchange),
+            Timer::MaintainPool(exchange) => self.state.maintain_pool(transport, exchange),
+            Timer::ReconnectBus if self.bus_state == BusState::Down => self.dial_bus(transport),
             Timer::ReconnectBus => {}
-            Timer::Sweep => self.sweep(port),
+            Timer::Sweep => self.sweep(transport),
             Timer::ShutdownDeadline => {
-                let owed: Vec<_> = self.desk.unanswered.values().copied().collect();
-                owed.into_iter().for_each(|call| self.time_is_up(port, call, 500));
+                let owed: Vec<_> = self.state.unanswered.values().copied().collect();
+                owed.into_iter().for_each(|call| self.time_is_up(transport, call, 500));
             }
-            Timer::DrainCallers => self.drain_callers(port),
+            Timer::DrainCallers => self.drain_callers(transport),
         }
     }
 
     /// The decisions leave time for their answer; what has none by now fails.
-    fn time_is_up(&mut self, port: &mut dyn Transport, id: CallId, status: u16) {
-        if self.desk.calls.get(&id).is_some_and(|call| call.answer_state == AnswerState::Pending) {
-            self.desk.answer(port, id, status, &[], b"");
-            self.with_controller(port, |controller, now, turn| controller.withdrawn(now, turn, id));
+    fn time_is_up(&mut self, transport: &mut dyn Transport, id: CallId, status: u16) {
+        if self.state.calls.get(&id).is_some_and(|call| call.answer_state == AnswerState::Pending) {
+            self.state.answer(transport, id, status, &[], b"");
+            self.with_controller(transport, |controller, now, context| {
+                controller.withdrawn(now, context, id)
+            });
         }
     }
 
     /// Looks for half messages, silent connections, quiet exchanges and a silent bus.
-    fn sweep(&mut self, port: &mut dyn Transport) {
-        let now = self.desk.now;
-        self.desk.set(SWEEP, Timer::Sweep);
+    fn sweep(&mut self, transport: &mut dyn Transport) {
+        let now = self.state.now;
+        self.state.set(SWEEP, Timer::Sweep);
         let late = |since: Option<Duration>, span| since.is_some_and(|since| since + span < now);
         let stuck = |caller: &Caller| {
             let patience = if caller.had_standing_call { HALF_FOR_PROVEN } else { HALF_FOR };
             // What has been taken is answered first.
             late(caller.partial_since, patience) && caller.open.is_empty()
         };
-        let callers = self.desk.callers.iter().filter(|(_, caller)| stuck(caller));
+        let callers = self.state.callers.iter().filter(|(_, caller)| stuck(caller));
         for no in callers.map(|(no, _)| *no).collect::<Vec<_>>() {
-            self.close_caller(port, no, CallerClose::IncompleteMessage);
+            self.close_caller(transport, no, CallerClose::IncompleteMessage);
         }
-        let links = self.desk.links.iter().filter(|(_, link)| late(link.partial_since, HALF_ANSWER_FOR));
+        let links = self.state.links.iter().filter(|(_, link)| late(link.partial_since, HALF_ANSWER_FOR));
         for no in links.map(|(no, _)| *no).collect::<Vec<_>>() {
-            self.remove_link(port, no, LinkLoss::IncompleteMessage);
+            self.remove_link(transport, no, LinkLoss::IncompleteMessage);
         }
-        for no in self.desk.expire_links(port) {
-            self.remove_link(port, no, LinkLoss::DrainExpired);
+        for no in self.state.expire_links(transport) {
+            self.remove_link(transport, no, LinkLoss::DrainExpired);
         }
-        self.check_leases(port);
+        self.check_leases(transport);
         let patience = match self.bus_state {
             BusState::Connecting => exponential_backoff(BUS_DIAL, self.bus_failures, BUS_DIAL_LONGEST),
             _ => BUS_SILENT,
         };
         if self.bus_state != BusState::Down && self.bus_since + patience < now {
             let reason = if self.bus_state == BusState::Connecting { "dial timeout" } else { "silent" };
-            self.drop_bus(port, reason);
+            self.drop_bus(transport, reason);
         }
     }
 }
--- a/crates/platform/src/core/discovery.rs
+++ b/crates/platform/src/core/discovery.rs
@@ -12,73 +12,76 @@
 use crate::{Config, Transport};
 
 impl Core {
-    pub(super) fn dial_bus(&mut self, port: &mut dyn Transport) {
-        (self.bus_state, self.bus_since) = (BusState::Connecting, self.desk.now);
-        port.connect_bus(self.bus_at);
+    pub(super) fn dial_bus(&mut self, transport: &mut dyn Transport) {
+        (self.bus_state, self.bus_since) = (BusState::Connecting, self.state.now);
+        transport.connect_bus(self.bus_at);
     }
 
-    pub fn bus_connected(&mut self, now: Duration, port: &mut dyn Transport) {
-        self.desk.now = now;
+    pub fn bus_connected(&mut self, now: Duration, transport: &mut dyn Transport) {
+        self.state.now = now;
         (self.bus_state, self.bus_since) = (BusState::Up, now);
-        port.send_to_bus(&self.bus.resume_request());
+        transport.send_to_bus(&self.bus.resume_request());
     }
 
-    pub fn bus_disconnected(&mut self, now: Duration, port: &mut dyn Transport) {
-        self.desk.now = now;
-        self.drop_bus(port, "connection lost or refused");
+    pub fn bus_disconnected(&mut self, now: Duration, transport: &mut dyn Transport) {
+        self.state.now = now;
+        self.drop_bus(transport, "connection lost or refused");
     }
 
-    pub(super) fn drop_bus(&mut self, port: &mut dyn Transport, reason: &str) {
-        let after = self.desk.now.saturating_sub(self.bus_since);
-        port.log_debug(format_args!(
+    pub(super) fn drop_bus(&mut self, transport: &mut dyn Transport, reason: &str) {
+        let after = self.state.now.saturating_sub(self.bus_since);
+        transport.log_debug(format_args!(
             "event bus dropped: {reason}, {after:?} after it was last heard or dialled"
         ));
         metrics::counter!("bus_dropped").increment(1);
-        port.close_bus();
-        (self.bus_state, self.bus_since) = (BusState::Down, self.desk.now);
-        let pause = self.desk.jittered(exponential_backoff(BUS_AGAIN, self.bus_failures, BUS_AGAIN_LONGEST));
+        transport.close_bus();
+        (self.bus_state, self.bus_since) = (BusState::Down, self.state.now);
+        let pause = self.state.jittered(exponential_backoff(BUS_AGAIN, self.bus_failures, BUS_AGAIN_LONGEST));
         self.bus_failures = self.bus_failures.saturating_add(1);
-        self.desk.set(pause, Timer::ReconnectBus);
+        self.state.set(pause, Timer::ReconnectBus);
     }
 
-    pub fn bus_data(&mut self, now: Duration, port: &mut dyn Transport, octets: &[u8]) {
-        self.desk.now = now;
+    pub fn bus_data(&mut self, now: Duration, transport: &mut dyn Transport, octets: &[u8]) {
+        self.state.now = now;
         (self.bus_since, self.bus_failures) = (now, 0);
         let mut events = Vec::new();
         let taken = self.bus.decode(octets, |event| events.push(event));
-        events.iter().for_each(|event| self.apply(port, event));
+        events.iter().for_each(|event| self.apply(transport, event));
         if let Err(spoilt) = taken {
-            port.log_info(&format!("event bus: {spoilt}; asked again from {}", self.bus.last()));
-            self.drop_bus(port, "unreadable line or gap");
+            transport.log_info(&format!("event bus: {spoilt}; asked again from {}", self.bus.last()));
+            self.drop_bus(transport, "unreadable line or gap");
         }
-        self.report_ended_seizures(port);
+        self.report_ended_seizures(transport);
     }
 
     /// A new configuration: only where the bus is may change while calls are in hand.
-    pub fn configured(&mut self, now: Duration, port: &mut dyn Transport, config: &Config) {
-        self.desk.now = now;
+    pub fn configured(&mut self, now: Duration, transport: &mut dyn Transport, config: &Config) {
+        self.state.now = now;
         if config.bus != self.bus_at {
-            port.log_info(&format!("event bus: now at {}, was at {}", config.bus, self.bus_at));
+            transport.log_info(&format!("event bus: now at {}, was at {}", config.bus, self.bus_at));
             (self.bus_at, self.bus_failures) = (config.bus, 0);
-            self.dial_bus(port);
+            self.dial_bus(transport);
         }
     }
 
-    pub(super) fn apply(&mut self, port: &mut dyn Transport, event: &Event) {
+    pub(super) fn apply(&mut self, transport: &mut dyn Transport, event: &Event) {
         let Some(topology) = &event.topology else { return };
         let lines = self.lines(topology);
-        let gone: Vec<_> = self.changes(port, topology, &lines);
+        let gone: Vec<_> = self.changes(transport, topology, &lines);
         match topology.is_full {
-            true => self.with_controller(port, |controller, now, turn| controller.roster(now, turn, &lines)),
-            false => self
-                .with_controller(port, |controller, now, turn| controller.roster_changes(now, turn, &lines)),
+            true => self.with_controller(transport, |controller, now, context| {
+                controller.roster(now, context, &lines)
+            }),
+            false => self.with_controller(transport, |controller, now, context| {
+                controller.roster_changes(now, context, &lines)
+            }),
         }
         for (exchange, before, reason) in gone {
-            self.cut_calls(port, exchange, before, reason);
+            self.cut_calls(transport, exchange, before, reason);
         }
-        self.desk.share_links();
-        let all: Vec<_> = self.desk.exchanges.keys().copied().collect();
-        all.into_iter().for_each(|exchange| self.desk.maintain_pool(port, exchange));
+        self.state.share_links();
+        let all: Vec<_> = self.state.exchanges.keys().copied().collect();
+        all.into_iter().for_each(|exchange| self.state.maintain_pool(transport, exchange));
     }
 
     /// A topology as the decisions read it; exchanges that are new get their number.
@@ -109,7 +112,7 @@
     /// Takes changes into the books; gives the exchanges whose calls, from before some time, ended through them.
     pub(super) fn changes(
         &mut self,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         topology: &Topology,
         lines: &[RosterLine],
     ) -> Vec<(ExchangeId, Duration, CallEnd)> {
@@ -130,11 +133,11 @@
                 next_dial: Duration::ZERO,
                 queued_set_ups: Default::default(),
                 releases: Default::default(),
-                lease: Lease::new(self.desk.now),
+                lease: Lease::new(self.state.now),
                 all_links_lost: None,
                 dials_for_releases: false,
             };
-            let far = self.desk.exchanges.entry(line.exchange).or_insert(fresh);
+            let far = self.state.exchanges.entry(line.exchange).or_insert(fresh);
             far.service = line.standing;
             if std::mem::replace(&mut far.started, line.started) != line.started {
                 ended.push((line.exchange, line.started, CallEnd::ExchangeRestarted));
@@ -142,26 +145,26 @@
             if std::mem::replace(&mut far.at, target.endpoint) != target.endpoint {
                 let links = far.links.clone();
                 for link in links {
-                    self.desk.remove_link(port, link, LinkLoss::AddressChanged);
+                    self.state.remove_link(transport, link, LinkLoss::AddressChanged);
                 }
             }
         }
         let missing = |id: &ExchangeId| topology.is_full && lines.iter().all(|line| line.exchange != *id);
-        for (id, far) in &mut self.desk.exchanges {
+        for (id, far) in &mut self.state.exchanges {
             if missing(id) {
                 far.service = Service::Gone;
             }
         }
         let gone = |far: &RemoteExchange| far.service == Service::Gone;
         let all: Vec<_> =
-            self.desk.exchanges.iter().filter(|(_, far)| gone(far)).map(|(id, _)| *id).collect();
+            self.state.exchanges.iter().filter(|(_, far)| gone(far)).map(|(id, _)| *id).collect();
         for id in all {
-            let far = self.desk.exchanges.get(&id);
+            let far = self.state.exchanges.get(&id);
             let links = far.map(|far| far.links.iter().chain(&far.draining).copied().collect::<Vec<_>>());
             for link in links.unwrap_or_default() {
-                self.desk.remove_link(port, link, LinkLoss::ExchangeGone);
+                self.state.remove_link(transport, link, LinkLoss::ExchangeGone);
             }
-            if let Some(far) = self.desk.exchanges.remove(&id) {
+            if let Some(far) = self.state.exchanges.remove(&id) {
                 self.uids.remove(&far.uid);
             }
             ended.push((id, Duration::MAX, CallEnd::ExchangeGone));
--- a/crates/platform/src/core/leases.rs
+++ b/crates/platform/src/core/leases.rs
@@ -12,47 +12,50 @@
 
 impl Core {
     /// Looks at the lease of each exchange at which a call stands.
-    pub(super) fn check_leases(&mut self, port: &mut dyn Transport) {
-        let holders: BTreeSet<ExchangeId> = self.desk.standing.values().map(|call| call.exchange).collect();
+    pub(super) fn check_leases(&mut self, transport: &mut dyn Transport) {
+        let holders: BTreeSet<ExchangeId> = self.state.standing.values().map(|call| call.exchange).collect();
         let holder = if self.draining() { Holder::Leaves } else { Holder::Stays };
         for exchange in holders {
-            let Some(remote) = self.desk.exchanges.get_mut(&exchange) else { continue };
-            let quiet = self.desk.now.saturating_sub(remote.lease.last_heard());
-            match remote.lease.check(self.desk.now, holder) {
+            let Some(remote) = self.state.exchanges.get_mut(&exchange) else { continue };
+            let quiet = self.state.now.saturating_sub(remote.lease.last_heard());
+            match remote.lease.check(self.state.now, holder) {
                 Check::Valid => {}
                 Check::SendHeartbeat if self.settings.may_probe => {
-                    port.log_debug(format_args!("exchange {} quiet for {quiet:?}: heartbeat", exchange.0));
-                    self.desk.send_heartbeat(port, exchange);
+                    transport
+                        .log_debug(format_args!("exchange {} quiet for {quiet:?}: heartbeat", exchange.0));
+                    self.state.send_heartbeat(transport, exchange);
                 }
                 Check::SendHeartbeat => {
                     // Each new connection brings the group's state as its first message.
-                    port.log_debug(format_args!("exchange {} quiet for {quiet:?}: connection", exchange.0));
-                    self.replace_connection(port, exchange);
+                    transport
+                        .log_debug(format_args!("exchange {} quiet for {quiet:?}: connection", exchange.0));
+                    self.replace_connection(transport, exchange);
                 }
                 Check::ReplaceConnection => {
-                    port.log_debug(format_args!("exchange {} quiet for {quiet:?}: no answer", exchange.0));
-                    self.replace_connection(port, exchange);
+                    transport
+                        .log_debug(format_args!("exchange {} quiet for {quiet:?}: no answer", exchange.0));
+                    self.replace_connection(transport, exchange);
                 }
                 Check::Expired => {
-                    port.log_info(&format!(
+                    transport.log_info(&format!(
                         "exchange {} quiet for {quiet:?}: its lease has expired",
                         exchange.0
                     ));
-                    self.end_calls(port, exchange, Duration::MAX, CallEnd::LeaseExpired);
+                    self.end_calls(transport, exchange, Duration::MAX, CallEnd::LeaseExpired);
                 }
             }
         }
     }
 
     /// A heartbeat was not answered: a new connection shows whether the exchange or the connection is at fault.
-    fn replace_connection(&mut self, port: &mut dyn Transport, exchange: ExchangeId) {
-        match self.desk.oldest_open_link(exchange) {
+    fn replace_connection(&mut self, transport: &mut dyn Transport, exchange: ExchangeId) {
+        match self.state.oldest_open_link(exchange) {
             // Which sees to the pool itself.
-            Some(link) => self.desk.drain_link(port, link),
-            None => self.desk.maintain_pool(port, exchange),
+            Some(link) => self.state.drain_link(transport, link),
+            None => self.state.maintain_pool(transport, exchange),
         }
         if self.settings.may_probe {
-            self.desk.send_heartbeat(port, exchange);
+            self.state.send_heartbeat(transport, exchange);
         }
     }
 }
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -39,72 +39,72 @@
 
 impl Core {
     /// The signal to stop: what comes is still taken, with time for its answer before the process is ended.
-    pub fn stop(&mut self, now: Duration, port: &mut dyn Transport) {
-        self.desk.now = now;
+    pub fn stop(&mut self, now: Duration, transport: &mut dyn Transport) {
+        self.state.now = now;
         if self.shutdown != Shutdown::NotAsked {
             return;
         }
         let deadlines = self.settings.controller.call_types.iter().map(|of| of.guard_time);
         let longest = deadlines.max().unwrap_or_default().clamp(SERVED_FOR, LONGEST_DEADLINE_COUNTED);
         let lasts = longest + ANSWERED_AFTER_DEADLINE;
-        port.log_info(&format!(
+        transport.log_info(&format!(
             "told to stop: {} calls to be answered, {} stand, {} connections",
-            self.desk.unanswered.len(),
-            self.desk.standing.len(),
-            self.desk.callers.len(),
+            self.state.unanswered.len(),
+            self.state.standing.len(),
+            self.state.callers.len(),
         ));
         self.shutdown = Shutdown::Asked { at: now, ends: now + lasts };
-        self.desk.set(lasts, Timer::ShutdownDeadline);
-        self.desk.set(SERVED_FOR, Timer::DrainCallers);
+        self.state.set(lasts, Timer::ShutdownDeadline);
+        self.state.set(SERVED_FOR, Timer::DrainCallers);
     }
 
     /// Whether set-ups are refused because the process is about to end.
     pub(super) fn draining(&self) -> bool {
-        matches!(self.shutdown, Shutdown::Asked { at, .. } if at + SERVED_FOR <= self.desk.now)
+        matches!(self.shutdown, Shutdown::Asked { at, .. } if at + SERVED_FOR <= self.state.now)
     }
 
     /// Whether nothing is left to be done before the process ends.
     pub fn is_shutdown_complete(&self, now: Duration) -> bool {
         let served = matches!(self.shutdown, Shutdown::Asked { at, .. } if at + SERVED_FOR < now);
-        served && self.desk.unanswered.is_empty() && self.desk.callers.is_empty()
+        served && self.state.unanswered.is_empty() && self.state.callers.is_empty()
     }
 
     /// Until when a set-up that came in the shutdown has its answer.
     pub(super) fn answered_by(&self, deadline: Duration) -> Duration {
         match self.shutdown {
             Shutdown::NotAsked => deadline,
-            Shutdown::Asked { ends, .. } => deadline.min(ends.max(self.desk.now)),
+            Shutdown::Asked { ends, .. } => deadline.min(ends.max(self.state.now)),
         }
     }
 
     /// Closes connections on which nothing is left; when the shutdown ends, all.
-    pub(super) fn drain_callers(&mut self, port: &mut dyn Transport) {
+    pub(super) fn drain_callers(&mut self, transport: &mut dyn Transport) {
         let Shutdown::Asked { ends, .. } = self.shutdown else { return };
-        let all = ends <= self.desk.now;
+        let all = ends <= self.state.now;
         let carrying = self.carrying();
         let finished = |no: &CallerConnectionId, caller: &Caller| {
             caller.open.is_empty()
                 && caller.partial_since.is_none()
                 && !carrying.contains(no)
-                && !caller.awaits_confirmation(self.desk.now)
+                && !caller.awaits_confirmation(self.state.now)
         };
-        let callers = self.desk.callers.iter().filter(|(no, caller)| all || finished(no, caller));
+        let callers = self.state.callers.iter().filter(|(no, caller)| all || finished(no, caller));
         for no in callers.map(|(no, _)| *no).collect::<Vec<_>>() {
-            self.close_caller(port, no, CallerClose::Shutdown);
+            self.close_caller(transport, no, CallerClose::Shutdown);
         }
-        if self.desk.callers.is_empty() {
+        if self.state.callers.is_empty() {
             // What an exchange tells from now on is for the successor: nobody is left to pass it on to.
-            self.desk.close_links(port);
+            self.state.close_links(transport);
         }
-        self.desk.set(DRAIN_INTERVAL, Timer::DrainCallers);
+        self.state.set(DRAIN_INTERVAL, Timer::DrainCallers);
     }
 
     /// Connections on which the ends of calls that stand will be told: a call whose own has gone needs any other.
     fn carrying(&self) -> BTreeSet<CallerConnectionId> {
-        let any = self.desk.connection_for(None);
-        let open = |no: &CallerConnectionId| self.desk.callers.contains_key(no);
+        let any = self.state.connection_for(None);
+        let open = |no: &CallerConnectionId| self.state.callers.contains_key(no);
         let told_on = |call: &Standing| Some(call.caller).filter(open).or(any);
-        self.desk.standing.values().filter_map(told_on).collect()
+        self.state.standing.values().filter_map(told_on).collect()
     }
 
     /// The connection that can be closed to make room for another: the longest silent without an open set-up, and not
@@ -113,7 +113,7 @@
         let closable = |caller: &Caller| {
             caller.open.is_empty() && !(caller.sent_valid && caller.partial_since.is_some())
         };
-        let idle = self.desk.callers.iter().filter(|(_, caller)| closable(caller));
+        let idle = self.state.callers.iter().filter(|(_, caller)| closable(caller));
         idle.min_by_key(|(_, caller)| (caller.sent_valid, caller.heard)).map(|(no, _)| *no)
     }
 }
--- a/crates/platform/src/exchange_protocol.rs
+++ b/crates/platform/src/exchange_protocol.rs
@@ -234,24 +234,24 @@
             &[(parameter::CAUSE, &[34]), (parameter::NOTE, b"throttled"), (parameter::WAIT_MS, b"250")],
         );
         assert_eq!(octets[..14], [0, 31, 12, 0x9b, 0x1f, 0x03, 0xaa, 0x5c, 0x7e, 0x2d, 0x41, 47, 0, 1]);
-        let mut cutter = Decoder::default();
+        let mut decoder = Decoder::default();
         for octet in &octets[..octets.len() - 1] {
-            cutter.push(&[*octet]);
-            assert_eq!(cutter.next_message(), Ok(None));
-            assert!(cutter.has_partial());
+            decoder.push(&[*octet]);
+            assert_eq!(decoder.next_message(), Ok(None));
+            assert!(decoder.has_partial());
         }
-        cutter.push(&octets[octets.len() - 1..]);
-        let message = cutter.next_message().unwrap().unwrap();
+        decoder.push(&octets[octets.len() - 1..]);
+        let message = decoder.next_message().unwrap().unwrap();
         assert_eq!((message.cause, message.note, message.wait_ms), (Some(34), Some("throttled"), Some(250)));
-        assert!(cutter.next_message() == Ok(None) && !cutter.has_partial());
+        assert!(decoder.next_message() == Ok(None) && !decoder.has_partial());
     }
 
     #[test]
     fn what_lacks_what_it_needs_or_runs_over_is_spoilt() {
         let spoilt = |octets: &[u8]| {
-            let mut cutter = Decoder::default();
-            cutter.push(octets);
-            cutter.next_message().unwrap_err()
+            let mut decoder = Decoder::default();
+            decoder.push(octets);
+            decoder.next_message().unwrap_err()
         };
         assert_eq!(spoilt(&written(MessageType::Answer, &[])), DecodeError::Value(48));
         assert_eq!(spoilt(&written(MessageType::Release, &[(47, &[1, 2])])), DecodeError::Value(47));
--- a/crates/platform/src/state.rs
+++ b/crates/platform/src/state.rs
@@ -125,7 +125,7 @@
 /// One connection of a caller.
 #[derive(Debug)]
 pub struct Caller {
-    pub cutter: sip::Decoder,
+    pub decoder: sip::Decoder,
     pub open: BTreeSet<CallId>,
     pub heard: Duration,
     /// Since when a message has come in part, or nothing at all.
@@ -176,7 +176,7 @@
 pub struct Link {
     pub to: ExchangeId,
     pub state: LinkState,
-    pub cutter: exchange_protocol::Decoder,
+    pub decoder: exchange_protocol::Decoder,
     pub heard: Duration,
     pub partial_since: Option<Duration>,
     /// Set-ups out on it.
@@ -280,7 +280,7 @@
 
     pub fn caller_connected(&mut self, caller: CallerConnectionId) {
         let fresh = Caller {
-            cutter: sip::Decoder::default(),
+            decoder: sip::Decoder::default(),
             open: BTreeSet::new(),
             heard: self.now,
             partial_since: Some(self.now),
--- a/crates/platform/src/state/actions.rs
+++ b/crates/platform/src/state/actions.rs
@@ -9,39 +9,39 @@
 
 /// The decisions act through this.
 pub struct EventContext<'a> {
-    pub desk: &'a mut PlatformState,
-    pub port: &'a mut dyn Transport,
+    pub state: &'a mut PlatformState,
+    pub transport: &'a mut dyn Transport,
 }
 
 impl Host for EventContext<'_> {
     fn seize(&mut self, id: CallId, to: ExchangeId, limit: Duration) {
-        let Self { desk, port } = self;
-        let Some(call) = desk.calls.get_mut(&id) else { return };
+        let Self { state, transport } = self;
+        let Some(call) = state.calls.get_mut(&id) else { return };
         let no = SeizureNo(call.seizures);
         call.seizures = call.seizures.saturating_add(1);
-        call.open_seizure = Some(OpenSeizure { no, to, link: None, since: desk.now, limit });
-        desk.set(limit, Timer::SeizureTimeout(id, no));
-        if desk.send_set_up(*port, id) {
+        call.open_seizure = Some(OpenSeizure { no, to, link: None, since: state.now, limit });
+        state.set(limit, Timer::SeizureTimeout(id, no));
+        if state.send_set_up(*transport, id) {
             return;
         }
         // No link is free: one is waited for while it is dialled, which a seizure is reason enough for.
-        let Some(far) = desk.exchanges.get(&to).filter(|far| far.service == Service::Ready) else {
-            return desk.end(id, Cause::Unreachable);
+        let Some(far) = state.exchanges.get(&to).filter(|far| far.service == Service::Ready) else {
+            return state.end(id, Cause::Unreachable);
         };
-        if !desk.dialling(far) && far.links.len() < desk.links_each + SPARE_LINKS {
+        if !state.dialling(far) && far.links.len() < state.links_each + SPARE_LINKS {
             let at = far.at;
-            desk.dial(*port, to, at);
+            state.dial(*transport, to, at);
         }
-        if let Some(far) = desk.exchanges.get_mut(&to) {
+        if let Some(far) = state.exchanges.get_mut(&to) {
             far.queued_set_ups.push_back(id);
         }
-        desk.unreached(to);
+        state.unreached(to);
     }
 
     fn cancel(&mut self, id: CallId, seizure: SeizureNo) {
-        let out = self.desk.calls.get(&id).and_then(|call| call.open_seizure.as_ref());
+        let out = self.state.calls.get(&id).and_then(|call| call.open_seizure.as_ref());
         if out.is_some_and(|out| out.no == seizure) {
-            self.desk.give_up(self.port, id, Cause::Cancelled);
+            self.state.give_up(self.transport, id, Cause::Cancelled);
         }
     }
 
@@ -49,15 +49,15 @@
         let wait = come_back.as_millis().to_string();
         let more = [("P-Back-Off", &*wait)];
         let more = if come_back.is_zero() { &more[..0] } else { &more[..] };
-        self.desk.answer(self.port, id, 503, more, b"");
+        self.state.answer(self.transport, id, 503, more, b"");
     }
 
     fn release(&mut self, id: CallId) {
-        self.desk.answer(self.port, id, 500, &[], b"");
+        self.state.answer(self.transport, id, 500, &[], b"");
     }
 
     fn alarm(&mut self, after: Duration, alarm: AlarmId) {
-        self.desk.set(after, Timer::Alarm(alarm));
+        self.state.set(after, Timer::Alarm(alarm));
     }
 
     fn tell(&mut self, _peer: Option<PeerNo>, _message: &[u8]) {
@@ -69,6 +69,6 @@
     }
 
     fn log(&mut self, line: &str) {
-        self.port.log_info(line);
+        self.transport.log_info(line);
     }
 }
--- a/crates/platform/src/state/calls.rs
+++ b/crates/platform/src/state/calls.rs
@@ -21,7 +21,7 @@
     /// The final answer of a call: written once, and nothing after it.
     pub fn answer(
         &mut self,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         id: CallId,
         status: u16,
         more: &[(&str, &str)],
@@ -44,9 +44,9 @@
         if call.open_seizure.is_none() {
             self.drop_call(id);
         }
-        port.send_to_caller(caller, &octets);
+        transport.send_to_caller(caller, &octets);
         metrics::counter!("final_answers", "status" => status.to_string()).increment(1);
-        port.log_debug(format_args!("{wire} told {status} {more:?}"));
+        transport.log_debug(format_args!("{wire} told {status} {more:?}"));
     }
 
     /// Nothing more is owed for a call; what is out of it goes on to its end.
@@ -64,23 +64,28 @@
     }
 
     /// The link for a further set-up: the one with fewest out.
-    pub(super) fn pick(&self, port: &dyn Transport, far: &RemoteExchange, call: &Call) -> Option<LinkId> {
+    pub(super) fn pick(
+        &self,
+        transport: &dyn Transport,
+        far: &RemoteExchange,
+        call: &Call,
+    ) -> Option<LinkId> {
         let links = far.links.iter().filter_map(|no| self.links.get(no).map(|link| (no, link)));
         let free = links.filter(|(no, link)| {
             link.state == LinkState::Up
                 && link.partial_since.is_none()
                 && !call.left.contains(no)
-                && !port.is_write_blocked(**no)
+                && !transport.is_write_blocked(**no)
         });
         free.min_by_key(|(_, link)| link.open_set_ups.len()).map(|(no, _)| *no)
     }
 
     /// Sends the set-up of a call whose seizure waits, if a link is free.
-    pub(super) fn send_set_up(&mut self, port: &mut dyn Transport, id: CallId) -> bool {
+    pub(super) fn send_set_up(&mut self, transport: &mut dyn Transport, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else { return true };
         let Some(out) = call.open_seizure.as_ref().filter(|out| out.link.is_none()) else { return true };
         let Some(far) = self.exchanges.get(&out.to) else { return false };
-        let Some(no) = self.pick(port, far, call) else { return false };
+        let Some(no) = self.pick(transport, far, call) else { return false };
         let left = out.limit.saturating_sub(self.now.saturating_sub(out.since));
         let patience = left.as_millis().to_string();
         let mut octets = Vec::with_capacity(64 + call.description.len());
@@ -98,8 +103,8 @@
         if let Some(out) = self.calls.get_mut(&id).and_then(|call| call.open_seizure.as_mut()) {
             out.link = Some(no);
         }
-        port.send_to_link(no, &octets);
-        port.log_debug(format_args!("{wire} sent on link {} with {patience} ms", no.0));
+        transport.send_to_link(no, &octets);
+        transport.log_debug(format_args!("{wire} sent on link {} with {patience} ms", no.0));
         true
     }
 
@@ -125,30 +130,30 @@
     }
 
     /// Gives up a seizure: the exchange is told, and what still comes on that link is not for a later one.
-    pub fn give_up(&mut self, port: &mut dyn Transport, id: CallId, cause: Cause) {
+    pub fn give_up(&mut self, transport: &mut dyn Transport, id: CallId, cause: Cause) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(out) = &call.open_seizure else { return };
         // What never went out is not reached, and has not run.
         let Some(link) = out.link else { return self.end(id, Cause::Unreachable) };
         call.left.push(link);
-        release_on(port, link, call.id);
+        release_on(transport, link, call.id);
         self.end(id, cause);
     }
 
     /// The time of a seizure is up.
-    pub fn limit(&mut self, port: &mut dyn Transport, id: CallId, no: SeizureNo) {
+    pub fn limit(&mut self, transport: &mut dyn Transport, id: CallId, no: SeizureNo) {
         let Some(out) = self.calls.get(&id).and_then(|call| call.open_seizure.as_ref()) else { return };
         if out.no != no {
             return;
         }
         let (link, since) = (out.link, out.since);
-        self.give_up(port, id, Cause::TimedOut);
+        self.give_up(transport, id, Cause::TimedOut);
         // A link on which nothing came since is of no use to others either. It is read on for a while: closing it would
         // lose a release that is on its way, and the set-ups that are out on it.
         if let Some(no) = link
             && self.links.get(&no).is_some_and(|link| link.state == LinkState::Up && link.heard < since)
         {
-            self.drain_link(port, no);
+            self.drain_link(transport, no);
         }
     }
 }
--- a/crates/platform/src/state/links.rs
+++ b/crates/platform/src/state/links.rs
@@ -25,7 +25,7 @@
 
 impl PlatformState {
     /// Closes draining links whose time is over in our direction; gives those that the other side has not closed since.
-    pub fn expire_links(&mut self, port: &mut dyn Transport) -> Vec<LinkId> {
+    pub fn expire_links(&mut self, transport: &mut dyn Transport) -> Vec<LinkId> {
         let now = self.now;
         let (mut drained, mut expired) = (Vec::new(), Vec::new());
         for (no, link) in &self.links {
@@ -35,26 +35,26 @@
                 _ => {}
             }
         }
-        drained.into_iter().for_each(|no| self.finish(port, no));
+        drained.into_iter().for_each(|no| self.finish(transport, no));
         expired
     }
 
     /// Sends nothing new on a link, reads it on for a while, and has another dialled in its place.
-    pub fn drain_link(&mut self, port: &mut dyn Transport, no: LinkId) {
+    pub fn drain_link(&mut self, transport: &mut dyn Transport, no: LinkId) {
         let Some(link) = self.links.get_mut(&no) else { return };
         let to = link.to;
         link.state = LinkState::Draining { at: self.now };
-        port.log_debug(format_args!("link {} to exchange {} drained", no.0, to.0));
+        transport.log_debug(format_args!("link {} to exchange {} drained", no.0, to.0));
         if let Some(far) = self.exchanges.get_mut(&to) {
             far.links.retain(|known| *known != no);
             far.draining.push_back(no);
         }
-        self.finish_oldest(port, to);
-        self.maintain_pool(port, to);
+        self.finish_oldest(transport, to);
+        self.maintain_pool(transport, to);
     }
 
     /// No more than some links of an exchange are read on.
-    fn finish_oldest(&mut self, port: &mut dyn Transport, to: ExchangeId) {
+    fn finish_oldest(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
         let draining = |no: &&LinkId| {
             self.links.get(no).is_some_and(|link| matches!(link.state, LinkState::Draining { .. }))
         };
@@ -64,36 +64,36 @@
         if remote.draining.len() > 2 * MOST_LINKS
             && let Some(oldest) = oldest
         {
-            self.remove_link(port, oldest, LinkLoss::DrainExpired);
+            self.remove_link(transport, oldest, LinkLoss::DrainExpired);
         } else if all.len() > MOST_LINKS {
-            self.finish(port, all[0]);
+            self.finish(transport, all[0]);
         }
     }
 
     /// Closes a link in our direction; it is read to its end.
-    fn finish(&mut self, port: &mut dyn Transport, no: LinkId) {
+    fn finish(&mut self, transport: &mut dyn Transport, no: LinkId) {
         if let Some(link) = self.links.get_mut(&no) {
             link.state = LinkState::HalfClosed { at: self.now };
-            port.shutdown_link_write(no);
+            transport.shutdown_link_write(no);
         }
     }
 
     /// Closes all links, and dials none any more. Exchanges repeat on the next connection what they have told meanwhile.
-    pub fn close_links(&mut self, port: &mut dyn Transport) {
+    pub fn close_links(&mut self, transport: &mut dyn Transport) {
         self.links_closed = true;
         let all: Vec<_> = self.links.keys().copied().collect();
         for no in all {
-            self.remove_link(port, no, LinkLoss::Shutdown);
+            self.remove_link(transport, no, LinkLoss::Shutdown);
         }
     }
 
     /// A link that was dialled for the releases that another may have lost makes the oldest one superfluous.
-    fn drain_surplus(&mut self, port: &mut dyn Transport, to: ExchangeId) {
+    fn drain_surplus(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
         let Some(remote) = self.exchanges.get(&to) else { return };
         if self.up_links(remote).count() > self.links_each
             && let Some(oldest) = self.oldest_open_link(to)
         {
-            self.drain_link(port, oldest);
+            self.drain_link(transport, oldest);
         }
     }
 
@@ -106,17 +106,17 @@
         }
     }
 
-    pub fn dial_for_releases(&mut self, port: &mut dyn Transport, to: ExchangeId) {
+    pub fn dial_for_releases(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
         let Some(remote) = self.exchanges.get_mut(&to) else { return };
         remote.dials_for_releases = false;
         let (listed, at) = (remote.service != Service::Gone, remote.at);
         if listed && self.standing.values().any(|call| call.exchange == to) {
-            self.dial(port, to, at);
+            self.dial(transport, to, at);
         }
     }
 
     /// Asks an exchange for a sign of life, if a link is up; a new one brings its own.
-    pub fn send_heartbeat(&mut self, port: &mut dyn Transport, to: ExchangeId) {
+    pub fn send_heartbeat(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
         let Some(link) = self.oldest_open_link(to) else { return };
         let mut octets = Vec::new();
         exchange_protocol::encode(
@@ -125,7 +125,7 @@
             WireCallId(self.number()),
             &[(parameter::CAUSE, &[TEST])],
         );
-        port.send_to_link(link, &octets);
+        transport.send_to_link(link, &octets);
         metrics::counter!("heartbeats_sent").increment(1);
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Dials what an exchange is short of links.
-    pub fn maintain_pool(&mut self, port: &mut dyn Transport, to: ExchangeId) {
+    pub fn maintain_pool(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
         let Some(far) = self.exchanges.get(&to) else { return };
         let wanted = match far.service {
             Service::Ready => self.links_each,
@@ -151,19 +151,19 @@
         if self.now < next_dial {
             return self.set(next_dial - self.now, Timer::MaintainPool(to));
         }
-        (0..if first { short } else { 1 }).for_each(|_| self.dial(port, to, at));
+        (0..if first { short } else { 1 }).for_each(|_| self.dial(transport, to, at));
     }
 
-    pub(super) fn dial(&mut self, port: &mut dyn Transport, to: ExchangeId, at: SocketAddr) {
+    pub(super) fn dial(&mut self, transport: &mut dyn Transport, to: ExchangeId, at: SocketAddr) {
         if self.links_closed {
             return;
         }
         let no = LinkId(self.number());
-        let (state, cutter) = (LinkState::Connecting, exchange_protocol::Decoder::default());
+        let (state, decoder) = (LinkState::Connecting, exchange_protocol::Decoder::default());
         let link = Link {
             to,
             state,
-            cutter,
+            decoder,
             heard: self.now,
             partial_since: None,
             open_set_ups: BTreeMap::new(),
@@ -173,8 +173,8 @@
         self.exchanges.entry(to).and_modify(|far| far.links.push(no));
         self.set(self.connect_timeout, Timer::ConnectTimeout(no));
         metrics::counter!("links_dialled").increment(1);
-        port.log_debug(format_args!("link {} to exchange {} dialled at {at}", no.0, to.0));
-        port.connect_link(no, at);
+        transport.log_debug(format_args!("link {} to exchange {} dialled at {at}", no.0, to.0));
+        transport.connect_link(no, at);
     }
 
     /// Whether a link to an exchange is being dialled.
@@ -182,41 +182,41 @@
         far.links.iter().any(|no| self.links.get(no).is_some_and(|link| link.state == LinkState::Connecting))
     }
 
-    pub fn link_connected(&mut self, port: &mut dyn Transport, no: LinkId) {
+    pub fn link_connected(&mut self, transport: &mut dyn Transport, no: LinkId) {
         let Some(link) = self.links.get_mut(&no) else { return };
         (link.state, link.heard) = (LinkState::Up, self.now);
         let to = link.to;
-        port.log_debug(format_args!("link {} to exchange {} up", no.0, to.0));
+        transport.log_debug(format_args!("link {} to exchange {} up", no.0, to.0));
         let Some(far) = self.exchanges.get_mut(&to) else { return };
         far.failures = 0;
         let waiting = std::mem::take(&mut far.queued_set_ups);
         let ready = far.service == Service::Ready;
-        self.repeat_releases(port, to, no);
-        self.drain_surplus(port, to);
+        self.repeat_releases(transport, to, no);
+        self.drain_surplus(transport, to);
         for id in waiting {
             // One that began to drain meanwhile is sent nothing new.
             if !ready {
                 self.end(id, Cause::Unreachable);
-            } else if !self.send_set_up(port, id) {
+            } else if !self.send_set_up(transport, id) {
                 self.exchanges.entry(to).and_modify(|far| far.queued_set_ups.push_back(id));
             }
         }
-        self.maintain_pool(port, to);
+        self.maintain_pool(transport, to);
     }
 
     /// A link has gone, or is closed here: every set-up on it was cut. Whether it had ever been up.
     pub fn remove_link(
         &mut self,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         no: LinkId,
         reason: LinkLoss,
     ) -> Option<(ExchangeId, LinkState)> {
         let link = self.links.remove(&no)?;
-        port.close_link(no);
+        transport.close_link(no);
         let (to, silent) = (link.to, self.now.saturating_sub(link.heard));
         let was_open = link.state != LinkState::Connecting;
         metrics::counter!("links_lost", "reason" => reason.label()).increment(1);
-        port.log_debug(format_args!(
+        transport.log_debug(format_args!(
             "link {} to exchange {} lost: {reason}, was {:?}, {} set-ups out, silent for {silent:?}",
             no.0,
             to.0,
@@ -239,7 +239,7 @@
         if !was_open {
             self.back_off(to);
         }
-        self.maintain_pool(port, to);
+        self.maintain_pool(transport, to);
         let read_to_its_end =
             matches!((&link.state, reason), (LinkState::HalfClosed { .. }, LinkLoss::Disconnected));
         let dialled_since = self.exchanges.get(&to).is_some_and(|remote| self.dialling(remote));
--- a/crates/platform/src/state/releases.rs
+++ b/crates/platform/src/state/releases.rs
@@ -16,7 +16,7 @@
     /// Tells a caller that its call is over: on its own connection, else on any, else on the next that opens.
     pub fn notify_release(
         &mut self,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         caller: Option<CallerConnectionId>,
         id: WireCallId,
         cause: u8,
@@ -26,7 +26,7 @@
             if self.pending_releases.len() == MOST_PENDING_RELEASES {
                 self.pending_releases.pop_front();
             }
-            port.log_debug(format_args!("{id} over: no caller's connection is open"));
+            transport.log_debug(format_args!("{id} over: no caller's connection is open"));
             return self.pending_releases.push_back((since, id, cause));
         };
         let (wire, reason) = (id.to_string(), format!("Q.850;cause={cause}"));
@@ -40,8 +40,8 @@
                 caller.unconfirmed.push_back((self.now, id, cause));
             }
         }
-        port.send_to_caller(no, &octets);
-        port.log_debug(format_args!("{id} over: told on {}, cause {cause}", no.0));
+        transport.send_to_caller(no, &octets);
+        transport.log_debug(format_args!("{id} over: told on {}, cause {cause}", no.0));
     }
 
     /// The connection on which the end of a call is told: its caller's, else the best of the others. Those on which a
@@ -62,20 +62,24 @@
     }
 
     /// Releases that waited for a connection go out now.
-    pub fn send_pending_releases(&mut self, port: &mut dyn Transport) {
+    pub fn send_pending_releases(&mut self, transport: &mut dyn Transport) {
         for (since, id, cause) in std::mem::take(&mut self.pending_releases) {
             if since + PENDING_RELEASE_KEPT > self.now {
-                self.notify_release(port, None, id, cause, since);
+                self.notify_release(transport, None, id, cause, since);
             }
         }
     }
 
     /// A caller's connection has gone: the calls that waited on it, for the decisions to be told.
-    pub fn caller_disconnected(&mut self, port: &mut dyn Transport, no: CallerConnectionId) -> Vec<CallId> {
+    pub fn caller_disconnected(
+        &mut self,
+        transport: &mut dyn Transport,
+        no: CallerConnectionId,
+    ) -> Vec<CallId> {
         let Some(caller) = self.callers.remove(&no) else { return Vec::new() };
         for (at, id, cause) in caller.unconfirmed {
             if at + CONFIRM_WITHIN > self.now {
-                self.notify_release(port, None, id, cause, at);
+                self.notify_release(transport, None, id, cause, at);
             }
         }
         caller.open.into_iter().collect()
@@ -83,9 +87,9 @@
 
     /// Releases a standing call towards its exchange: on a link that is up, and on the next one unless it is confirmed,
     /// as a link may be lost with what was written on it.
-    pub fn release_at_exchange(&mut self, port: &mut dyn Transport, to: ExchangeId, id: WireCallId) {
+    pub fn release_at_exchange(&mut self, transport: &mut dyn Transport, to: ExchangeId, id: WireCallId) {
         if let Some(link) = self.oldest_open_link(to) {
-            release_on(port, link, id);
+            release_on(transport, link, id);
         }
         let now = self.now;
         let Some(far) = self.exchanges.get_mut(&to) else { return };
@@ -104,12 +108,12 @@
     }
 
     /// A link has come up: releases that wait, or were not confirmed, go out on it.
-    pub(super) fn repeat_releases(&mut self, port: &mut dyn Transport, to: ExchangeId, link: LinkId) {
+    pub(super) fn repeat_releases(&mut self, transport: &mut dyn Transport, to: ExchangeId, link: LinkId) {
         let now = self.now;
         let Some(far) = self.exchanges.get_mut(&to) else { return };
         for (at, id) in std::mem::take(&mut far.releases) {
             if at + REPEAT_RELEASE_WITHIN >= now {
-                release_on(port, link, id);
+                release_on(transport, link, id);
             }
         }
     }
@@ -137,7 +141,7 @@
 }
 
 /// Releases a call on a link, for a reason of its caller's or our own.
-pub(super) fn release_on(port: &mut dyn Transport, link: LinkId, id: WireCallId) {
+pub(super) fn release_on(transport: &mut dyn Transport, link: LinkId, id: WireCallId) {
     let mut octets = Vec::new();
     exchange_protocol::encode(
         &mut octets,
@@ -145,5 +149,5 @@
         id,
         &[(parameter::CAUSE, &[NORMAL_CLEARING])],
     );
-    port.send_to_link(link, &octets);
+    transport.send_to_link(link, &octets);
 }
--- a/crates/platform/tests/fuzz.rs
+++ b/crates/platform/tests/fuzz.rs
@@ -6,9 +6,9 @@
 #[test]
 fn whatever_is_read_from_a_link_is_written_back_the_same() {
     bolero::check!().with_iterations(20_000).for_each(|octets: &[u8]| {
-        let mut cutter = Decoder::default();
-        cutter.push(octets);
-        while let Ok(Some(_)) = cutter.next_message() {}
+        let mut decoder = Decoder::default();
+        decoder.push(octets);
+        while let Ok(Some(_)) = decoder.next_message() {}
         let Ok(message) = Message::read(octets) else { return };
         let (cause, wait) =
             (message.cause.map(|cause| [cause]), message.wait_ms.map(|wait| wait.to_string()));
@@ -39,9 +39,9 @@
         );
         let at = at % octets.len();
         octets[at] ^= octet;
-        let mut cutter = Decoder::default();
-        cutter.push(&octets);
-        while let Ok(Some(_)) = cutter.next_message() {}
+        let mut decoder = Decoder::default();
+        decoder.push(&octets);
+        while let Ok(Some(_)) = decoder.next_message() {}
     });
 }
 
--- a/crates/platform/tests/stories.rs
+++ b/crates/platform/tests/stories.rs
@@ -81,9 +81,9 @@
 impl Transport for Wires {
     fn send_to_caller(&mut self, caller: CallerConnectionId, octets: &[u8]) {
         assert!(!self.hung_up.contains(&caller), "said to one that was hung up on");
-        let mut cutter = sip::Decoder::default();
-        cutter.push(octets);
-        while let Some(message) = cutter.next_message().unwrap() {
+        let mut decoder = sip::Decoder::default();
+        decoder.push(octets);
+        while let Some(message) = decoder.next_message().unwrap() {
             let id = message.header("Call-ID").unwrap_or("-").to_string();
             let what = match message.start {
                 sip::StartLine::Response { status } => {
@@ -111,9 +111,9 @@
     }
 
     fn send_to_link(&mut self, link: LinkId, octets: &[u8]) {
-        let mut cutter = exchange_protocol::Decoder::default();
-        cutter.push(octets);
-        while let Some(message) = cutter.next_message().unwrap() {
+        let mut decoder = exchange_protocol::Decoder::default();
+        decoder.push(octets);
+        while let Some(message) = decoder.next_message().unwrap() {
             let (id, now) = (message.call, self.now);
             match message.kind {
                 MessageType::SetUp => {
--- a/crates/sip/src/lib.rs
+++ b/crates/sip/src/lib.rs
@@ -244,10 +244,10 @@
         Call-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\nPriority-Class: voice\r\nContent-Length: 5\r\n\r\nhello";
 
     fn cut(octets: &[u8]) -> Result<usize, DecodeError> {
-        let mut cutter = Decoder::default();
-        cutter.push(octets);
+        let mut decoder = Decoder::default();
+        decoder.push(octets);
         let mut count = 0;
-        while cutter.next_message()?.is_some() {
+        while decoder.next_message()?.is_some() {
             count += 1;
         }
         Ok(count)
@@ -255,17 +255,17 @@
 
     #[test]
     fn a_set_up_is_read_octet_by_octet_as_at_once() {
-        let mut cutter = Decoder::default();
+        let mut decoder = Decoder::default();
         for octet in &INVITE[..INVITE.len() - 1] {
-            cutter.push(&[*octet]);
-            assert!(cutter.next_message().unwrap().is_none() && cutter.has_partial());
+            decoder.push(&[*octet]);
+            assert!(decoder.next_message().unwrap().is_none() && decoder.has_partial());
         }
-        cutter.push(b"o\r\n");
-        let message = cutter.next_message().unwrap().unwrap();
+        decoder.push(b"o\r\n");
+        let message = decoder.next_message().unwrap().unwrap();
         assert_eq!((message.user(), message.cseq()), (Some("7f3a9c21e0b4d655"), Some((1, "INVITE"))));
         assert_eq!((message.header("call-id"), message.body), (Some("9b1f03aa5c7e2d41"), &b"hello"[..]));
         assert!(
-            cutter.next_message().unwrap().is_none() && !cutter.has_partial(),
+            decoder.next_message().unwrap().is_none() && !decoder.has_partial(),
             "an empty line is no half message"
         );
         assert_eq!(cut(&[INVITE, INVITE, &INVITE[..9]].concat()), Ok(2));
@@ -299,9 +299,9 @@
     fn what_is_written_is_read_again() {
         let mut out = Vec::new();
         encode(&mut out, "SIP/2.0 503 Service Unavailable", &[("Call-ID", "a"), ("CSeq", "7 INVITE")], b"x");
-        let mut cutter = Decoder::default();
-        cutter.push(&out);
-        let message = cutter.next_message().unwrap().unwrap();
+        let mut decoder = Decoder::default();
+        decoder.push(&out);
+        let message = decoder.next_message().unwrap().unwrap();
         assert_eq!(
             (message.start, message.cseq()),
             (StartLine::Response { status: 503 }, Some((7, "INVITE")))
--- a/crates/sip/tests/fuzz.rs
+++ b/crates/sip/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Fuzz target of the cutter. As an ordinary test it runs some seconds' worth of new inputs.
+//! Fuzz target of the decoder. As an ordinary test it runs some seconds' worth of new inputs.
 
 use mintstall_sip::{Decoder, MAX_MESSAGE_OCTETS, StartLine, encode};
 
@@ -9,11 +9,11 @@
         let octets = [b"OPTIONS sip:ping@net SIP/2.0\r\nContent-Length: 0\r\n", &octets[..]].concat();
         let at = at % octets.len();
         let cut = |parts: &[&[u8]]| {
-            let (mut cutter, mut all) = (Decoder::default(), Vec::new());
+            let (mut decoder, mut all) = (Decoder::default(), Vec::new());
             for part in parts {
-                cutter.push(part);
+                decoder.push(part);
                 loop {
-                    match cutter.next_message() {
+                    match decoder.next_message() {
                         Ok(Some(message)) => all.push(Ok(message.body.len())),
                         Ok(None) => break,
                         Err(spoilt) => {
@@ -36,9 +36,9 @@
     bolero::check!().with_iterations(5_000).for_each(|body: &[u8]| {
         let mut out = Vec::new();
         encode(&mut out, "INVITE sip:a@net SIP/2.0", &[("Call-ID", "a")], body);
-        let mut cutter = Decoder::default();
-        cutter.push(&out);
-        let message = cutter.next_message().unwrap().unwrap();
+        let mut decoder = Decoder::default();
+        decoder.push(&out);
+        let message = decoder.next_message().unwrap().unwrap();
         assert_eq!(
             (message.start, message.body),
             (StartLine::Request { method: "INVITE", uri: "sip:a@net" }, body)
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -182,13 +182,13 @@
     }
 
     fn read(&self, connection: &Arc<Connection>, mut stream: TcpStream) {
-        let (mut cutter, mut buffer) = (Decoder::default(), [0; 8192]);
+        let (mut decoder, mut buffer) = (Decoder::default(), [0; 8192]);
         while !self.over.load(Ordering::Relaxed) {
             match stream.read(&mut buffer) {
                 Ok(0) => break,
                 Ok(count) => {
-                    cutter.push(&buffer[..count]);
-                    if !self.messages(connection, &mut cutter) {
+                    decoder.push(&buffer[..count]);
+                    if !self.messages(connection, &mut decoder) {
                         return;
                     }
                 }
@@ -201,9 +201,9 @@
         }
     }
 
-    fn messages(&self, connection: &Arc<Connection>, cutter: &mut Decoder) -> bool {
+    fn messages(&self, connection: &Arc<Connection>, decoder: &mut Decoder) -> bool {
         loop {
-            match cutter.next_message() {
+            match decoder.next_message() {
                 Ok(Some(message)) => self.message(connection, &message),
                 Ok(None) => return true,
                 Err(why) => {
--- a/crates/soak/src/exchange.rs
+++ b/crates/soak/src/exchange.rs
@@ -154,11 +154,11 @@
 }
 
 fn read(shared: &Shared, link: u64, mut stream: TcpStream) {
-    let (mut cutter, mut buffer) = (Decoder::default(), [0; 8192]);
+    let (mut decoder, mut buffer) = (Decoder::default(), [0; 8192]);
     while let Ok(count @ 1..) = stream.read(&mut buffer) {
-        cutter.push(&buffer[..count]);
+        decoder.push(&buffer[..count]);
         loop {
-            match cutter.next_message() {
+            match decoder.next_message() {
                 Ok(Some(message)) => lock(shared).message(link, &message),
                 Ok(None) => break,
                 // What can't be read ends the connection.
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -197,14 +197,14 @@
     // A stream without a read timeout would only notice a reset late.
     let _ = from.set_nonblocking(false).and_then(|()| from.set_read_timeout(Some(TICK)));
     let _ = to.set_nodelay(true);
-    let (mut cutter, mut buffer, mut held) = (Decoder::default(), [0; 8192], Vec::new());
+    let (mut decoder, mut buffer, mut held) = (Decoder::default(), [0; 8192], Vec::new());
     let mut ended = false;
     while !shared.over.load(Ordering::Relaxed) && !link.reset.load(Ordering::Relaxed) {
         if !ended && held.len() < MOST_HELD {
             match from.read(&mut buffer) {
                 Ok(0) => ended = true,
                 Ok(count) => {
-                    observe(shared, link, direction, &mut cutter, &buffer[..count]);
+                    observe(shared, link, direction, &mut decoder, &buffer[..count]);
                     held.extend_from_slice(&buffer[..count]);
                 }
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
@@ -254,10 +254,10 @@
 }
 
 /// Records what a direction's octets say, as they are read.
-fn observe(shared: &Shared, link: &Link, direction: Direction, cutter: &mut Decoder, octets: &[u8]) {
-    cutter.push(octets);
+fn observe(shared: &Shared, link: &Link, direction: Direction, decoder: &mut Decoder, octets: &[u8]) {
+    decoder.push(octets);
     let controller = shared.controller;
-    while let Ok(Some(message)) = cutter.next_message() {
+    while let Ok(Some(message)) = decoder.next_message() {
         let (uid, call, link) = (link.uid.clone(), message.call.0, link.no);
         match (direction, message.kind) {
             (Direction::Up, MessageType::SetUp) => {
