--- a/crates/benchlink/src/batch.rs
+++ b/crates/benchlink/src/batch.rs
@@ -12,7 +12,7 @@
     SeizureNumber, TimerId, Zone,
 };
 
-use mintstall_settings::{ReportLayout, from_lines};
+use mintstall_settings::{LoadReportLayout, from_lines};
 
 use crate::frames::{Fields, FrameError, Read, Record, bad};
 
@@ -67,7 +67,7 @@
 
 struct Instance {
     controller: Controller,
-    layout: ReportLayout,
+    layout: LoadReportLayout,
 }
 
 #[derive(Default)]
@@ -121,13 +121,13 @@
     Ok((number, lines))
 }
 
-fn report(fields: &mut Fields, layout: &ReportLayout) -> Read<CapacityReport> {
+fn report(fields: &mut Fields, layout: &LoadReportLayout) -> Read<CapacityReport> {
     let mut values = [0.0; u8::MAX as usize];
     let count = usize::from(fields.u8()?);
     for value in &mut values[..count] {
         *value = fields.f32()?;
     }
-    Ok(layout.report(values[..count].iter().copied()))
+    Ok(layout.positional_report(values[..count].iter().copied()))
 }
 
 /// A number that the wire carries as a float; those below nought mean none.
@@ -211,9 +211,9 @@
         if code == 0 {
             let seed = f.u64()?;
             let length = f.u32()? as usize;
-            let trade = from_lines(f.take(length)?).map_err(|error| FrameError(error.0))?;
-            let controller = Controller::new(&trade.office, seed);
-            self.instances.insert(number, Instance { controller, layout: trade.reports });
+            let settings = from_lines(f.take(length)?).map_err(|error| FrameError(error.0))?;
+            let controller = Controller::new(&settings.controller, seed);
+            self.instances.insert(number, Instance { controller, layout: settings.reports });
             return Ok(());
         }
         if code == 9 {
@@ -238,7 +238,7 @@
 /// Tells one controller one thing.
 fn tell(
     controller: &mut Controller,
-    layout: &ReportLayout,
+    layout: &LoadReportLayout,
     rosters: &HashMap<u16, Vec<ExchangeEntry>>,
     now: Duration,
     code: u8,
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 use common::{LONG, file, says};
-use mintstall_platform::message::{self, Kind, code};
+use mintstall_platform::exchange_protocol::{self, MessageType, parameter};
 use mintstall_sip as sip;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
 
 /// An exchange that answers every set-up; it tells what it was sent.
-fn exchange() -> (SocketAddr, Receiver<(Kind, u64)>) {
+fn exchange() -> (SocketAddr, Receiver<(MessageType, u64)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let (tell, told) = channel();
@@ -31,10 +31,15 @@
     (addr, told)
 }
 
-fn link(mut stream: TcpStream, tell: &Sender<(Kind, u64)>) {
+fn link(mut stream: TcpStream, tell: &Sender<(MessageType, u64)>) {
     let mut out = Vec::new();
-    message::write(&mut out, Kind::State, message::WireId(0), &[(code::REPORT, b"idle:9;circuits:9")]);
-    let (mut cutter, mut buffer) = (message::Cutter::default(), [0; 4096]);
+    exchange_protocol::encode(
+        &mut out,
+        MessageType::State,
+        exchange_protocol::WireCallId(0),
+        &[(parameter::REPORT, b"idle:9;circuits:9")],
+    );
+    let (mut decoder, mut buffer) = (exchange_protocol::Decoder::default(), [0; 4096]);
     loop {
         // The other end may be gone, with the test.
         if stream.write_all(&out).is_err() {
@@ -42,12 +47,17 @@
         }
         out.clear();
         let Ok(count @ 1..) = stream.read(&mut buffer) else { return };
-        cutter.push(&buffer[..count]);
-        while let Some(message) = cutter.next_message().unwrap() {
+        decoder.push(&buffer[..count]);
+        while let Some(message) = decoder.next_message().unwrap() {
             let _ = tell.send((message.kind, message.call.0));
-            if message.kind == Kind::SetUp {
+            if message.kind == MessageType::SetUp {
                 let description = message.description.unwrap().to_ascii_uppercase();
-                message::write(&mut out, Kind::Answer, message.call, &[(code::DESCRIPTION, &description)]);
+                exchange_protocol::encode(
+                    &mut out,
+                    MessageType::Answer,
+                    message.call,
+                    &[(parameter::DESCRIPTION, &description)],
+                );
             }
         }
     }
@@ -120,7 +130,7 @@
     fn connect(&self) -> Caller {
         let stream = TcpStream::connect(self.callers).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Caller { stream, cutter: sip::Cutter::default() }
+        Caller { stream, decoder: sip::Decoder::default() }
     }
 }
 
@@ -135,7 +145,7 @@
 
 struct Caller {
     stream: TcpStream,
-    cutter: sip::Cutter,
+    decoder: sip::Decoder,
 }
 
 impl Caller {
@@ -146,17 +156,17 @@
     /// The next message: what it is, and its body. None: closed.
     fn hears(&mut self) -> Option<(String, String)> {
         loop {
-            if let Some(message) = self.cutter.next_message().unwrap() {
+            if let Some(message) = self.decoder.next_message().unwrap() {
                 let what = match message.start {
-                    sip::Start::Response { status } => status.to_string(),
-                    sip::Start::Request { method, .. } => method.to_string(),
+                    sip::StartLine::Response { status } => status.to_string(),
+                    sip::StartLine::Request { method, .. } => method.to_string(),
                 };
                 return Some((what, String::from_utf8_lossy(message.body).to_string()));
             }
             let mut buffer = [0; 4096];
             match self.stream.read(&mut buffer) {
                 Ok(0) => return None,
-                Ok(count) => self.cutter.push(&buffer[..count]),
+                Ok(count) => self.decoder.push(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return None,
                 Err(error) => panic!("{error}"),
             }
@@ -192,7 +202,7 @@
     assert_eq!(caller.status(), "200");
     caller.says(&invite(7, "1"));
     assert_eq!(caller.hears().unwrap(), ("200".to_string(), "HELLO".to_string()));
-    assert_eq!(sent.recv_timeout(LONG).unwrap(), (Kind::SetUp, 7));
+    assert_eq!(sent.recv_timeout(LONG).unwrap(), (MessageType::SetUp, 7));
 
     let mut bad = node.connect();
     bad.says(&invite(8, "nowhere"));
@@ -218,8 +228,8 @@
     assert_eq!(caller.status(), "200", "calls keep coming for a while");
     caller.says(&request("BYE", 7));
     assert_eq!(caller.status(), "200");
-    assert_eq!(sent.recv_timeout(LONG).unwrap(), (Kind::SetUp, 9));
-    assert_eq!(sent.recv_timeout(LONG).unwrap(), (Kind::Release, 7));
+    assert_eq!(sent.recv_timeout(LONG).unwrap(), (MessageType::SetUp, 9));
+    assert_eq!(sent.recv_timeout(LONG).unwrap(), (MessageType::Release, 7));
     let started = Instant::now();
     let ended = loop {
         match node.child.try_wait().unwrap() {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use mintstall_settings::{BadSettings, Trade, from_json};
+use mintstall_settings::{Settings, SettingsError, from_json};
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
 
-use crate::bus::Event;
+use crate::event_bus::Event;
 
 #[derive(Debug, Error)]
 pub enum ConfigError {
@@ -17,7 +17,7 @@
     #[error("{path}: {error}")]
     Json { path: PathBuf, error: serde_json::Error },
     #[error("{path}: {error}")]
-    Settings { path: PathBuf, error: BadSettings },
+    Settings { path: PathBuf, error: SettingsError },
     #[error("{path}: seed: {seed:?} is no number of up to 16 hex digits")]
     Seed { path: PathBuf, seed: String },
     #[error("{path}: known: no event holds the whole list of exchanges")]
@@ -62,9 +62,9 @@
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// The events of the start, and the number of the last.
-    pub known: Vec<Event>,
+    pub initial_events: Vec<Event>,
     pub last: u64,
-    pub trade: Trade,
+    pub settings: Settings,
 }
 
 impl Config {
@@ -79,11 +79,12 @@
             serde_json::from_slice(octets).map_err(|error| ConfigError::Json { path: at(), error })?;
         let seed = u64::from_str_radix(&file.seed, 16);
         let seed = seed.map_err(|_| ConfigError::Seed { path: at(), seed: file.seed.clone() })?;
-        let trade = from_json(&file.settings).map_err(|error| ConfigError::Settings { path: at(), error })?;
+        let settings =
+            from_json(&file.settings).map_err(|error| ConfigError::Settings { path: at(), error })?;
         if file.limits.sockets < LEAST_SOCKETS {
             return Err(ConfigError::Limits { path: at(), what: "sockets: fewer than 64" });
         }
-        let whole = |event: &Event| event.topology.as_ref().is_some_and(|topology| topology.all);
+        let whole = |event: &Event| event.topology.as_ref().is_some_and(|topology| topology.is_full);
         if !file.known.batch.iter().any(whole) {
             return Err(ConfigError::NoList { path: at() });
         }
@@ -93,9 +94,9 @@
             bus: file.bus,
             seed,
             sockets: file.limits.sockets,
-            known: file.known.batch,
+            initial_events: file.known.batch,
             last: file.known.offset,
-            trade,
+            settings,
         })
     }
 }
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -12,13 +12,13 @@
 
 use mintstall::Controller;
 use mintstall::interface::{CallId, ExchangeId};
-use mintstall_settings::Trade;
+use mintstall_settings::Settings;
 
 use self::shutdown::Shutdown;
-use crate::bus::Bus;
-use crate::desk::{Caller, Desk, LinkState, Owed, Timer, Turn, doubled};
+use crate::event_bus::EventDecoder;
 use crate::reasons::{CallerClose, LinkLoss};
-use crate::{Config, Port};
+use crate::state::{AnswerState, Caller, EventContext, LinkState, PlatformState, Timer, exponential_backoff};
+use crate::{Config, Transport};
 
 /// How often half messages and silent connections are looked for.
 const SWEEP: Duration = Duration::from_millis(250);
@@ -56,7 +56,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BusState {
-    Dialled,
+    Connecting,
     Up,
     /// To be dialled again when its timer rings.
     Down,
@@ -64,9 +64,9 @@
 
 pub struct Core {
     controller: Controller,
-    desk: Desk,
-    trade: Trade,
-    bus: Bus,
+    state: PlatformState,
+    settings: Settings,
+    bus: EventDecoder,
     bus_at: SocketAddr,
     bus_state: BusState,
     /// Since when the bus has been in that state, or was last heard.
@@ -81,14 +81,15 @@
 
 impl Core {
     /// `now` is the span since the Unix epoch. Dials the bus and every exchange.
-    pub fn new(config: &Config, now: Duration, port: &mut dyn Port) -> Self {
-        let trade = config.trade.clone();
-        let dial_within = if trade.dial_within.is_zero() { BUS_DIAL } else { trade.dial_within };
+    pub fn new(config: &Config, now: Duration, transport: &mut dyn Transport) -> Self {
+        let settings = config.settings.clone();
+        let connect_timeout =
+            if settings.connect_timeout.is_zero() { BUS_DIAL } else { settings.connect_timeout };
         let mut core = Self {
-            controller: Controller::new(&trade.office, config.seed),
-            desk: Desk::new(now, config.seed, config.sockets / 4, dial_within),
-            trade,
-            bus: Bus::new(config.last),
+            controller: Controller::new(&settings.controller, config.seed),
+            state: PlatformState::new(now, config.seed, config.sockets / 4, connect_timeout),
+            settings,
+            bus: EventDecoder::new(config.last),
             bus_at: config.bus,
             bus_state: BusState::Down,
             bus_since: now,
@@ -97,25 +98,29 @@
             next_exchange: 0,
             shutdown: Shutdown::NotAsked,
         };
-        for event in &config.known {
-            core.apply(port, event);
+        for event in &config.initial_events {
+            core.apply(transport, event);
         }
-        core.dial_bus(port);
-        core.desk.set(SWEEP, Timer::Sweep);
-        core.settle(port);
+        core.dial_bus(transport);
+        core.state.set(SWEEP, Timer::Sweep);
+        core.report_ended_seizures(transport);
         core
     }
 
     /// Tells the decisions one thing; they act at once.
-    fn decide(&mut self, port: &mut dyn Port, tell: impl FnOnce(&mut Controller, Duration, &mut Turn)) {
-        let now = self.desk.now;
-        tell(&mut self.controller, now, &mut Turn { desk: &mut self.desk, port });
+    fn with_controller(
+        &mut self,
+        transport: &mut dyn Transport,
+        tell: impl FnOnce(&mut Controller, Duration, &mut EventContext),
+    ) {
+        let now = self.state.now;
+        tell(&mut self.controller, now, &mut EventContext { state: &mut self.state, transport });
     }
 
     /// Tells the decisions which seizures ended through what was done since.
-    fn settle(&mut self, port: &mut dyn Port) {
-        while let Some(end) = self.desk.ends.pop_front() {
-            self.decide(port, |controller, now, turn| controller.on_seizure_ended(now, turn, &end));
+    fn report_ended_seizures(&mut self, transport: &mut dyn Transport) {
+        while let Some(end) = self.state.ends.pop_front() {
+            self.with_controller(transport, |controller, now, context| controller.on_seizure_ended(now, context, &end));
         }
     }
 
@@ -123,83 +128,84 @@
 
     /// When [`Core::on_timer`] is next to be called.
     pub fn next_timer(&self) -> Option<Duration> {
-        self.desk.timers.peek().map(|first| first.0.0)
+        self.state.timers.peek().map(|first| first.0.0)
     }
 
     /// What has fallen due.
-    pub fn on_timer(&mut self, now: Duration, port: &mut dyn Port) {
-        self.desk.now = now;
-        while self.desk.timers.peek().is_some_and(|first| first.0.0 <= now)
-            && let Some(first) = self.desk.timers.pop()
+    pub fn on_timer(&mut self, now: Duration, transport: &mut dyn Transport) {
+        self.state.now = now;
+        while self.state.timers.peek().is_some_and(|first| first.0.0 <= now)
+            && let Some(first) = self.state.timers.pop()
         {
             let (_, _, timer) = first.0;
-            self.falls_due(port, timer);
-            self.settle(port);
+            self.falls_due(transport, timer);
+            self.report_ended_seizures(transport);
         }
     }
 
-    fn falls_due(&mut self, port: &mut dyn Port, timer: Timer) {
+    fn falls_due(&mut self, transport: &mut dyn Transport, timer: Timer) {
         match timer {
-            Timer::Alarm(alarm) => {
-                self.decide(port, |controller, now, turn| controller.on_timer(now, turn, alarm))
-            }
-            Timer::Limit(call, no) => self.desk.limit(port, call, no),
-            Timer::Guard(call) => self.time_is_up(port, call, 408),
-            Timer::Dial(link) => {
-                if self.desk.links.get(&link).is_some_and(|link| link.state == LinkState::Dialled) {
-                    self.lose(port, link, LinkLoss::DialTimeout);
+            Timer::Alarm(alarm) => self
+                .with_controller(transport, |controller, now, context| controller.on_timer(now, context, alarm)),
+            Timer::SeizureTimeout(call, no) => self.state.limit(transport, call, no),
+            Timer::GuardTime(call) => self.time_is_up(transport, call, 408),
+            Timer::ConnectTimeout(link) => {
+                if self.state.links.get(&link).is_some_and(|link| link.state == LinkState::Connecting) {
+                    self.remove_link(transport, link, LinkLoss::DialTimeout);
                 }
             }
-            Timer::DialForReleases(exchange) => self.desk.dial_for_releases(port, exchange),
-            Timer::MaintainPool(exchange) => self.desk.maintain_pool(port, exchange),
-            Timer::Bus if self.bus_state == BusState::Down => self.dial_bus(port),
-            Timer::Bus => {}
-            Timer::Sweep => self.sweep(port),
-            Timer::Stop => {
-                let owed: Vec<_> = self.desk.named.values().copied().collect();
-                owed.into_iter().for_each(|call| self.time_is_up(port, call, 500));
+            Timer::DialForReleases(exchange) => self.state.dial_for_releases(transport, exchange),
+            Timer::MaintainPool(exchange) => self.state.maintain_pool(transport, exchange),
+            Timer::ReconnectBus if self.bus_state == BusState::Down => self.dial_bus(transport),
+            Timer::ReconnectBus => {}
+            Timer::Sweep => self.sweep(transport),
+            Timer::ShutdownDeadline => {
+                let owed: Vec<_> = self.state.unanswered.values().copied().collect();
+                owed.into_iter().for_each(|call| self.time_is_up(transport, call, 500));
             }
-            Timer::Drain => self.drain_callers(port),
+            Timer::DrainCallers => self.drain_callers(transport),
         }
     }
 
     /// The decisions leave time for their answer; what has none by now fails.
-    fn time_is_up(&mut self, port: &mut dyn Port, id: CallId, status: u16) {
-        if self.desk.calls.get(&id).is_some_and(|call| call.owed == Owed::Answer) {
-            self.desk.answer(port, id, status, &[], b"");
-            self.decide(port, |controller, now, turn| controller.on_caller_gone(now, turn, id));
+    fn time_is_up(&mut self, transport: &mut dyn Transport, id: CallId, status: u16) {
+        if self.state.calls.get(&id).is_some_and(|call| call.answer_state == AnswerState::Pending) {
+            self.state.answer(transport, id, status, &[], b"");
+            self.with_controller(transport, |controller, now, context| {
+                controller.on_caller_gone(now, context, id)
+            });
         }
     }
 
     /// Looks for half messages, silent connections, quiet exchanges and a silent bus.
-    fn sweep(&mut self, port: &mut dyn Port) {
-        let now = self.desk.now;
-        self.desk.set(SWEEP, Timer::Sweep);
+    fn sweep(&mut self, transport: &mut dyn Transport) {
+        let now = self.state.now;
+        self.state.set(SWEEP, Timer::Sweep);
         let late = |since: Option<Duration>, span| since.is_some_and(|since| since + span < now);
         let stuck = |caller: &Caller| {
-            let patience = if caller.proven { HALF_FOR_PROVEN } else { HALF_FOR };
+            let patience = if caller.had_standing_call { HALF_FOR_PROVEN } else { HALF_FOR };
             // What has been taken is answered first.
-            late(caller.half, patience) && caller.open.is_empty()
+            late(caller.partial_since, patience) && caller.open.is_empty()
         };
-        let callers = self.desk.callers.iter().filter(|(_, caller)| stuck(caller));
+        let callers = self.state.callers.iter().filter(|(_, caller)| stuck(caller));
         for no in callers.map(|(no, _)| *no).collect::<Vec<_>>() {
-            self.close_caller(port, no, CallerClose::IncompleteMessage);
+            self.close_caller(transport, no, CallerClose::IncompleteMessage);
         }
-        let links = self.desk.links.iter().filter(|(_, link)| late(link.half, HALF_ANSWER_FOR));
+        let links = self.state.links.iter().filter(|(_, link)| late(link.partial_since, HALF_ANSWER_FOR));
         for no in links.map(|(no, _)| *no).collect::<Vec<_>>() {
-            self.lose(port, no, LinkLoss::IncompleteMessage);
+            self.remove_link(transport, no, LinkLoss::IncompleteMessage);
         }
-        for no in self.desk.expire_links(port) {
-            self.lose(port, no, LinkLoss::DrainExpired);
+        for no in self.state.expire_links(transport) {
+            self.remove_link(transport, no, LinkLoss::DrainExpired);
         }
-        self.check_leases(port);
+        self.check_leases(transport);
         let patience = match self.bus_state {
-            BusState::Dialled => doubled(BUS_DIAL, self.bus_failures, BUS_DIAL_LONGEST),
+            BusState::Connecting => exponential_backoff(BUS_DIAL, self.bus_failures, BUS_DIAL_LONGEST),
             _ => BUS_SILENT,
         };
         if self.bus_state != BusState::Down && self.bus_since + patience < now {
-            let reason = if self.bus_state == BusState::Dialled { "dial timeout" } else { "silent" };
-            self.drop_bus(port, reason);
+            let reason = if self.bus_state == BusState::Connecting { "dial timeout" } else { "silent" };
+            self.drop_bus(transport, reason);
         }
     }
 }
--- a/crates/platform/src/core/leases.rs
+++ b/crates/platform/src/core/leases.rs
@@ -7,49 +7,55 @@
 use mintstall::liveness::{LeaseAction, ProcessPhase};
 
 use super::Core;
-use crate::Port;
+use crate::Transport;
 use crate::reasons::CallEnd;
 
 impl Core {
     /// Looks at the lease of each exchange at which a call stands.
-    pub(super) fn check_leases(&mut self, port: &mut dyn Port) {
-        let holders: BTreeSet<ExchangeId> = self.desk.standing.values().map(|call| call.exchange).collect();
+    pub(super) fn check_leases(&mut self, transport: &mut dyn Transport) {
+        let holders: BTreeSet<ExchangeId> = self.state.standing.values().map(|call| call.exchange).collect();
         let holder = if self.draining() { ProcessPhase::Terminating } else { ProcessPhase::Running };
         for exchange in holders {
-            let Some(remote) = self.desk.exchanges.get_mut(&exchange) else { continue };
-            let quiet = self.desk.now.saturating_sub(remote.lease.last_heard());
-            match remote.lease.check(self.desk.now, holder) {
+            let Some(remote) = self.state.exchanges.get_mut(&exchange) else { continue };
+            let quiet = self.state.now.saturating_sub(remote.lease.last_heard());
+            match remote.lease.check(self.state.now, holder) {
                 LeaseAction::Valid => {}
-                LeaseAction::SendHeartbeat if self.trade.may_probe => {
-                    port.detail(format_args!("exchange {} quiet for {quiet:?}: heartbeat", exchange.0));
-                    self.desk.send_heartbeat(port, exchange);
+                LeaseAction::SendHeartbeat if self.settings.may_probe => {
+                    transport
+                        .log_debug(format_args!("exchange {} quiet for {quiet:?}: heartbeat", exchange.0));
+                    self.state.send_heartbeat(transport, exchange);
                 }
                 LeaseAction::SendHeartbeat => {
                     // Each new connection brings the group's state as its first message.
-                    port.detail(format_args!("exchange {} quiet for {quiet:?}: connection", exchange.0));
-                    self.replace_connection(port, exchange);
+                    transport
+                        .log_debug(format_args!("exchange {} quiet for {quiet:?}: connection", exchange.0));
+                    self.replace_connection(transport, exchange);
                 }
                 LeaseAction::ReplaceConnection => {
-                    port.detail(format_args!("exchange {} quiet for {quiet:?}: no answer", exchange.0));
-                    self.replace_connection(port, exchange);
+                    transport
+                        .log_debug(format_args!("exchange {} quiet for {quiet:?}: no answer", exchange.0));
+                    self.replace_connection(transport, exchange);
                 }
                 LeaseAction::Expired => {
-                    port.note(&format!("exchange {} quiet for {quiet:?}: its lease has expired", exchange.0));
-                    self.end_calls(port, exchange, Duration::MAX, CallEnd::LeaseExpired);
+                    transport.log_info(&format!(
+                        "exchange {} quiet for {quiet:?}: its lease has expired",
+                        exchange.0
+                    ));
+                    self.end_calls(transport, exchange, Duration::MAX, CallEnd::LeaseExpired);
                 }
             }
         }
     }
 
     /// A heartbeat was not answered: a new connection shows whether the exchange or the connection is at fault.
-    fn replace_connection(&mut self, port: &mut dyn Port, exchange: ExchangeId) {
-        match self.desk.first_up(exchange) {
+    fn replace_connection(&mut self, transport: &mut dyn Transport, exchange: ExchangeId) {
+        match self.state.oldest_open_link(exchange) {
             // Which sees to the pool itself.
-            Some(link) => self.desk.drain_link(port, link),
-            None => self.desk.maintain_pool(port, exchange),
+            Some(link) => self.state.drain_link(transport, link),
+            None => self.state.maintain_pool(transport, exchange),
         }
-        if self.trade.may_probe {
-            self.desk.send_heartbeat(port, exchange);
+        if self.settings.may_probe {
+            self.state.send_heartbeat(transport, exchange);
         }
     }
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -9,12 +9,12 @@
 use std::thread;
 use std::time::Duration;
 
-use mintstall_platform::message::{Cutter, Kind};
+use mintstall_platform::exchange_protocol::{Decoder, MessageType};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 use crate::listener::{CuttableListener, reset};
-use crate::record::{ConnectionNo, ControllerNo, Event, Recorder};
+use crate::record::{ConnectionNo, ControllerIndex, Event, Recorder};
 use crate::sync::lock;
 
 /// How often a thread looks at what has been asked of it.
@@ -24,12 +24,12 @@
 
 /// What the network does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Network {
-    Passes,
+pub enum NetworkState {
+    Up,
     /// Nothing passes, in either direction; connections stay open and new ones never come up.
-    Cut,
+    Partitioned,
     /// Nobody listens.
-    Refuses,
+    Refusing,
 }
 
 /// Shares of connections, each between 0 and 1.
@@ -45,11 +45,11 @@
 
 #[derive(Debug)]
 struct Shared {
-    network: Mutex<Network>,
+    network: Mutex<NetworkState>,
     upstream: Mutex<(SocketAddr, String)>,
     faults: Mutex<ConnectionFaults>,
     links: Mutex<Vec<Arc<Link>>>,
-    controller: ControllerNo,
+    controller: ControllerIndex,
     recorder: Recorder,
     over: AtomicBool,
 }
@@ -80,7 +80,7 @@
 
 impl Proxy {
     pub fn start(
-        controller: ControllerNo,
+        controller: ControllerIndex,
         addr: SocketAddr,
         upstream: SocketAddr,
         uid: &str,
@@ -88,7 +88,7 @@
         recorder: &Recorder,
     ) -> Self {
         let shared = Arc::new(Shared {
-            network: Mutex::new(Network::Passes),
+            network: Mutex::new(NetworkState::Up),
             upstream: Mutex::new((upstream, uid.to_string())),
             faults: Mutex::new(ConnectionFaults::default()),
             links: Mutex::new(Vec::new()),
@@ -101,7 +101,7 @@
         Self { addr, shared }
     }
 
-    pub fn set_network(&self, network: Network) {
+    pub fn set_network(&self, network: NetworkState) {
         set(&self.shared.network, network);
     }
 
@@ -135,18 +135,18 @@
 
 fn accept(shared: &Arc<Shared>, addr: SocketAddr, seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let (mut listener, mut was) = (None, Network::Refuses);
+    let (mut listener, mut was) = (None, NetworkState::Refusing);
     while !shared.over.load(Ordering::Relaxed) {
         let network = get(&shared.network);
         if network != was {
-            if network == Network::Refuses {
+            if network == NetworkState::Refusing {
                 listener = None;
             } else if listener.is_none() {
                 listener = CuttableListener::bind(addr).ok();
             }
             match (&mut listener, network) {
-                (Some(listener), Network::Cut) => drop(listener.cut()),
-                (Some(listener), Network::Passes) => listener.heal(),
+                (Some(listener), NetworkState::Partitioned) => drop(listener.cut()),
+                (Some(listener), NetworkState::Up) => listener.heal(),
                 _ => {}
             }
             was = network;
@@ -197,14 +197,14 @@
     // A stream without a read timeout would only notice a reset late.
     let _ = from.set_nonblocking(false).and_then(|()| from.set_read_timeout(Some(TICK)));
     let _ = to.set_nodelay(true);
-    let (mut cutter, mut buffer, mut held) = (Cutter::default(), [0; 8192], Vec::new());
+    let (mut decoder, mut buffer, mut held) = (Decoder::default(), [0; 8192], Vec::new());
     let mut ended = false;
     while !shared.over.load(Ordering::Relaxed) && !link.reset.load(Ordering::Relaxed) {
         if !ended && held.len() < MOST_HELD {
             match from.read(&mut buffer) {
                 Ok(0) => ended = true,
                 Ok(count) => {
-                    observe(shared, link, direction, &mut cutter, &buffer[..count]);
+                    observe(shared, link, direction, &mut decoder, &buffer[..count]);
                     held.extend_from_slice(&buffer[..count]);
                 }
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
@@ -220,7 +220,7 @@
         } else {
             thread::sleep(TICK);
         }
-        if get(&shared.network) == Network::Cut {
+        if get(&shared.network) == NetworkState::Partitioned {
             continue;
         }
         let passed = pass_on(link, &held, &mut to);
@@ -254,19 +254,19 @@
 }
 
 /// Records what a direction's octets say, as they are read.
-fn observe(shared: &Shared, link: &Link, direction: Direction, cutter: &mut Cutter, octets: &[u8]) {
-    cutter.push(octets);
+fn observe(shared: &Shared, link: &Link, direction: Direction, decoder: &mut Decoder, octets: &[u8]) {
+    decoder.push(octets);
     let controller = shared.controller;
-    while let Ok(Some(message)) = cutter.next_message() {
+    while let Ok(Some(message)) = decoder.next_message() {
         let (uid, call, link) = (link.uid.clone(), message.call.0, link.no);
         match (direction, message.kind) {
-            (Direction::Up, Kind::SetUp) => {
+            (Direction::Up, MessageType::SetUp) => {
                 shared.recorder.add(Event::SetUpPassed { uid, call, controller, link });
             }
-            (Direction::Up, Kind::Release) => {
+            (Direction::Up, MessageType::Release) => {
                 shared.recorder.add(Event::ReleasePassed { uid, call, controller, link });
             }
-            (Direction::Down, Kind::Release) if get(&shared.network) != Network::Cut => {
+            (Direction::Down, MessageType::Release) if get(&shared.network) != NetworkState::Partitioned => {
                 shared.recorder.add(Event::ReleaseDelivered { uid, call, controller, link });
             }
             _ => {}
