--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -171,7 +171,7 @@
             if let Err(error) = io::stdin().read_line(&mut token) {
                 return bad_input(error);
             }
-            println!("{}", mintstall_limits::digest_text(token.trim_end_matches(['\r', '\n'])));
+            println!("{}", mintstall_limits::token_digest(token.trim_end_matches(['\r', '\n'])));
             ExitCode::SUCCESS
         }
         Command::Completions { shell } => {
--- a/crates/client/examples/polite.rs
+++ b/crates/client/examples/polite.rs
@@ -4,14 +4,14 @@
 
 use std::time::Duration;
 
-use mintstall_client::{Client, Plan, Redial, RedialPlan, offer};
+use mintstall_client::{Client, Plan, RedialBudget, RedialPolicy, offer};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args: Vec<String> = std::env::args().skip(1).collect();
     let [server, dest, number] = &args[..] else { return Err("usage: polite SERVER DEST NUMBER".into()) };
     let plan = Plan { token: std::env::var("MINTSTALL_TOKEN").ok(), ..Plan::named("polite example") };
     let mut client = Client::connect(vec![server.parse()?], plan, Duration::from_secs(10))?;
-    let mut redial = Redial::new(RedialPlan::default(), std::process::id().into());
+    let mut redial = RedialBudget::new(RedialPolicy::default(), std::process::id().into());
     let wish = offer(dest.parse()?, number.parse()?, Duration::from_secs(6));
     let (outcome, why) = client.call_politely(&mut redial, wish)?;
     println!("{outcome:?}");
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use mintstall_callapi::{Answered, CallState, Final, Get, Offer, Request, TraceGet, Traced, Welcome};
-use mintstall_limits::{NotAgain, Redial};
+use mintstall_limits::{RedialBudget, RedialDenied};
 use rand::Rng;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
@@ -143,9 +143,9 @@
     /// time and after the wait that was told. Returns the last outcome and why there is no further offer, if it does not stand.
     pub fn call_politely(
         &mut self,
-        redial: &mut Redial,
+        redial: &mut RedialBudget,
         offer: Offer,
-    ) -> Result<(Outcome, Option<NotAgain>), ClientError> {
+    ) -> Result<(Outcome, Option<RedialDenied>), ClientError> {
         let until = self.now() + Duration::from_millis(offer.time_left_ms.into());
         redial.first_offer();
         let mut offers = 0;
@@ -156,7 +156,7 @@
             let told = match outcome {
                 Outcome::Stands { .. } => return Ok((outcome, None)),
                 // It may stand unheard: only its caller can tell whether to ask again.
-                Outcome::Lost => return Ok((outcome, Some(NotAgain::Time))),
+                Outcome::Lost => return Ok((outcome, Some(RedialDenied::Time))),
                 Outcome::Refused { come_back } => Some(come_back),
                 Outcome::Fails => None,
             };
@@ -293,14 +293,14 @@
     /// One turn: dials, reads or waits, at most until then.
     fn pump(&mut self, until: Duration) -> Option<Event> {
         let now = self.now();
-        self.session.ring(now);
+        self.session.on_timer(now);
         if self.session.wants_dial(now) {
             self.dial();
         }
         self.write();
         let mut event = self.session.next_event();
         if event.is_none() {
-            let alarm = self.session.next_alarm().unwrap_or(Duration::MAX).min(until);
+            let alarm = self.session.next_timer().unwrap_or(Duration::MAX).min(until);
             let wait =
                 alarm.saturating_sub(self.now()).clamp(Duration::from_millis(1), Duration::from_secs(1));
             self.read(wait);
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -22,4 +22,4 @@
 pub use session::{AskError, Event, Plan, Session};
 
 pub use mintstall_callapi as api;
-pub use mintstall_limits::{ComeBackPlan, NotAgain, Redial, RedialPlan};
+pub use mintstall_limits::{ReconnectPolicy, RedialBudget, RedialDenied, RedialPolicy};
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -8,7 +8,10 @@
     Answered, Asked, CallState, Cancel, EndedNote, Final, Hangup, Heard, Hello, How, MissedNote, NewsNote,
     Offer, Request, State as CallIs, Subscribe, Subscribed, Welcome, code,
 };
-use mintstall_limits::{Book, ComeBack, ComeBackPlan, Due, InUse, Patience, Settled, ThereIs, Vigil};
+use mintstall_limits::{
+    CallNumberInUse, CallTable, ConnectionMonitor, ConnectionTimeouts, MonitorAction, ReconciledCalls,
+    ReconnectBackoff, ReconnectPolicy, ServerCallState,
+};
 use mintstall_websocket::{Dialled, End, Event as Heard1, Progress, close};
 use serde_json::{Value, json};
 use thiserror::Error;
@@ -21,9 +24,9 @@
     pub token: Option<String>,
     /// Whether a session that was cut is taken up again; otherwise each connection is a session of its own.
     pub resumes: bool,
-    pub come_back: ComeBackPlan,
+    pub come_back: ReconnectPolicy,
     /// When a server that says nothing is pinged, and given up.
-    pub patience: Patience,
+    pub patience: ConnectionTimeouts,
     /// Calls in hand at a time.
     pub most_calls: usize,
     /// How long after its caller's time an answer may still be on its way, before the call counts as lost.
@@ -36,9 +39,12 @@
             client: client.into(),
             token: None,
             resumes: true,
-            come_back: ComeBackPlan::default(),
+            come_back: ReconnectPolicy::default(),
             // The server pings sooner: only one that is gone is silent for so long.
-            patience: Patience { quiet: Duration::from_secs(45), ..Patience::default() },
+            patience: ConnectionTimeouts {
+                idle_timeout: Duration::from_secs(45),
+                ..ConnectionTimeouts::default()
+            },
             most_calls: 10_000,
             grace: Duration::from_secs(1),
         }
@@ -91,7 +97,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AskError {
     #[error(transparent)]
-    InUse(#[from] InUse),
+    InUse(#[from] CallNumberInUse),
     #[error("{0} calls are in hand already")]
     TooMany(usize),
     #[error("the session is not open")]
@@ -123,9 +129,9 @@
 pub struct Session {
     plan: Plan,
     link: Link,
-    back: ComeBack,
-    book: Book<Offer>,
-    vigil: Vigil<()>,
+    back: ReconnectBackoff,
+    book: CallTable<Offer>,
+    vigil: ConnectionMonitor<()>,
     key: Option<String>,
     /// How long the server keeps it after a cut.
     kept: Duration,
@@ -158,9 +164,9 @@
     pub fn new(now: Duration, plan: Plan, seed: u64) -> Self {
         Self {
             link: Link::Down { dial_at: now },
-            back: ComeBack::new(plan.come_back, seed),
-            book: Book::new(plan.most_calls, plan.grace),
-            vigil: Vigil::new(Patience { most_opening: 1, ..plan.patience }),
+            back: ReconnectBackoff::new(plan.come_back, seed),
+            book: CallTable::new(plan.most_calls, plan.grace),
+            vigil: ConnectionMonitor::new(ConnectionTimeouts { max_handshakes: 1, ..plan.patience }),
             plan,
             key: None,
             kept: Duration::ZERO,
@@ -237,29 +243,29 @@
         self.book.unanswered()
     }
 
-    /// When [`Session::ring`] is next to be called.
-    pub fn next_alarm(&self) -> Option<Duration> {
+    /// When [`Session::on_timer`] is next to be called.
+    pub fn next_timer(&self) -> Option<Duration> {
         let dial = match self.link {
             Link::Down { dial_at } => Some(dial_at),
             _ => None,
         };
-        [dial, self.book.next_alarm(), self.vigil.next_alarm()].into_iter().flatten().min()
+        [dial, self.book.next_timer(), self.vigil.next_timer()].into_iter().flatten().min()
     }
 
-    pub fn ring(&mut self, now: Duration) {
-        for call in self.book.ring(now) {
+    pub fn on_timer(&mut self, now: Duration) {
+        for call in self.book.on_timer(now) {
             // Were it to stand all the same, nobody would know of it.
             self.give_up(call);
             self.events.push_back(Event::Lost { call });
         }
-        for due in self.vigil.ring(now) {
+        for due in self.vigil.on_timer(now) {
             match due {
-                Due::AskForLife(()) => {
+                MonitorAction::Ping(()) => {
                     if let Link::Open(end) | Link::Greeting(end) = &mut self.link {
                         end.ping();
                     }
                 }
-                Due::Drop((), lapse) => self.lost(now, &format!("the server {lapse}")),
+                MonitorAction::Drop((), lapse) => self.lost(now, &format!("the server {lapse}")),
             }
         }
         self.pump();
@@ -455,8 +461,8 @@
     fn settle(&mut self, now: Duration) {
         let Some((_, there)) = self.settling.take() else { return };
         let in_hand = |state: &CallState| match state.state {
-            CallIs::Stands => ThereIs::Standing,
-            _ => ThereIs::Unanswered,
+            CallIs::Stands => ServerCallState::Standing,
+            _ => ServerCallState::Unanswered,
         };
         let states = there.iter().map(|(call, state)| (*call, in_hand(state))).collect();
         let settled = self.book.taken_up(now, &states);
@@ -470,8 +476,8 @@
         self.carry_out(now, settled, &there);
     }
 
-    fn carry_out(&mut self, now: Duration, settled: Settled, there: &BTreeMap<u64, CallState>) {
-        let Settled { send, stand, over, lost } = settled;
+    fn carry_out(&mut self, now: Duration, settled: ReconciledCalls, there: &BTreeMap<u64, CallState>) {
+        let ReconciledCalls { send, stand, over, lost } = settled;
         for call in stand {
             let exchange_call = there.get(&call).map_or(0, |state| state.exchange_call);
             self.events.push_back(Event::Answered(Answered { call, exchange_call, answer: Final::Stands }));
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -7,7 +7,7 @@
 
 use mintstall::host::{CallTypeData, OfficeData, OfficeNo, Repeats};
 use mintstall_isup::Cic;
-use mintstall_limits::{Limits, Patience, TokenFile, Tokens};
+use mintstall_limits::{ConnectionTimeouts, Limits, TokenFile, Tokens};
 use mintstall_office::{GroupPlan, NumberPlan, OfficePlan, Timers};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -108,30 +108,30 @@
 
 impl Default for Calls {
     fn default() -> Self {
-        let patience = Patience::default();
+        let patience = ConnectionTimeouts::default();
         let ms = |span: Duration| span.as_millis() as u64;
         Self {
             listen: None,
             origins: BTreeSet::new(),
-            opening_ms: ms(patience.opening),
-            most_opening: patience.most_opening,
-            quiet_ms: ms(patience.quiet),
-            answer_ms: ms(patience.answer),
-            closing_ms: ms(patience.closing),
+            opening_ms: ms(patience.handshake_timeout),
+            most_opening: patience.max_handshakes,
+            quiet_ms: ms(patience.idle_timeout),
+            answer_ms: ms(patience.pong_timeout),
+            closing_ms: ms(patience.close_timeout),
             most_unread: 256 << 10,
         }
     }
 }
 
 impl Calls {
-    pub fn patience(&self) -> Patience {
+    pub fn patience(&self) -> ConnectionTimeouts {
         let ms = Duration::from_millis;
-        Patience {
-            opening: ms(self.opening_ms),
-            most_opening: self.most_opening,
-            quiet: ms(self.quiet_ms),
-            answer: ms(self.answer_ms),
-            closing: ms(self.closing_ms),
+        ConnectionTimeouts {
+            handshake_timeout: ms(self.opening_ms),
+            max_handshakes: self.most_opening,
+            idle_timeout: ms(self.quiet_ms),
+            pong_timeout: ms(self.answer_ms),
+            close_timeout: ms(self.closing_ms),
         }
     }
 }
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -13,8 +13,9 @@
 };
 use mintstall_isup::Report;
 use mintstall_limits::{
-    Admission, Backlog, Denied, Fate, Grant, News, Opening, Refusal, Repeat, Repeats, Resumable, Scope, Sees,
-    SessionKey, SessionNo, Tokens, Verdict,
+    Admission, AdmissionDecision, AdmissionError, AnswerCache, AuthError, Backlog, CachedAnswer,
+    CustomerFilter, DisconnectOutcome, EventLog, Grant, OpenOutcome, ResumableSessions, Scope, SessionId,
+    SessionKey, Tokens,
 };
 use mintstall_office::{Answer, CallEnd, LinkState, Office, OfficeState, Order, Plant, Step, Trace};
 use mintstall_roster::{
@@ -54,7 +55,7 @@
 struct Line {
     cutter: LineCutter,
     /// The session whose it is: that of the connection, or one taken up.
-    session: SessionNo,
+    session: SessionId,
     /// The name of the token that it presented.
     token: Option<String>,
     /// What waits to be said once its session is taken up again; none while it has a connection.
@@ -74,7 +75,7 @@
 /// An offer on its way in.
 struct Pending {
     line: LineNo,
-    session: SessionNo,
+    session: SessionId,
     id: Option<Value>,
     offer: Offer,
     since: Duration,
@@ -82,7 +83,7 @@
 
 struct Asker {
     line: LineNo,
-    session: SessionNo,
+    session: SessionId,
     customer: CustomerNo,
     progress: Progress,
     call: u64,
@@ -121,9 +122,9 @@
     pub office: Office,
     admission: Admission<Pending>,
     tokens: Tokens,
-    resumable: Resumable,
-    repeats: Repeats<Answered>,
-    news: News<CallEvent>,
+    resumable: ResumableSessions,
+    repeats: AnswerCache<Answered>,
+    news: EventLog<CallEvent>,
     /// Draws the keys of sessions.
     keys: StdRng,
     resume_texts: usize,
@@ -138,7 +139,7 @@
     feed: LineCutter,
     lines: BTreeMap<LineNo, Line>,
     /// Which line each session has, or had when it was cut. Emptied with the lines.
-    sessions: BTreeMap<SessionNo, LineNo>,
+    sessions: BTreeMap<SessionId, LineNo>,
     /// Who asked for each call. Emptied as calls end.
     askers: BTreeMap<CallId, Asker>,
 }
@@ -199,13 +200,13 @@
             office: Office::new(now, &config.plan(), incarnation, seed),
             admission: Admission::new(now, config.limits.limits(), shares.collect(), seed),
             tokens: Tokens::open(),
-            resumable: Resumable::new(
+            resumable: ResumableSessions::new(
                 Duration::from_millis(config.limits.resume_ms),
                 config.limits.resume_sessions,
             ),
             keys: StdRng::from_os_rng(),
-            repeats: Repeats::new(Duration::from_millis(config.limits.repeat_ms), config.limits.repeats),
-            news: News::new(config.limits.news),
+            repeats: AnswerCache::new(Duration::from_millis(config.limits.repeat_ms), config.limits.repeats),
+            news: EventLog::new(config.limits.news),
             resume_texts: config.limits.resume_texts,
             repeat_ms: config.limits.repeat_ms,
             ready: VecDeque::new(),
@@ -304,8 +305,8 @@
         self.take_ready(now, port);
     }
 
-    pub fn ring(&mut self, now: Duration, port: &mut dyn Port) {
-        for (pending, refusal) in self.admission.ring(now, &mut |text| port.note(text)) {
+    pub fn on_timer(&mut self, now: Duration, port: &mut dyn Port) {
+        for (pending, refusal) in self.admission.on_timer(now, &mut |text| port.note(text)) {
             self.refuse(port, &pending, refusal);
         }
         let over = self.resumable.expired(now);
@@ -316,9 +317,9 @@
         self.take_ready(now, port);
     }
 
-    /// When [`Exchange::ring`] is next to be called.
-    pub fn next_alarm(&self) -> Option<Duration> {
-        let all = [self.office.next_alarm(), self.admission.next_alarm(), self.resumable.next_alarm()];
+    /// When [`Exchange::on_timer`] is next to be called.
+    pub fn next_timer(&self) -> Option<Duration> {
+        let all = [self.office.next_alarm(), self.admission.next_timer(), self.resumable.next_timer()];
         all.into_iter().flatten().min()
     }
 
@@ -341,20 +342,20 @@
     /// A connection for calls, if there is room for one more.
     pub fn line_open(&mut self, now: Duration) -> Result<LineNo, NotOpen> {
         match self.admission.open(now) {
-            Opening::Open(SessionNo(no)) => {
+            OpenOutcome::Open(SessionId(no)) => {
                 let line = Line {
                     cutter: LineCutter::new(LONGEST_TEXT),
-                    session: SessionNo(no),
+                    session: SessionId(no),
                     token: None,
                     backlog: None,
                     calls: BTreeMap::new(),
                 };
                 self.lines.insert(LineNo(no), line);
-                self.sessions.insert(SessionNo(no), LineNo(no));
+                self.sessions.insert(SessionId(no), LineNo(no));
                 Ok(LineNo(no))
             }
-            Opening::Later(wait) => Err(NotOpen::Later(wait)),
-            Opening::Full => Err(NotOpen::Full(self.lines.len())),
+            OpenOutcome::RateLimited(wait) => Err(NotOpen::Later(wait)),
+            OpenOutcome::Full => Err(NotOpen::Full(self.lines.len())),
         }
     }
 
@@ -363,8 +364,8 @@
     pub fn line_closed(&mut self, now: Duration, port: &mut dyn Port, line: LineNo) {
         let Some(held) = self.lines.get_mut(&line) else { return };
         match self.resumable.cut(now, held.session) {
-            Fate::Over => self.end_line(now, port, line),
-            Fate::Kept { displaced, .. } => {
+            DisconnectOutcome::Over => self.end_line(now, port, line),
+            DisconnectOutcome::Kept { displaced, .. } => {
                 held.backlog = Some(Backlog::new(self.resume_texts));
                 held.cutter = LineCutter::new(LONGEST_TEXT);
                 self.end_sessions(now, port, &displaced);
@@ -379,7 +380,7 @@
         self.take_ready(now, port);
     }
 
-    fn end_sessions(&mut self, now: Duration, port: &mut dyn Port, sessions: &[SessionNo]) {
+    fn end_sessions(&mut self, now: Duration, port: &mut dyn Port, sessions: &[SessionId]) {
         for session in sessions {
             if let Some(line) = self.sessions.get(session).copied() {
                 self.end_line(now, port, line);
@@ -479,12 +480,12 @@
     }
 
     /// Whether a token allows something on the admin port.
-    pub fn admin_may(&self, token: Option<&str>) -> Result<(), Denied> {
+    pub fn admin_may(&self, token: Option<&str>) -> Result<(), AuthError> {
         if !self.tokens.asks() {
             return Ok(());
         }
-        let grant = self.tokens.present(token.ok_or(Denied::NoToken)?)?;
-        if grant.may(Scope::Admin) { Ok(()) } else { Err(Denied::Scope) }
+        let grant = self.tokens.present(token.ok_or(AuthError::NoToken)?)?;
+        if grant.may(Scope::Admin) { Ok(()) } else { Err(AuthError::Scope) }
     }
 
     fn hello(
@@ -496,7 +497,7 @@
     ) -> Result<Welcome, Fault> {
         let held = self.lines.get_mut(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
         if self.tokens.asks() {
-            let token = hello.token.as_deref().ok_or(Denied::NoToken);
+            let token = hello.token.as_deref().ok_or(AuthError::NoToken);
             let grant = token.and_then(|token| self.tokens.present(token));
             let grant = grant.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
             held.token = Some(grant.name.clone());
@@ -535,7 +536,7 @@
     }
 
     /// What was not let in: a call answered as refused where a later try may do better, else a fault of the client.
-    fn refuse(&mut self, port: &mut dyn Port, pending: &Pending, refusal: Refusal) {
+    fn refuse(&mut self, port: &mut dyn Port, pending: &Pending, refusal: AdmissionError) {
         let (line, call) = (pending.line, pending.offer.call);
         if let Some(held) = self.lines.get_mut(&line)
             && held.calls.get(&call) == Some(&Held::Waiting)
@@ -545,8 +546,8 @@
         debug!(line = line.0, call, "not let in: {refusal}");
         let Some(id) = &pending.id else { return };
         match refusal {
-            Refusal::TooFast { come_back } | Refusal::Pressed { come_back } => {
-                let answer = Final::Refused { come_back_ms: come_back.as_millis() as u32 };
+            AdmissionError::RateLimited { retry_after } | AdmissionError::Overloaded { retry_after } => {
+                let answer = Final::Refused { come_back_ms: retry_after.as_millis() as u32 };
                 let text = result_text(id, Answered { call, exchange_call: 0, answer });
                 self.say(port, line, None, text);
             }
@@ -561,7 +562,7 @@
         let held = self.lines.get(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
         allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
-        let sees = self.tokens.named(held.token.as_deref()).map_or(Sees::All, Grant::sees);
+        let sees = self.tokens.named(held.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
         let cursor = self.news.watch(held.session, cursor, sees);
         cursor.map_err(|error| Fault::new(code::INVALID_PARAMS, error.to_string()))
     }
@@ -645,8 +646,8 @@
         };
         if let Err(refusal) = allowed {
             let mut fault = Fault::new(code::TOO_FAST, refusal.to_string());
-            if let Refusal::TooFast { come_back } = refusal {
-                fault.come_back_ms = Some(come_back.as_millis() as u64 + 1);
+            if let AdmissionError::RateLimited { retry_after } = refusal {
+                fault.come_back_ms = Some(retry_after.as_millis() as u64 + 1);
             }
             return id.iter().for_each(|id| port.say(line, &fault_text(id, &fault)));
         }
@@ -689,7 +690,7 @@
         let allowed =
             self.tokens.check(held.token.as_deref(), Scope::Offer, Some(CustomerNo(offer.customer)));
         allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
-        if let Repeat::Answered(answered) = self.repeats.offer(now, held.session, offer.call) {
+        if let CachedAnswer::Answered(answered) = self.repeats.offer(now, held.session, offer.call) {
             id.iter().for_each(|id| port.say(line, &result_text(id, answered)));
             return Ok(());
         }
@@ -702,9 +703,9 @@
         let log = &mut |text: &str| port.note(text);
         let (verdict, displaced) = self.admission.offer(now, session, customer, left, pending, log);
         match verdict {
-            Verdict::Take(pending) => self.take(now, port, pending),
-            Verdict::Waits => _ = held.calls.insert(offer.call, Held::Waiting),
-            Verdict::Refused(pending, refusal) => self.refuse(port, &pending, refusal),
+            AdmissionDecision::Admit(pending) => self.take(now, port, pending),
+            AdmissionDecision::Queued => _ = held.calls.insert(offer.call, Held::Waiting),
+            AdmissionDecision::Refused(pending, refusal) => self.refuse(port, &pending, refusal),
         }
         displaced.iter().for_each(|(pending, refusal)| self.refuse(port, pending, *refusal));
         Ok(())
@@ -774,7 +775,7 @@
         let held = self.lines.get(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
         allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
-        let sees = self.tokens.named(held.token.as_deref()).map_or(Sees::All, Grant::sees);
+        let sees = self.tokens.named(held.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
         let mut traces = self.traces(get.origin, get.exchange_call);
         traces.retain(|trace| sees.includes(CustomerNo(trace.customer)));
         if traces.is_empty() {
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -9,7 +9,7 @@
 use mintstall::host::OfficeNo;
 use mintstall_callapi::{Fault, LineCutter, code, fault_text, result_text};
 use mintstall_isup::{Deframer, Frame};
-use mintstall_limits::{Due, Patience, Vigil};
+use mintstall_limits::{ConnectionMonitor, ConnectionTimeouts, MonitorAction};
 use mintstall_websocket::{Door, End, Event, Knock, NotLetIn, close};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -122,8 +122,8 @@
     lines: BTreeMap<LineNo, Token>,
     directory: Option<Token>,
     /// Who has not said which exchange it is; clients over WebSocket.
-    strangers: Vigil<Token>,
-    clients: Vigil<Token>,
+    strangers: ConnectionMonitor<Token>,
+    clients: ConnectionMonitor<Token>,
     admins: usize,
     most_unread: usize,
     started: Instant,
@@ -341,8 +341,11 @@
         let admins_in =
             listener(&poll, "admin.listen", config.admin.as_ref().map(|admin| admin.listen), ADMINS_IN)?;
         let calls_in = listener(&poll, "calls.listen", config.calls.listen, CALLS_IN)?;
-        let strangers =
-            Patience { opening: STRANGER_FOR, most_opening: MOST_STRANGERS, ..Patience::default() };
+        let strangers = ConnectionTimeouts {
+            handshake_timeout: STRANGER_FOR,
+            max_handshakes: MOST_STRANGERS,
+            ..ConnectionTimeouts::default()
+        };
         let now = Instant::now();
         let redial = |to| Redial { to, failures: 0, due: Some(now) };
         let links = config.signalling.links.iter();
@@ -360,8 +363,8 @@
                 links: BTreeMap::new(),
                 lines: BTreeMap::new(),
                 directory: None,
-                strangers: Vigil::new(strangers),
-                clients: Vigil::new(config.calls.patience()),
+                strangers: ConnectionMonitor::new(strangers),
+                clients: ConnectionMonitor::new(config.calls.patience()),
                 admins: 0,
                 most_unread: config.calls.most_unread,
                 started: now,
@@ -448,7 +451,7 @@
             let accepting = std::mem::take(&mut self.accepting);
             accepting.into_iter().for_each(|on| self.accept(on));
             let now = self.now();
-            self.exchange.ring(now, &mut self.wires);
+            self.exchange.on_timer(now, &mut self.wires);
             self.redial();
             self.look_after_clients(now);
             self.settle();
@@ -460,10 +463,10 @@
 
     fn wait(&self) -> Option<Duration> {
         let now = self.now();
-        let alarm = self.exchange.next_alarm().map(|at| at.saturating_sub(now));
+        let alarm = self.exchange.next_timer().map(|at| at.saturating_sub(now));
         let dial = self.redials.values().filter_map(|redial| redial.due).min();
         let dial = dial.map(|due| due.saturating_duration_since(Instant::now()));
-        let vigils = [self.wires.strangers.next_alarm(), self.wires.clients.next_alarm()];
+        let vigils = [self.wires.strangers.next_timer(), self.wires.clients.next_timer()];
         let vigil = vigils.into_iter().flatten().min().map(|at| at.saturating_sub(now));
         let stopping = self.stopping.map(|_| Duration::from_millis(20));
         let accepting = (!self.accepting.is_empty()).then_some(Duration::ZERO);
@@ -603,12 +606,12 @@
 
     /// Connections that never say who they are, clients that fall silent or do not close.
     fn look_after_clients(&mut self, now: Duration) {
-        let mut due = self.wires.strangers.ring(now);
-        due.extend(self.wires.clients.ring(now));
+        let mut due = self.wires.strangers.on_timer(now);
+        due.extend(self.wires.clients.on_timer(now));
         for due in due {
             match due {
-                Due::Drop(token, lapse) => self.wires.close(Some(token), &lapse.to_string()),
-                Due::AskForLife(token) => {
+                MonitorAction::Drop(token, lapse) => self.wires.close(Some(token), &lapse.to_string()),
+                MonitorAction::Ping(token) => {
                     if let Some(Purpose::Calls { end, .. }) =
                         self.wires.connections.get_mut(&token).map(|connection| &mut connection.purpose)
                     {
--- a/crates/daemon/tests/admission.rs
+++ b/crates/daemon/tests/admission.rs
@@ -116,9 +116,9 @@
 
     fn pass(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(at) = self.exchange.next_alarm().filter(|at| *at <= end) {
+        while let Some(at) = self.exchange.next_timer().filter(|at| *at <= end) {
             self.now = at;
-            self.exchange.ring(at, &mut self.wires);
+            self.exchange.on_timer(at, &mut self.wires);
             self.far();
         }
         self.now = end;
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -138,7 +138,7 @@
     fn look_after(&mut self, at: usize) {
         let now = self.now;
         let client = &mut self.clients[at];
-        client.session.ring(now);
+        client.session.on_timer(now);
         if client.session.wants_dial(now) {
             client.session.dialled(now, "127.0.0.1:9".parse().unwrap());
             client.wires.push(Wire {
@@ -276,11 +276,11 @@
     fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
-            let sessions = self.clients.iter().filter_map(|client| client.session.next_alarm());
-            let alarm = sessions.chain(self.exchange.next_alarm()).min().filter(|at| *at <= end);
+            let sessions = self.clients.iter().filter_map(|client| client.session.next_timer());
+            let alarm = sessions.chain(self.exchange.next_timer()).min().filter(|at| *at <= end);
             let Some(at) = alarm else { break };
             self.now = self.now.max(at);
-            self.exchange.ring(self.now, &mut self.wires);
+            self.exchange.on_timer(self.now, &mut self.wires);
             self.carry();
             (0..CLIENTS).for_each(|at| self.look_after(at));
         }
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mintstall_callapi::{Answered, How, Offer};
-use mintstall_client::{ComeBackPlan, Event, Plan, Session};
+use mintstall_client::{Event, Plan, ReconnectPolicy, Session};
 use mintstall_standin::{Clients as ClientsPlan, Witness, World};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -59,7 +59,7 @@
     fn begin(&mut self, now: Duration, no: ClientNo) {
         self.seed = self.seed.wrapping_add(1);
         // Cuts are the script's and say nothing of the controller: what is judged is not how long a client stays away.
-        let come_back = ComeBackPlan { steady: Duration::from_millis(200), ..ComeBackPlan::default() };
+        let come_back = ReconnectPolicy { steady: Duration::from_millis(200), ..ReconnectPolicy::default() };
         let plan = Plan { come_back, ..Plan::named(format!("day {}.{}", no.0, no.1)) };
         self.sessions.insert(no, Session::new(now, plan, self.seed));
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -478,7 +478,7 @@
         {
             self.alarms.remove(&(when, at));
             self.members[at].alarm = None;
-            self.members[at].session.ring(now);
+            self.members[at].session.on_timer(now);
             self.touched(at);
         }
         Ok(())
@@ -584,7 +584,7 @@
         }
         self.write(at);
         let member = &mut self.members[at];
-        let alarm = member.session.next_alarm().filter(|_| !member.gone);
+        let alarm = member.session.next_timer().filter(|_| !member.gone);
         if alarm != member.alarm {
             member.alarm.iter().for_each(|before| _ = self.alarms.remove(&(*before, at)));
             alarm.iter().for_each(|alarm| _ = self.alarms.insert((*alarm, at)));
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -363,8 +363,8 @@
         }
         for no in self.clients.numbers() {
             let Some(session) = self.clients.session(no) else { continue };
-            if session.next_alarm().is_some_and(|at| at <= now) {
-                session.ring(now);
+            if session.next_timer().is_some_and(|at| at <= now) {
+                session.on_timer(now);
             }
             if session.wants_dial(now) {
                 let calls = self.processes.get(&no.0).and_then(|process| process.ready.as_ref()?.calls);
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -6,7 +6,7 @@
 
 use mintstall::host::*;
 use mintstall_callapi::{Asked, Final, Heard, Offer, Request};
-use mintstall_client::{Redial, RedialPlan};
+use mintstall_client::{RedialBudget, RedialPolicy};
 use mintstall_daemon::Config;
 use mintstall_daemon::exchange::{Exchange, LineNo, Port};
 use mintstall_isup::{Body, CauseIndicators, Cic, Data, Deframer, Frame, Location, Message, Q850, Rel};
@@ -202,13 +202,13 @@
     fn pass_until(&mut self, end: Duration) {
         loop {
             let tandems = self.tandems.iter().filter_map(|(no, office)| Some((office.next_alarm()?, *no)));
-            let next = tandems.chain(self.first.next_alarm().map(|at| (at, 1))).min();
+            let next = tandems.chain(self.first.next_timer().map(|at| (at, 1))).min();
             let Some((at, no)) = next.filter(|(at, _)| *at <= end) else { break };
             self.now = self.now.max(at);
             let now = self.now;
             self.wires.from = no;
             match no {
-                1 => self.first.ring(now, &mut self.wires),
+                1 => self.first.on_timer(now, &mut self.wires),
                 tandem => self.tandems.get_mut(&tandem).unwrap().ring(now, &mut self.wires),
             }
             self.carry();
@@ -246,7 +246,7 @@
 fn all_fail(far: Far, direct: u16) -> (u32, u32, u32) {
     const CALLS: u64 = 300;
     let mut net = Net::new(far, direct);
-    let mut redial = Redial::new(RedialPlan::default(), 1);
+    let mut redial = RedialBudget::new(RedialPolicy::default(), 1);
     // By the number of the offer, ten apart; by the exchange's number, which client's call it was.
     let mut wishes: BTreeMap<u64, Wish> = BTreeMap::new();
     let mut of_call: BTreeMap<u64, (u32, u32, u32)> = BTreeMap::new();
--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -8,22 +8,22 @@
 
 use mintstall::host::CustomerNo;
 
-use crate::gate::{Gate, Limits, Opening, Refusal, SessionNo};
-use crate::turns::Turns;
+use crate::fair_queue::FairQueue;
+use crate::session_limiter::{AdmissionError, Limits, OpenOutcome, SessionId, SessionLimiter};
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum Verdict<T> {
+pub enum AdmissionDecision<T> {
     /// To the decisions, at once.
-    Take(T),
+    Admit(T),
     /// It has its turn later, or is refused.
-    Waits,
-    Refused(T, Refusal),
+    Queued,
+    Refused(T, AdmissionError),
 }
 
 /// An offer in line.
 #[derive(Debug)]
 struct Offered<T> {
-    session: SessionNo,
+    session: SessionId,
     customer: CustomerNo,
     item: T,
 }
@@ -37,8 +37,8 @@
 
 #[derive(Debug)]
 pub struct Admission<T> {
-    pub gate: Gate,
-    turns: Turns<Offered<T>>,
+    pub gate: SessionLimiter,
+    turns: FairQueue<Offered<T>>,
     unanswered: usize,
     mode: Mode,
 }
@@ -48,8 +48,8 @@
 
 impl<T> Admission<T> {
     pub fn new(now: Duration, limits: Limits, shares: BTreeMap<CustomerNo, f64>, seed: u64) -> Self {
-        let turns = Turns::new(limits.waiting, shares);
-        Self { gate: Gate::new(now, limits, seed), turns, unanswered: 0, mode: Mode::AtEase }
+        let turns = FairQueue::new(limits.waiting, shares);
+        Self { gate: SessionLimiter::new(now, limits, seed), turns, unanswered: 0, mode: Mode::AtEase }
     }
 
     pub fn waiting(&self) -> usize {
@@ -60,7 +60,7 @@
         self.unanswered
     }
 
-    pub fn open(&mut self, now: Duration) -> Opening {
+    pub fn open(&mut self, now: Duration) -> OpenOutcome {
         self.gate.open(now)
     }
 
@@ -68,18 +68,18 @@
     pub fn offer(
         &mut self,
         now: Duration,
-        session: SessionNo,
+        session: SessionId,
         customer: CustomerNo,
         left: Duration,
         item: T,
         log: &mut dyn FnMut(&str),
-    ) -> (Verdict<T>, Option<(T, Refusal)>) {
+    ) -> (AdmissionDecision<T>, Option<(T, AdmissionError)>) {
         if let Err(refusal) = self.gate.offer(now, session, customer) {
-            return (Verdict::Refused(item, refusal), None);
+            return (AdmissionDecision::Refused(item, refusal), None);
         }
         if self.unanswered < self.gate.limits().unanswered && self.turns.is_empty() {
             self.unanswered += 1;
-            return (Verdict::Take(item), None);
+            return (AdmissionDecision::Admit(item), None);
         }
         if self.mode == Mode::AtEase {
             self.mode = Mode::Pressed { since: now, waited: 0 };
@@ -91,12 +91,12 @@
         let until = now + left.mul_f64(self.gate.limits().wait_share.clamp(0.0, 1.0));
         let displaced = self.turns.push(customer, 1.0, until, Offered { session, customer, item });
         let displaced = displaced.map(|displaced| self.refuse(displaced.0));
-        (Verdict::Waits, displaced)
+        (AdmissionDecision::Queued, displaced)
     }
 
-    fn refuse(&mut self, offered: Offered<T>) -> (T, Refusal) {
+    fn refuse(&mut self, offered: Offered<T>) -> (T, AdmissionError) {
         self.gate.over(offered.session, offered.customer);
-        (offered.item, Refusal::Pressed { come_back: self.gate.spread(COME_BACK) })
+        (offered.item, AdmissionError::Overloaded { retry_after: self.gate.with_jitter(COME_BACK) })
     }
 
     /// An offer that was with the decisions has its final answer; `stands`: the call stays in hand. What has its turn
@@ -104,7 +104,7 @@
     pub fn answered(
         &mut self,
         now: Duration,
-        session: SessionNo,
+        session: SessionId,
         customer: CustomerNo,
         stands: bool,
         log: &mut dyn FnMut(&str),
@@ -125,13 +125,13 @@
     }
 
     /// A standing call has ended.
-    pub fn over(&mut self, session: SessionNo, customer: CustomerNo) {
+    pub fn over(&mut self, session: SessionId, customer: CustomerNo) {
         self.gate.over(session, customer);
     }
 
     /// The session is gone. What it had waiting is dropped; what of it is with the decisions is still answered, and
     /// counts until then.
-    pub fn close(&mut self, now: Duration, session: SessionNo, log: &mut dyn FnMut(&str)) -> Vec<T> {
+    pub fn close(&mut self, now: Duration, session: SessionId, log: &mut dyn FnMut(&str)) -> Vec<T> {
         let dropped = self.turns.remove(|offered| offered.session == session);
         self.gate.close(session);
         self.at_ease(now, log);
@@ -153,7 +153,7 @@
     }
 
     /// All that waits is refused.
-    pub fn drain(&mut self) -> Vec<(T, Refusal)> {
+    pub fn drain(&mut self) -> Vec<(T, AdmissionError)> {
         let waiting = self.turns.remove(|_| true);
         waiting.into_iter().map(|offered| self.refuse(offered)).collect()
     }
@@ -163,13 +163,13 @@
         self.turns.for_each(|offered| change(&mut offered.item));
     }
 
-    /// When [`Admission::ring`] is next to be called.
-    pub fn next_alarm(&self) -> Option<Duration> {
+    /// When [`Admission::on_timer`] is next to be called.
+    pub fn next_timer(&self) -> Option<Duration> {
         self.turns.next_expiry()
     }
 
     /// What has waited for as long as it may.
-    pub fn ring(&mut self, now: Duration, log: &mut dyn FnMut(&str)) -> Vec<(T, Refusal)> {
+    pub fn on_timer(&mut self, now: Duration, log: &mut dyn FnMut(&str)) -> Vec<(T, AdmissionError)> {
         let late = self.turns.expired(now);
         let refused = late.into_iter().map(|offered| self.refuse(offered)).collect();
         self.at_ease(now, log);
@@ -210,22 +210,22 @@
             Self { admission: Admission::new(now, limits, BTreeMap::new(), 1), now, log: Vec::new() }
         }
 
-        fn open(&mut self) -> SessionNo {
-            let Opening::Open(no) = self.admission.open(self.now) else { panic!("not opened") };
+        fn open(&mut self) -> SessionId {
+            let OpenOutcome::Open(no) = self.admission.open(self.now) else { panic!("not opened") };
             no
         }
 
         fn offer(
             &mut self,
-            session: SessionNo,
+            session: SessionId,
             customer: CustomerNo,
             no: u64,
-        ) -> (Verdict<u64>, Option<(u64, Refusal)>) {
+        ) -> (AdmissionDecision<u64>, Option<(u64, AdmissionError)>) {
             let log = &mut |line: &str| self.log.push(line.to_string());
             self.admission.offer(self.now, session, customer, LEFT, no, log)
         }
 
-        fn answered(&mut self, session: SessionNo, customer: CustomerNo, stands: bool) -> Vec<u64> {
+        fn answered(&mut self, session: SessionId, customer: CustomerNo, stands: bool) -> Vec<u64> {
             let log = &mut |line: &str| self.log.push(line.to_string());
             self.admission.answered(self.now, session, customer, stands, log)
         }
@@ -235,9 +235,9 @@
     fn offers_go_straight_through_until_too_many_are_unanswered() {
         let mut desk = Desk::new(2, 10);
         let session = desk.open();
-        assert_eq!(desk.offer(session, ONE, 1).0, Verdict::Take(1));
-        assert_eq!(desk.offer(session, ONE, 2).0, Verdict::Take(2));
-        assert_eq!(desk.offer(session, ONE, 3).0, Verdict::Waits);
+        assert_eq!(desk.offer(session, ONE, 1).0, AdmissionDecision::Admit(1));
+        assert_eq!(desk.offer(session, ONE, 2).0, AdmissionDecision::Admit(2));
+        assert_eq!(desk.offer(session, ONE, 3).0, AdmissionDecision::Queued);
         assert_eq!(desk.answered(session, ONE, true), [3]);
         assert_eq!((desk.admission.unanswered(), desk.admission.waiting(), desk.log.len()), (2, 0, 2));
         assert!(desk.log[0].contains("pressed") && desk.log[1].contains("at ease"), "{:?}", desk.log);
@@ -260,11 +260,13 @@
         let session = desk.open();
         desk.offer(session, ONE, 1);
         desk.offer(session, ONE, 2);
-        assert_eq!(desk.admission.next_alarm(), Some(desk.now + LEFT / 4));
+        assert_eq!(desk.admission.next_timer(), Some(desk.now + LEFT / 4));
         desk.now += LEFT / 4;
-        let refused = desk.admission.ring(desk.now, &mut |_| {});
-        assert!(matches!(refused[..], [(2, Refusal::Pressed { come_back })] if come_back >= COME_BACK));
-        assert_eq!((desk.admission.gate.calls(ONE), desk.admission.next_alarm()), (1, None));
+        let refused = desk.admission.on_timer(desk.now, &mut |_| {});
+        assert!(
+            matches!(refused[..], [(2, AdmissionError::Overloaded { retry_after })] if retry_after >= COME_BACK)
+        );
+        assert_eq!((desk.admission.gate.calls(ONE), desk.admission.next_timer()), (1, None));
     }
 
     #[test]
@@ -289,13 +291,13 @@
         for no in 0..6 {
             let (verdict, displaced) = desk.offer(session, ONE, no);
             ends.extend(displaced.map(|(no, _)| no));
-            if let Verdict::Take(no) = verdict {
+            if let AdmissionDecision::Admit(no) = verdict {
                 ends.push(no);
             }
         }
         ends.extend(desk.answered(session, ONE, false));
         desk.now += LEFT;
-        ends.extend(desk.admission.ring(desk.now, &mut |_| {}).into_iter().map(|(no, _)| no));
+        ends.extend(desk.admission.on_timer(desk.now, &mut |_| {}).into_iter().map(|(no, _)| no));
         ends.sort_unstable();
         assert_eq!(ends, [0, 1, 2, 3, 4, 5]);
         assert_eq!(desk.admission.gate.calls(ONE), 1, "the one with the decisions");
--- a/crates/limits/src/repeats.rs
+++ b/crates/limits/src/answer_cache.rs
@@ -7,11 +7,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::gate::SessionNo;
+use crate::session_limiter::SessionId;
 
 /// What is known of an offer by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat<A> {
+pub enum CachedAnswer<A> {
     /// Not seen lately: a call of its own.
     Fresh,
     /// It was answered so.
@@ -20,15 +20,15 @@
 
 /// The answers of the last offers. At most `most`, each for `span`; the oldest goes first.
 #[derive(Debug)]
-pub struct Repeats<A> {
+pub struct AnswerCache<A> {
     span: Duration,
     most: usize,
-    answers: BTreeMap<(SessionNo, u64), (Duration, A)>,
-    ages: VecDeque<(Duration, (SessionNo, u64))>,
+    answers: BTreeMap<(SessionId, u64), (Duration, A)>,
+    ages: VecDeque<(Duration, (SessionId, u64))>,
     told: u64,
 }
 
-impl<A: Copy> Repeats<A> {
+impl<A: Copy> AnswerCache<A> {
     pub fn new(span: Duration, most: usize) -> Self {
         Self { span, most, answers: BTreeMap::new(), ages: VecDeque::new(), told: 0 }
     }
@@ -47,25 +47,25 @@
     }
 
     /// An offer comes.
-    pub fn offer(&mut self, now: Duration, session: SessionNo, number: u64) -> Repeat<A> {
+    pub fn offer(&mut self, now: Duration, session: SessionId, number: u64) -> CachedAnswer<A> {
         self.forget(now);
         match self.answers.get(&(session, number)) {
             Some((_, answer)) => {
                 self.told += 1;
-                Repeat::Answered(*answer)
+                CachedAnswer::Answered(*answer)
             }
-            None => Repeat::Fresh,
+            None => CachedAnswer::Fresh,
         }
     }
 
     /// What an offer was answered, if it is remembered.
-    pub fn get(&mut self, now: Duration, session: SessionNo, number: u64) -> Option<A> {
+    pub fn get(&mut self, now: Duration, session: SessionId, number: u64) -> Option<A> {
         self.forget(now);
         self.answers.get(&(session, number)).map(|(_, answer)| *answer)
     }
 
     /// An offer has its final answer.
-    pub fn answered(&mut self, now: Duration, session: SessionNo, number: u64, answer: A) {
+    pub fn answered(&mut self, now: Duration, session: SessionId, number: u64, answer: A) {
         self.forget(now);
         if self.most == 0 || self.span.is_zero() {
             return;
@@ -79,7 +79,7 @@
     }
 
     /// The session is over: its numbers mean nothing any more.
-    pub fn over(&mut self, session: SessionNo) {
+    pub fn over(&mut self, session: SessionId) {
         let of = (session, 0)..=(session, u64::MAX);
         let keys: Vec<_> = self.answers.range(of).map(|(key, _)| *key).collect();
         keys.iter().for_each(|key| _ = self.answers.remove(key));
@@ -107,7 +107,7 @@
 mod tests {
     use super::*;
 
-    const ONE: SessionNo = SessionNo(1);
+    const ONE: SessionId = SessionId(1);
 
     fn at(s: u64) -> Duration {
         Duration::from_secs(s)
@@ -115,36 +115,36 @@
 
     #[test]
     fn a_repeat_is_told_the_first_answer_for_a_while_and_then_is_a_call_of_its_own() {
-        let mut repeats = Repeats::new(at(30), 100);
-        assert_eq!(repeats.offer(at(1), ONE, 7), Repeat::Fresh);
+        let mut repeats = AnswerCache::new(at(30), 100);
+        assert_eq!(repeats.offer(at(1), ONE, 7), CachedAnswer::Fresh);
         repeats.answered(at(2), ONE, 7, "stands");
-        assert_eq!(repeats.offer(at(31), ONE, 7), Repeat::Answered("stands"));
-        assert_eq!(repeats.offer(at(31), SessionNo(2), 7), Repeat::Fresh, "another session's number");
-        assert_eq!(repeats.offer(at(32), ONE, 7), Repeat::Fresh);
+        assert_eq!(repeats.offer(at(31), ONE, 7), CachedAnswer::Answered("stands"));
+        assert_eq!(repeats.offer(at(31), SessionId(2), 7), CachedAnswer::Fresh, "another session's number");
+        assert_eq!(repeats.offer(at(32), ONE, 7), CachedAnswer::Fresh);
         assert_eq!((repeats.len(), repeats.told()), (0, 1));
     }
 
     #[test]
     fn memory_is_bounded_by_count_and_freed_with_the_session() {
-        let mut repeats = Repeats::new(at(30), 10);
+        let mut repeats = AnswerCache::new(at(30), 10);
         (0..100).for_each(|number| repeats.answered(at(1), ONE, number, number));
         assert_eq!((repeats.len(), repeats.ages.len()), (10, 10));
-        assert_eq!(repeats.offer(at(2), ONE, 89), Repeat::Fresh);
-        assert_eq!(repeats.offer(at(2), ONE, 90), Repeat::Answered(90));
-        repeats.answered(at(2), SessionNo(2), 1, 1);
+        assert_eq!(repeats.offer(at(2), ONE, 89), CachedAnswer::Fresh);
+        assert_eq!(repeats.offer(at(2), ONE, 90), CachedAnswer::Answered(90));
+        repeats.answered(at(2), SessionId(2), 1, 1);
         repeats.over(ONE);
         assert_eq!((repeats.len(), repeats.ages.len()), (1, 1));
-        let mut none = Repeats::new(Duration::ZERO, 10);
+        let mut none = AnswerCache::new(Duration::ZERO, 10);
         none.answered(at(1), ONE, 1, 1);
         assert!(none.is_empty());
     }
 
     #[test]
     fn a_number_used_again_keeps_its_younger_answer() {
-        let mut repeats = Repeats::new(at(30), 10);
+        let mut repeats = AnswerCache::new(at(30), 10);
         repeats.answered(at(1), ONE, 7, "first");
         repeats.answered(at(20), ONE, 7, "second");
-        assert_eq!(repeats.offer(at(40), ONE, 7), Repeat::Answered("second"));
-        assert_eq!(repeats.offer(at(50), ONE, 7), Repeat::Fresh);
+        assert_eq!(repeats.offer(at(40), ONE, 7), CachedAnswer::Answered("second"));
+        assert_eq!(repeats.offer(at(50), ONE, 7), CachedAnswer::Fresh);
     }
 }
--- a/crates/limits/src/auth.rs
+++ b/crates/limits/src/auth.rs
@@ -13,7 +13,7 @@
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-use crate::news::Sees;
+use crate::event_log::CustomerFilter;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
@@ -60,10 +60,10 @@
     }
 
     /// The customers whose calls it may see.
-    pub fn sees(&self) -> Sees {
+    pub fn sees(&self) -> CustomerFilter {
         match &self.customers {
-            None => Sees::All,
-            Some(customers) => Sees::Only(customers.iter().copied().map(CustomerNo).collect()),
+            None => CustomerFilter::All,
+            Some(customers) => CustomerFilter::Only(customers.iter().copied().map(CustomerNo).collect()),
         }
     }
 
@@ -73,7 +73,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Denied {
+pub enum AuthError {
     #[error("say session.hello with a token first")]
     NoToken,
     #[error("the token is not known")]
@@ -131,7 +131,7 @@
     }
 
     /// The token that somebody presents. All are compared, whichever fits.
-    pub fn present(&self, token: &str) -> Result<&Grant, Denied> {
+    pub fn present(&self, token: &str) -> Result<&Grant, AuthError> {
         let digest = Sha256::digest(token.as_bytes());
         let held = self.held.as_deref().unwrap_or_default();
         let mut found = None;
@@ -140,7 +140,7 @@
                 found = Some(at);
             }
         }
-        found.map(|at| &held[at].1).ok_or(Denied::Unknown)
+        found.map(|at| &held[at].1).ok_or(AuthError::Unknown)
     }
 
     /// The token of a name, if it is in force.
@@ -155,22 +155,22 @@
         name: Option<&str>,
         scope: Scope,
         customer: Option<CustomerNo>,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), AuthError> {
         let Some(held) = &self.held else { return Ok(()) };
-        let name = name.ok_or(Denied::NoToken)?;
-        let (_, grant) = held.iter().find(|(_, grant)| grant.name == name).ok_or(Denied::Withdrawn)?;
+        let name = name.ok_or(AuthError::NoToken)?;
+        let (_, grant) = held.iter().find(|(_, grant)| grant.name == name).ok_or(AuthError::Withdrawn)?;
         if !grant.may(scope) {
-            return Err(Denied::Scope);
+            return Err(AuthError::Scope);
         }
         match customer.filter(|customer| !grant.calls_for(*customer)) {
-            Some(customer) => Err(Denied::Customer(customer.0)),
+            Some(customer) => Err(AuthError::Customer(customer.0)),
             None => Ok(()),
         }
     }
 }
 
 /// What a file holds of a token.
-pub fn digest_text(token: &str) -> String {
+pub fn token_digest(token: &str) -> String {
     Sha256::digest(token.as_bytes()).iter().map(|octet| format!("{octet:02x}")).collect()
 }
 
@@ -196,7 +196,7 @@
     fn entry(name: &str, token: &str, scopes: &[Scope], customers: Option<&[u16]>) -> TokenEntry {
         TokenEntry {
             name: name.into(),
-            sha256: digest_text(token),
+            sha256: token_digest(token),
             scopes: scopes.iter().copied().collect(),
             customers: customers.map(|customers| customers.iter().copied().collect()),
         }
@@ -212,13 +212,13 @@
     fn a_token_allows_its_scopes_and_customers_and_nothing_else() {
         let tokens = two();
         assert_eq!(tokens.present("secret-a").unwrap().name, "apps");
-        assert_eq!(tokens.present("secret-"), Err(Denied::Unknown));
+        assert_eq!(tokens.present("secret-"), Err(AuthError::Unknown));
         let check = |name, scope, customer: u16| tokens.check(name, scope, Some(CustomerNo(customer)));
         assert_eq!(check(Some("apps"), Scope::Offer, 1), Ok(()));
-        assert_eq!(check(Some("apps"), Scope::Offer, 2), Err(Denied::Customer(2)));
-        assert_eq!(check(Some("apps"), Scope::Admin, 1), Err(Denied::Scope));
-        assert_eq!(check(Some("staff"), Scope::Offer, 1), Err(Denied::Scope));
-        assert_eq!(check(None, Scope::Offer, 1), Err(Denied::NoToken));
+        assert_eq!(check(Some("apps"), Scope::Offer, 2), Err(AuthError::Customer(2)));
+        assert_eq!(check(Some("apps"), Scope::Admin, 1), Err(AuthError::Scope));
+        assert_eq!(check(Some("staff"), Scope::Offer, 1), Err(AuthError::Scope));
+        assert_eq!(check(None, Scope::Offer, 1), Err(AuthError::NoToken));
     }
 
     #[test]
@@ -227,10 +227,10 @@
             Tokens::read(&TokenFile { tokens: vec![entry("staff", "secret-s", &[Scope::Watch], None)] })
                 .unwrap();
         assert_eq!(two().check(Some("apps"), Scope::Offer, None), Ok(()));
-        assert_eq!(rest.check(Some("apps"), Scope::Offer, None), Err(Denied::Withdrawn));
+        assert_eq!(rest.check(Some("apps"), Scope::Offer, None), Err(AuthError::Withdrawn));
         assert_eq!(
             rest.check(Some("staff"), Scope::Admin, None),
-            Err(Denied::Scope),
+            Err(AuthError::Scope),
             "and narrowed ones are narrowed"
         );
         assert_eq!(Tokens::open().check(None, Scope::Admin, None), Ok(()));
--- a/crates/limits/src/backlog.rs
+++ b/crates/limits/src/backlog.rs
@@ -10,7 +10,7 @@
 /// The session can't be kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{waiting} texts wait to be said, at most {most} are kept")]
-pub struct Overflow {
+pub struct BacklogFull {
     pub waiting: usize,
     pub most: usize,
 }
@@ -48,13 +48,13 @@
         self.merged
     }
 
-    pub fn answer(&mut self, answer: T) -> Result<(), Overflow> {
+    pub fn answer(&mut self, answer: T) -> Result<(), BacklogFull> {
         self.waiting.push_back(Said::Answer(answer));
         self.check()
     }
 
     /// A notification about a call takes the place of one that still waits.
-    pub fn note(&mut self, call: u64, note: T) -> Result<(), Overflow> {
+    pub fn note(&mut self, call: u64, note: T) -> Result<(), BacklogFull> {
         let before = self.waiting.iter().position(|said| matches!(said, Said::Note(of, _) if *of == call));
         if let Some(before) = before {
             self.waiting.remove(before);
@@ -64,9 +64,9 @@
         self.check()
     }
 
-    fn check(&self) -> Result<(), Overflow> {
+    fn check(&self) -> Result<(), BacklogFull> {
         let (waiting, most) = (self.waiting.len(), self.most);
-        if waiting > most { Err(Overflow { waiting, most }) } else { Ok(()) }
+        if waiting > most { Err(BacklogFull { waiting, most }) } else { Ok(()) }
     }
 
     /// The next to be said.
@@ -90,7 +90,7 @@
         backlog.answer("three fails").unwrap();
         assert_eq!((backlog.len(), backlog.merged()), (3, 1));
         backlog.note(4, "four").unwrap();
-        assert_eq!(backlog.answer("five"), Err(Overflow { waiting: 5, most: 4 }));
+        assert_eq!(backlog.answer("five"), Err(BacklogFull { waiting: 5, most: 4 }));
         assert_eq!(backlog.pop(), Some("two stands"));
         assert_eq!((backlog.pop(), backlog.pop()), (Some("one ended"), Some("three fails")));
     }
--- a/crates/limits/src/book.rs
+++ b/crates/limits/src/call_table.rs
@@ -13,7 +13,7 @@
 
 /// What the server has of a call when a session is taken up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ThereIs {
+pub enum ServerCallState {
     /// Its answer is due.
     Unanswered,
     Standing,
@@ -22,11 +22,11 @@
 /// The client's own number is in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("call {0} is in hand already")]
-pub struct InUse(pub u64);
+pub struct CallNumberInUse(pub u64);
 
 /// What is to be done about calls, each by its number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Settled {
+pub struct ReconciledCalls {
     /// To be sent, with the caller's time as it is now.
     pub send: Vec<u64>,
     /// They stand: their answer was lost on the way.
@@ -55,7 +55,7 @@
 
 /// The calls of one client. Emptied as they end.
 #[derive(Debug)]
-pub struct Book<O> {
+pub struct CallTable<O> {
     calls: BTreeMap<u64, Entry<O>>,
     /// When callers' times are up; only of calls without an answer.
     due: BTreeSet<(Duration, u64)>,
@@ -64,7 +64,7 @@
     grace: Duration,
 }
 
-impl<O> Book<O> {
+impl<O> CallTable<O> {
     /// At most `most` calls at a time.
     pub fn new(most: usize, grace: Duration) -> Self {
         Self { calls: BTreeMap::new(), due: BTreeSet::new(), most, grace }
@@ -100,9 +100,9 @@
         self.due.len()
     }
 
-    pub fn offer(&mut self, number: u64, offer: O, until: Duration) -> Result<(), InUse> {
+    pub fn offer(&mut self, number: u64, offer: O, until: Duration) -> Result<(), CallNumberInUse> {
         if self.calls.contains_key(&number) {
-            return Err(InUse(number));
+            return Err(CallNumberInUse(number));
         }
         self.calls.insert(number, Entry { offer, progress: Progress::ToSend, until });
         self.due.insert((until + self.grace, number));
@@ -150,14 +150,14 @@
 
     /// The session was taken up, and the server has these calls in hand. Calls are settled once what was said meanwhile
     /// has been heard.
-    pub fn taken_up(&mut self, now: Duration, there: &BTreeMap<u64, ThereIs>) -> Settled {
-        let mut settled = Settled::default();
+    pub fn taken_up(&mut self, now: Duration, there: &BTreeMap<u64, ServerCallState>) -> ReconciledCalls {
+        let mut settled = ReconciledCalls::default();
         for (number, entry) in &mut self.calls {
             match (entry.progress, there.get(number)) {
                 (Progress::Stands, Some(_)) => {}
                 (Progress::Stands, None) => settled.over.push(*number),
-                (_, Some(ThereIs::Unanswered)) => entry.progress = Progress::Sent,
-                (_, Some(ThereIs::Standing)) => settled.stand.push(*number),
+                (_, Some(ServerCallState::Unanswered)) => entry.progress = Progress::Sent,
+                (_, Some(ServerCallState::Standing)) => settled.stand.push(*number),
                 (Progress::ToSend, None) if entry.until <= now => settled.lost.push(*number),
                 // With no time left it only asks for the answer that was lost: no call comes of it.
                 (_, None) => settled.send.push(*number),
@@ -167,8 +167,8 @@
     }
 
     /// The session is over, and this is another: what was sent on the old one is lost, and what stood is over.
-    pub fn begun_anew(&mut self, now: Duration) -> Settled {
-        let mut settled = Settled::default();
+    pub fn begun_anew(&mut self, now: Duration) -> ReconciledCalls {
+        let mut settled = ReconciledCalls::default();
         for (number, entry) in &self.calls {
             match entry.progress {
                 Progress::Stands => settled.over.push(*number),
@@ -179,19 +179,19 @@
         self.settle(settled)
     }
 
-    fn settle(&mut self, settled: Settled) -> Settled {
+    fn settle(&mut self, settled: ReconciledCalls) -> ReconciledCalls {
         settled.stand.iter().for_each(|number| _ = self.answered(*number, true));
         settled.over.iter().chain(&settled.lost).for_each(|number| _ = self.over(*number));
         settled
     }
 
-    /// When [`Book::ring`] is next to be called.
-    pub fn next_alarm(&self) -> Option<Duration> {
+    /// When [`CallTable::on_timer`] is next to be called.
+    pub fn next_timer(&self) -> Option<Duration> {
         self.due.first().map(|(due, _)| *due)
     }
 
     /// Calls whose time is up without an answer: lost.
-    pub fn ring(&mut self, now: Duration) -> Vec<u64> {
+    pub fn on_timer(&mut self, now: Duration) -> Vec<u64> {
         let mut lost = Vec::new();
         while let Some((due, number)) = self.due.first().copied()
             && due <= now
@@ -212,8 +212,8 @@
     }
 
     /// Calls 1 to 4, waiting until 10 s: not sent, in doubt, in doubt, standing.
-    fn cut() -> Book<&'static str> {
-        let mut book = Book::new(10, at(1));
+    fn cut() -> CallTable<&'static str> {
+        let mut book = CallTable::new(10, at(1));
         for (number, offer) in [(1, "new"), (2, "sent"), (3, "sent"), (4, "sent")] {
             book.offer(number, offer, at(10)).unwrap();
         }
@@ -225,9 +225,9 @@
 
     #[test]
     fn an_answer_counts_once() {
-        let mut book = Book::new(2, at(1));
+        let mut book = CallTable::new(2, at(1));
         book.offer(1, "", at(10)).unwrap();
-        assert_eq!(book.offer(1, "", at(10)), Err(InUse(1)));
+        assert_eq!(book.offer(1, "", at(10)), Err(CallNumberInUse(1)));
         assert_eq!(
             (book.answered(1, true), book.answered(1, true), book.answered(2, true)),
             (true, false, false)
@@ -240,12 +240,12 @@
     #[test]
     fn a_session_taken_up_settles_what_was_in_doubt() {
         let mut book = cut();
-        let there = [(2, ThereIs::Unanswered), (3, ThereIs::Standing)].into();
+        let there = [(2, ServerCallState::Unanswered), (3, ServerCallState::Standing)].into();
         let settled = book.taken_up(at(2), &there);
-        assert_eq!(settled, Settled { send: vec![1], stand: vec![3], over: vec![4], lost: vec![] });
+        assert_eq!(settled, ReconciledCalls { send: vec![1], stand: vec![3], over: vec![4], lost: vec![] });
         // What is still waited for is lost only when its time is up.
-        assert_eq!((book.next_alarm(), book.ring(at(10))), (Some(at(11)), vec![]));
-        assert_eq!((book.ring(at(11)), book.len()), (vec![1, 2], 1));
+        assert_eq!((book.next_timer(), book.on_timer(at(10))), (Some(at(11)), vec![]));
+        assert_eq!((book.on_timer(at(11)), book.len()), (vec![1, 2], 1));
     }
 
     #[test]
@@ -259,7 +259,10 @@
     fn a_session_that_is_over_took_its_calls_with_it() {
         let mut book = cut();
         let settled = book.begun_anew(at(2));
-        assert_eq!(settled, Settled { send: vec![1], stand: vec![], over: vec![4], lost: vec![2, 3] });
+        assert_eq!(
+            settled,
+            ReconciledCalls { send: vec![1], stand: vec![], over: vec![4], lost: vec![2, 3] }
+        );
         assert_eq!((book.len(), book.unanswered()), (1, 1));
     }
 }
--- a/crates/limits/src/vigil.rs
+++ b/crates/limits/src/connection_monitor.rs
@@ -11,32 +11,32 @@
 
 /// How long each state of a connection may last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct ConnectionTimeouts {
     /// For the opening handshake, and how many may be at it at a time.
-    pub opening: Duration,
-    pub most_opening: usize,
+    pub handshake_timeout: Duration,
+    pub max_handshakes: usize,
     /// Silence after which a sign of life is asked for, and how long it may take.
-    pub quiet: Duration,
-    pub answer: Duration,
+    pub idle_timeout: Duration,
+    pub pong_timeout: Duration,
     /// For the closing handshake.
-    pub closing: Duration,
+    pub close_timeout: Duration,
 }
 
-impl Default for Patience {
+impl Default for ConnectionTimeouts {
     fn default() -> Self {
         Self {
-            opening: Duration::from_secs(5),
-            most_opening: 1_000,
-            quiet: Duration::from_secs(20),
-            answer: Duration::from_secs(10),
-            closing: Duration::from_secs(2),
+            handshake_timeout: Duration::from_secs(5),
+            max_handshakes: 1_000,
+            idle_timeout: Duration::from_secs(20),
+            pong_timeout: Duration::from_secs(10),
+            close_timeout: Duration::from_secs(2),
         }
     }
 }
 
 /// Why a connection is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Lapse {
+pub enum TimeoutCause {
     #[error("has not opened in time")]
     NotOpened,
     #[error("gives no sign of life")]
@@ -47,15 +47,15 @@
 
 /// What is to be done about a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due<K> {
-    AskForLife(K),
-    Drop(K, Lapse),
+pub enum MonitorAction<K> {
+    Ping(K),
+    Drop(K, TimeoutCause),
 }
 
 /// So many are opening already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{0} connections are opening already")]
-pub struct TooManyOpening(pub usize);
+pub struct TooManyHandshakes(pub usize);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
@@ -76,15 +76,15 @@
 
 /// All connections of one kind. Emptied as they go.
 #[derive(Debug)]
-pub struct Vigil<K> {
-    patience: Patience,
+pub struct ConnectionMonitor<K> {
+    patience: ConnectionTimeouts,
     watched: BTreeMap<K, Watched>,
     due: BTreeSet<(Duration, K)>,
     opening: usize,
 }
 
-impl<K: Copy + Ord> Vigil<K> {
-    pub fn new(patience: Patience) -> Self {
+impl<K: Copy + Ord> ConnectionMonitor<K> {
+    pub fn new(patience: ConnectionTimeouts) -> Self {
         Self { patience, watched: BTreeMap::new(), due: BTreeSet::new(), opening: 0 }
     }
 
@@ -102,19 +102,19 @@
     }
 
     /// A connection came in.
-    pub fn came(&mut self, now: Duration, key: K) -> Result<(), TooManyOpening> {
-        if self.opening >= self.patience.most_opening {
-            return Err(TooManyOpening(self.opening));
+    pub fn came(&mut self, now: Duration, key: K) -> Result<(), TooManyHandshakes> {
+        if self.opening >= self.patience.max_handshakes {
+            return Err(TooManyHandshakes(self.opening));
         }
         self.gone(key);
-        self.set(key, State::Opening, now + self.patience.opening);
+        self.set(key, State::Opening, now + self.patience.handshake_timeout);
         Ok(())
     }
 
     /// It has said who it is.
     pub fn opened(&mut self, now: Duration, key: K) {
         if self.watched.get(&key).is_some_and(|watched| watched.state == State::Opening) {
-            self.set(key, State::Open { heard: now }, now + self.patience.quiet);
+            self.set(key, State::Open { heard: now }, now + self.patience.idle_timeout);
         }
     }
 
@@ -123,7 +123,7 @@
         let Some(watched) = self.watched.get_mut(&key) else { return };
         match watched.state {
             State::Open { .. } => watched.state = State::Open { heard: now },
-            State::Asked => self.set(key, State::Open { heard: now }, now + self.patience.quiet),
+            State::Asked => self.set(key, State::Open { heard: now }, now + self.patience.idle_timeout),
             State::Opening | State::Closing => {}
         }
     }
@@ -131,7 +131,7 @@
     /// It was told to close.
     pub fn closing(&mut self, now: Duration, key: K) {
         if self.watched.get(&key).is_some_and(|watched| watched.state != State::Closing) {
-            self.set(key, State::Closing, now + self.patience.closing);
+            self.set(key, State::Closing, now + self.patience.close_timeout);
         }
     }
 
@@ -149,13 +149,13 @@
         self.due.insert((due, key));
     }
 
-    /// When [`Vigil::ring`] is next to be called.
-    pub fn next_alarm(&self) -> Option<Duration> {
+    /// When [`ConnectionMonitor::on_timer`] is next to be called.
+    pub fn next_timer(&self) -> Option<Duration> {
         self.due.first().map(|(due, _)| *due)
     }
 
-    /// What has fallen due. What is to be dropped is still watched until it is [`Vigil::gone`], and told once.
-    pub fn ring(&mut self, now: Duration) -> Vec<Due<K>> {
+    /// What has fallen due. What is to be dropped is still watched until it is [`ConnectionMonitor::gone`], and told once.
+    pub fn on_timer(&mut self, now: Duration) -> Vec<MonitorAction<K>> {
         let mut all = Vec::new();
         while let Some((due, key)) = self.due.first().copied()
             && due <= now
@@ -163,16 +163,16 @@
             self.due.remove(&(due, key));
             let Some(state) = self.watched.get(&key).map(|watched| watched.state) else { continue };
             match state {
-                State::Open { heard } if heard + self.patience.quiet > now => {
-                    self.set(key, state, heard + self.patience.quiet);
+                State::Open { heard } if heard + self.patience.idle_timeout > now => {
+                    self.set(key, state, heard + self.patience.idle_timeout);
                 }
                 State::Open { .. } => {
-                    self.set(key, State::Asked, now + self.patience.answer);
-                    all.push(Due::AskForLife(key));
+                    self.set(key, State::Asked, now + self.patience.pong_timeout);
+                    all.push(MonitorAction::Ping(key));
                 }
-                State::Opening => all.push(Due::Drop(key, Lapse::NotOpened)),
-                State::Asked => all.push(Due::Drop(key, Lapse::Silent)),
-                State::Closing => all.push(Due::Drop(key, Lapse::NotClosed)),
+                State::Opening => all.push(MonitorAction::Drop(key, TimeoutCause::NotOpened)),
+                State::Asked => all.push(MonitorAction::Drop(key, TimeoutCause::Silent)),
+                State::Closing => all.push(MonitorAction::Drop(key, TimeoutCause::NotClosed)),
             }
         }
         all
@@ -187,8 +187,8 @@
         Duration::from_secs(s)
     }
 
-    fn vigil() -> Vigil<u32> {
-        Vigil::new(Patience { most_opening: 2, ..Patience::default() })
+    fn vigil() -> ConnectionMonitor<u32> {
+        ConnectionMonitor::new(ConnectionTimeouts { max_handshakes: 2, ..ConnectionTimeouts::default() })
     }
 
     #[test]
@@ -196,12 +196,12 @@
         let mut vigil = vigil();
         vigil.came(at(1), 1).unwrap();
         vigil.came(at(2), 2).unwrap();
-        assert_eq!(vigil.came(at(2), 3), Err(TooManyOpening(2)));
+        assert_eq!(vigil.came(at(2), 3), Err(TooManyHandshakes(2)));
         vigil.opened(at(2), 2);
         assert_eq!((vigil.opening(), vigil.came(at(3), 3)), (1, Ok(())));
-        assert_eq!(vigil.next_alarm(), Some(at(6)));
-        assert_eq!(vigil.ring(at(6)), [Due::Drop(1, Lapse::NotOpened)]);
-        assert_eq!(vigil.ring(at(7)), [], "told once");
+        assert_eq!(vigil.next_timer(), Some(at(6)));
+        assert_eq!(vigil.on_timer(at(6)), [MonitorAction::Drop(1, TimeoutCause::NotOpened)]);
+        assert_eq!(vigil.on_timer(at(7)), [], "told once");
         vigil.gone(1);
         assert_eq!((vigil.opening(), vigil.len()), (1, 2));
     }
@@ -214,11 +214,14 @@
             vigil.opened(at(0), key);
         }
         vigil.heard(at(19), 2);
-        assert_eq!(vigil.ring(at(20)), [Due::AskForLife(1)]);
-        assert_eq!(vigil.ring(at(39)), [Due::Drop(1, Lapse::Silent), Due::AskForLife(2)]);
+        assert_eq!(vigil.on_timer(at(20)), [MonitorAction::Ping(1)]);
+        assert_eq!(
+            vigil.on_timer(at(39)),
+            [MonitorAction::Drop(1, TimeoutCause::Silent), MonitorAction::Ping(2)]
+        );
         vigil.gone(1);
         vigil.heard(at(40), 2);
-        assert_eq!((vigil.ring(at(59)), vigil.ring(at(60))), (vec![], vec![Due::AskForLife(2)]));
+        assert_eq!((vigil.on_timer(at(59)), vigil.on_timer(at(60))), (vec![], vec![MonitorAction::Ping(2)]));
     }
 
     #[test]
@@ -229,8 +232,8 @@
         vigil.closing(at(1), 1);
         vigil.heard(at(2), 1);
         vigil.closing(at(2), 1);
-        assert_eq!(vigil.ring(at(3)), [Due::Drop(1, Lapse::NotClosed)]);
+        assert_eq!(vigil.on_timer(at(3)), [MonitorAction::Drop(1, TimeoutCause::NotClosed)]);
         vigil.gone(1);
-        assert_eq!((vigil.is_empty(), vigil.next_alarm()), (true, None));
+        assert_eq!((vigil.is_empty(), vigil.next_timer()), (true, None));
     }
 }
--- a/crates/limits/src/news.rs
+++ b/crates/limits/src/event_log.rs
@@ -9,16 +9,16 @@
 use mintstall::host::CustomerNo;
 use thiserror::Error;
 
-use crate::gate::SessionNo;
+use crate::session_limiter::SessionId;
 
 /// Whose calls a watcher may see.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Sees {
+pub enum CustomerFilter {
     All,
     Only(BTreeSet<CustomerNo>),
 }
 
-impl Sees {
+impl CustomerFilter {
     pub fn includes(&self, customer: CustomerNo) -> bool {
         match self {
             Self::All => true,
@@ -38,7 +38,7 @@
 
 /// What a watcher is told in one go.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told<E> {
+pub struct EventBatch<E> {
     /// Events it lagged too far behind to be told, if any: it follows on from the oldest that are kept.
     pub missed: u64,
     pub events: Vec<(u64, E)>,
@@ -47,20 +47,20 @@
 #[derive(Debug)]
 struct Watcher {
     next: u64,
-    sees: Sees,
+    sees: CustomerFilter,
 }
 
 /// The last events, and who watches. At most `most` events; watchers leave with their sessions.
 #[derive(Debug)]
-pub struct News<E> {
+pub struct EventLog<E> {
     most: usize,
     /// The number of the first that is kept.
     first: u64,
     kept: VecDeque<(CustomerNo, E)>,
-    watchers: BTreeMap<SessionNo, Watcher>,
+    watchers: BTreeMap<SessionId, Watcher>,
 }
 
-impl<E: Clone> News<E> {
+impl<E: Clone> EventLog<E> {
     pub fn new(most: usize) -> Self {
         Self { most: most.max(1), first: 1, kept: VecDeque::new(), watchers: BTreeMap::new() }
     }
@@ -84,7 +84,12 @@
     }
 
     /// A session watches from a cursor on (the next event, where none is given); returns its cursor.
-    pub fn watch(&mut self, session: SessionNo, cursor: Option<u64>, sees: Sees) -> Result<u64, CursorError> {
+    pub fn watch(
+        &mut self,
+        session: SessionId,
+        cursor: Option<u64>,
+        sees: CustomerFilter,
+    ) -> Result<u64, CursorError> {
         let (oldest, next) = (self.first, self.upcoming());
         let cursor = match cursor {
             None => next,
@@ -96,20 +101,20 @@
         Ok(cursor)
     }
 
-    pub fn leave(&mut self, session: SessionNo) {
+    pub fn leave(&mut self, session: SessionId) {
         self.watchers.remove(&session);
     }
 
     /// Sessions that have not been told all that there is.
-    pub fn behind(&self) -> Vec<SessionNo> {
+    pub fn behind(&self) -> Vec<SessionId> {
         let next = self.upcoming();
         self.watchers.iter().filter(|(_, watcher)| watcher.next < next).map(|(session, _)| *session).collect()
     }
 
     /// What a watcher is told now, at most so many events. What it may not see is passed over without a word.
-    pub fn tell(&mut self, session: SessionNo, room: usize) -> Told<E> {
+    pub fn tell(&mut self, session: SessionId, room: usize) -> EventBatch<E> {
         let (first, end) = (self.first, self.upcoming());
-        let mut told = Told { missed: 0, events: Vec::new() };
+        let mut told = EventBatch { missed: 0, events: Vec::new() };
         let Some(watcher) = self.watchers.get_mut(&session) else { return told };
         if watcher.next < first {
             told.missed = first - watcher.next;
@@ -132,36 +137,36 @@
 mod tests {
     use super::*;
 
-    const ONE: SessionNo = SessionNo(1);
+    const ONE: SessionId = SessionId(1);
 
-    fn news(most: usize, events: u64) -> News<u64> {
-        let mut news = News::new(most);
+    fn news(most: usize, events: u64) -> EventLog<u64> {
+        let mut news = EventLog::new(most);
         (1..=events).for_each(|event| news.push(CustomerNo(event as u16 % 2), event));
         news
     }
 
-    fn numbers(told: &Told<u64>) -> Vec<u64> {
+    fn numbers(told: &EventBatch<u64>) -> Vec<u64> {
         told.events.iter().map(|(number, _)| *number).collect()
     }
 
     #[test]
     fn a_watcher_follows_on_from_its_cursor_as_it_has_room() {
         let mut news = news(100, 10);
-        assert_eq!(news.watch(ONE, Some(4), Sees::All), Ok(4));
+        assert_eq!(news.watch(ONE, Some(4), CustomerFilter::All), Ok(4));
         assert_eq!(numbers(&news.tell(ONE, 3)), [4, 5, 6]);
         assert_eq!(news.behind(), [ONE]);
         assert_eq!(numbers(&news.tell(ONE, 100)), [7, 8, 9, 10]);
-        assert_eq!((news.behind(), news.watch(SessionNo(2), None, Sees::All)), (vec![], Ok(11)));
+        assert_eq!((news.behind(), news.watch(SessionId(2), None, CustomerFilter::All)), (vec![], Ok(11)));
         news.push(CustomerNo(0), 11);
-        assert_eq!((numbers(&news.tell(ONE, 9)), numbers(&news.tell(SessionNo(2), 9))), (vec![11], vec![11]));
+        assert_eq!((numbers(&news.tell(ONE, 9)), numbers(&news.tell(SessionId(2), 9))), (vec![11], vec![11]));
     }
 
     #[test]
     fn a_gap_is_said_at_the_start_and_on_the_way() {
         let mut news = news(5, 10);
-        assert_eq!(news.watch(ONE, Some(5), Sees::All), Err(CursorError::Gap { oldest: 6 }));
-        assert_eq!(news.watch(ONE, Some(12), Sees::All), Err(CursorError::Ahead { next: 11 }));
-        assert_eq!(news.watch(ONE, Some(6), Sees::All), Ok(6));
+        assert_eq!(news.watch(ONE, Some(5), CustomerFilter::All), Err(CursorError::Gap { oldest: 6 }));
+        assert_eq!(news.watch(ONE, Some(12), CustomerFilter::All), Err(CursorError::Ahead { next: 11 }));
+        assert_eq!(news.watch(ONE, Some(6), CustomerFilter::All), Ok(6));
         (11..=13).for_each(|event| news.push(CustomerNo(0), event));
         let told = news.tell(ONE, 100);
         assert_eq!((told.missed, numbers(&told)), (3, vec![9, 10, 11, 12, 13]));
@@ -170,7 +175,7 @@
     #[test]
     fn what_a_token_may_not_see_is_not_told_and_does_not_hold_the_rest_up() {
         let mut news = news(100, 10);
-        let odd = Sees::Only([CustomerNo(1)].into());
+        let odd = CustomerFilter::Only([CustomerNo(1)].into());
         news.watch(ONE, Some(1), odd).unwrap();
         assert_eq!(numbers(&news.tell(ONE, 3)), [1, 3, 5]);
         assert_eq!(numbers(&news.tell(ONE, 9)), [7, 9]);
--- a/crates/limits/src/turns.rs
+++ b/crates/limits/src/fair_queue.rs
@@ -26,10 +26,10 @@
 
 /// What had to go because too much waits.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Displaced<T>(pub T);
+pub struct Evicted<T>(pub T);
 
 #[derive(Debug)]
-pub struct Turns<T> {
+pub struct FairQueue<T> {
     most: usize,
     count: usize,
     /// Shares that were told; others count as one.
@@ -39,7 +39,7 @@
     round: VecDeque<CustomerNo>,
 }
 
-impl<T> Turns<T> {
+impl<T> FairQueue<T> {
     pub fn new(most: usize, shares: BTreeMap<CustomerNo, f64>) -> Self {
         let shares: BTreeMap<_, _> = shares.into_iter().filter(|(_, s)| s.is_finite() && *s > 0.0).collect();
         // In units of the smallest, none below a thousandth of the greatest: a round pays for at least one offer then.
@@ -58,13 +58,7 @@
     }
 
     /// Waits for its turn until a time; `cost` is in the unit of shares, at least a thousandth.
-    pub fn push(
-        &mut self,
-        customer: CustomerNo,
-        cost: f64,
-        until: Duration,
-        item: T,
-    ) -> Option<Displaced<T>> {
+    pub fn push(&mut self, customer: CustomerNo, cost: f64, until: Duration, item: T) -> Option<Evicted<T>> {
         let share = self.shares.get(&customer).copied().unwrap_or(1.0);
         let line = self.lines.entry(customer).or_insert_with(|| {
             self.round.push_back(customer);
@@ -89,7 +83,7 @@
         line.cost -= gone.cost;
         self.count -= 1;
         self.drop_empty(longest);
-        Some(Displaced(gone.item))
+        Some(Evicted(gone.item))
     }
 
     /// Who is next.
@@ -181,7 +175,7 @@
 
     #[test]
     fn customers_are_served_by_their_shares_however_much_each_asks_for() {
-        let mut turns = Turns::new(100_000, shares(&[(1, 3.0), (2, 1.0)]));
+        let mut turns = FairQueue::new(100_000, shares(&[(1, 3.0), (2, 1.0)]));
         for no in 0..4000 {
             turns.push(CustomerNo(1), 1.0, LATE, (1, no));
             (0..5).for_each(|_| _ = turns.push(CustomerNo(2), 1.0, LATE, (2, no)));
@@ -193,7 +187,7 @@
 
     #[test]
     fn one_that_is_alone_gets_all() {
-        let mut turns = Turns::new(100, shares(&[(1, 0.01)]));
+        let mut turns = FairQueue::new(100, shares(&[(1, 0.01)]));
         (0..50).for_each(|no| _ = turns.push(CustomerNo(1), 1.0, LATE, no));
         assert_eq!((0..50).map(|_| turns.pop()).collect::<Vec<_>>(), (0..50).map(Some).collect::<Vec<_>>());
         assert!(turns.pop().is_none() && turns.lines.is_empty() && turns.round.is_empty());
@@ -201,16 +195,16 @@
 
     #[test]
     fn the_greedy_one_loses_its_newest_not_the_one_who_comes_last() {
-        let mut turns = Turns::new(10, BTreeMap::new());
+        let mut turns = FairQueue::new(10, BTreeMap::new());
         (0..9).for_each(|no| assert!(turns.push(CustomerNo(1), 1.0, LATE, ("greedy", no)).is_none()));
         assert_eq!(turns.push(CustomerNo(2), 1.0, LATE, ("quiet", 0)), None);
-        assert_eq!(turns.push(CustomerNo(2), 1.0, LATE, ("quiet", 1)), Some(Displaced(("greedy", 8))));
+        assert_eq!(turns.push(CustomerNo(2), 1.0, LATE, ("quiet", 1)), Some(Evicted(("greedy", 8))));
         assert_eq!(turns.len(), 10);
     }
 
     #[test]
     fn what_has_waited_too_long_goes_and_the_rest_stays_in_order() {
-        let mut turns = Turns::new(10, BTreeMap::new());
+        let mut turns = FairQueue::new(10, BTreeMap::new());
         let at = Duration::from_secs;
         (0..6).for_each(|no| _ = turns.push(CustomerNo(no as u16 % 2), 1.0, at(10 - no), no));
         assert_eq!(turns.next_expiry(), Some(at(5)));
@@ -222,7 +216,7 @@
     proptest! {
         #[test]
         fn nothing_is_lost_or_served_twice(pushes in proptest::collection::vec((0u16..6, 1u32..9, 1u64..50), 0..200)) {
-            let mut turns = Turns::new(64, shares(&[(0, 2.0), (1, 0.3), (2, 7.0)]));
+            let mut turns = FairQueue::new(64, shares(&[(0, 2.0), (1, 0.3), (2, 7.0)]));
             let mut seen = Vec::new();
             for (no, (customer, cost, until)) in pushes.iter().enumerate() {
                 let displaced = turns.push(CustomerNo(*customer), f64::from(*cost), Duration::from_secs(*until), no);
--- a/crates/limits/src/resume.rs
+++ b/crates/limits/src/resumable_sessions.rs
@@ -9,7 +9,7 @@
 
 use thiserror::Error;
 
-use crate::gate::SessionNo;
+use crate::session_limiter::SessionId;
 
 /// Drawn at random by whoever opens the session; 128 bits, so that none is guessed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -24,11 +24,11 @@
 
 /// What becomes of a session whose connection is gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum DisconnectOutcome {
     /// It is over at once.
     Over,
     /// It is kept until then; these others had to go for it, the oldest first.
-    Kept { until: Duration, displaced: Vec<SessionNo> },
+    Kept { until: Duration, displaced: Vec<SessionId> },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -55,17 +55,17 @@
 
 /// Sessions that may be resumed. Emptied as they end; those that are cut by time too.
 #[derive(Debug)]
-pub struct Resumable {
+pub struct ResumableSessions {
     span: Duration,
     most_cut: usize,
-    known: BTreeMap<SessionNo, Known>,
-    keys: BTreeMap<SessionKey, SessionNo>,
+    known: BTreeMap<SessionId, Known>,
+    keys: BTreeMap<SessionKey, SessionId>,
     /// Cut sessions, oldest first; may name some that were resumed or are over.
-    cut: VecDeque<(Duration, SessionNo)>,
+    cut: VecDeque<(Duration, SessionId)>,
     cut_count: usize,
 }
 
-impl Resumable {
+impl ResumableSessions {
     /// Kept for `span` after a cut, at most `most_cut` at a time.
     pub fn new(span: Duration, most_cut: usize) -> Self {
         let (known, keys) = (BTreeMap::new(), BTreeMap::new());
@@ -82,21 +82,21 @@
     }
 
     /// A session asks to be resumable, under a key that was just drawn.
-    pub fn register(&mut self, session: SessionNo, key: SessionKey, owner: Option<String>) {
+    pub fn register(&mut self, session: SessionId, key: SessionKey, owner: Option<String>) {
         self.forget(session);
         self.keys.insert(key, session);
         self.known.insert(session, Known { key, owner, state: State::Open });
     }
 
     /// Its connection is gone.
-    pub fn cut(&mut self, now: Duration, session: SessionNo) -> Fate {
+    pub fn cut(&mut self, now: Duration, session: SessionId) -> DisconnectOutcome {
         let until = now + self.span;
         let Some(known) = self.known.get_mut(&session).filter(|known| known.state == State::Open) else {
-            return Fate::Over;
+            return DisconnectOutcome::Over;
         };
         if self.most_cut == 0 {
             self.forget(session);
-            return Fate::Over;
+            return DisconnectOutcome::Over;
         }
         known.state = State::Cut { until };
         self.cut.push_back((until, session));
@@ -105,7 +105,7 @@
         while self.cut_count > self.most_cut {
             displaced.extend(self.oldest());
         }
-        Fate::Kept { until, displaced }
+        DisconnectOutcome::Kept { until, displaced }
     }
 
     /// Somebody comes back for a session. Its connection may still be open for all that is known here: whoever lost it
@@ -115,7 +115,7 @@
         now: Duration,
         key: SessionKey,
         owner: Option<&str>,
-    ) -> Result<SessionNo, ResumeError> {
+    ) -> Result<SessionId, ResumeError> {
         let session = *self.keys.get(&key).ok_or(ResumeError::Unknown)?;
         let known = self.known.get_mut(&session).ok_or(ResumeError::Unknown)?;
         if known.owner.as_deref() != owner {
@@ -133,21 +133,21 @@
     }
 
     /// The session is over.
-    pub fn forget(&mut self, session: SessionNo) {
+    pub fn forget(&mut self, session: SessionId) {
         if let Some(known) = self.known.remove(&session) {
             self.keys.remove(&known.key);
             self.cut_count -= usize::from(known.state != State::Open);
         }
     }
 
-    /// When [`Resumable::expired`] is next to be asked.
-    pub fn next_alarm(&self) -> Option<Duration> {
-        let live = |(until, session): &&(Duration, SessionNo)| self.is_cut(*session, *until);
+    /// When [`ResumableSessions::expired`] is next to be asked.
+    pub fn next_timer(&self) -> Option<Duration> {
+        let live = |(until, session): &&(Duration, SessionId)| self.is_cut(*session, *until);
         self.cut.iter().find(live).map(|(until, _)| *until)
     }
 
     /// Sessions that nobody came back for; they are over.
-    pub fn expired(&mut self, now: Duration) -> Vec<SessionNo> {
+    pub fn expired(&mut self, now: Duration) -> Vec<SessionId> {
         let mut over = Vec::new();
         while self.cut.front().is_some_and(|(until, session)| *until <= now || !self.is_cut(*session, *until))
         {
@@ -156,12 +156,12 @@
         over
     }
 
-    fn is_cut(&self, session: SessionNo, until: Duration) -> bool {
+    fn is_cut(&self, session: SessionId, until: Duration) -> bool {
         self.known.get(&session).is_some_and(|known| known.state == State::Cut { until })
     }
 
     /// Takes the oldest cut off; none where that was resumed or is over already.
-    fn oldest(&mut self) -> Option<SessionNo> {
+    fn oldest(&mut self) -> Option<SessionId> {
         let (until, session) = self.cut.pop_front()?;
         self.is_cut(session, until).then(|| self.forget(session)).map(|()| session)
     }
@@ -177,9 +177,9 @@
         Duration::from_secs(s)
     }
 
-    fn one() -> Resumable {
-        let mut sessions = Resumable::new(SPAN, 2);
-        sessions.register(SessionNo(1), SessionKey(11), Some("apps".into()));
+    fn one() -> ResumableSessions {
+        let mut sessions = ResumableSessions::new(SPAN, 2);
+        sessions.register(SessionId(1), SessionKey(11), Some("apps".into()));
         sessions
     }
 
@@ -188,55 +188,61 @@
         let mut sessions = one();
         assert_eq!(
             sessions.resume(at(1), SessionKey(11), Some("apps")),
-            Ok(SessionNo(1)),
+            Ok(SessionId(1)),
             "open still, for all that is known here"
         );
-        assert_eq!(sessions.cut(at(1), SessionNo(1)), Fate::Kept { until: at(31), displaced: vec![] });
+        assert_eq!(
+            sessions.cut(at(1), SessionId(1)),
+            DisconnectOutcome::Kept { until: at(31), displaced: vec![] }
+        );
         assert_eq!(sessions.resume(at(2), SessionKey(12), Some("apps")), Err(ResumeError::Unknown));
         assert_eq!(sessions.resume(at(2), SessionKey(11), None), Err(ResumeError::NotYours));
-        assert_eq!(sessions.resume(at(2), SessionKey(11), Some("apps")), Ok(SessionNo(1)));
-        assert_eq!((sessions.kept(), sessions.next_alarm()), (0, None));
+        assert_eq!(sessions.resume(at(2), SessionKey(11), Some("apps")), Ok(SessionId(1)));
+        assert_eq!((sessions.kept(), sessions.next_timer()), (0, None));
         assert_eq!(sessions.expired(at(99)), []);
     }
 
     #[test]
     fn one_that_nobody_comes_back_for_is_over_once() {
         let mut sessions = one();
-        sessions.cut(at(1), SessionNo(1));
-        assert_eq!(sessions.next_alarm(), Some(at(31)));
+        sessions.cut(at(1), SessionId(1));
+        assert_eq!(sessions.next_timer(), Some(at(31)));
         assert_eq!(sessions.expired(at(30)), []);
         assert_eq!(
             sessions.resume(at(31), SessionKey(11), Some("apps")),
             Err(ResumeError::Unknown),
             "too late"
         );
-        assert_eq!(sessions.expired(at(31)), [SessionNo(1)]);
+        assert_eq!(sessions.expired(at(31)), [SessionId(1)]);
         assert_eq!((sessions.expired(at(32)), sessions.known.len(), sessions.keys.len()), (vec![], 0, 0));
     }
 
     #[test]
     fn cut_again_after_resuming_counts_from_the_second_cut() {
         let mut sessions = one();
-        sessions.cut(at(1), SessionNo(1));
+        sessions.cut(at(1), SessionId(1));
         sessions.resume(at(20), SessionKey(11), Some("apps")).unwrap();
-        sessions.cut(at(25), SessionNo(1));
-        assert_eq!((sessions.expired(at(40)), sessions.next_alarm()), (vec![], Some(at(55))));
+        sessions.cut(at(25), SessionId(1));
+        assert_eq!((sessions.expired(at(40)), sessions.next_timer()), (vec![], Some(at(55))));
     }
 
     #[test]
     fn too_many_cut_sessions_displace_the_oldest() {
-        let mut sessions = Resumable::new(SPAN, 2);
-        (1..=4).for_each(|no| sessions.register(SessionNo(no), SessionKey(no.into()), None));
-        sessions.cut(at(1), SessionNo(1));
-        sessions.cut(at(2), SessionNo(2));
+        let mut sessions = ResumableSessions::new(SPAN, 2);
+        (1..=4).for_each(|no| sessions.register(SessionId(no), SessionKey(no.into()), None));
+        sessions.cut(at(1), SessionId(1));
+        sessions.cut(at(2), SessionId(2));
+        assert_eq!(
+            sessions.cut(at(3), SessionId(3)),
+            DisconnectOutcome::Kept { until: at(33), displaced: vec![SessionId(1)] }
+        );
+        sessions.forget(SessionId(2));
         assert_eq!(
-            sessions.cut(at(3), SessionNo(3)),
-            Fate::Kept { until: at(33), displaced: vec![SessionNo(1)] }
+            sessions.cut(at(4), SessionId(4)),
+            DisconnectOutcome::Kept { until: at(34), displaced: vec![] }
         );
-        sessions.forget(SessionNo(2));
-        assert_eq!(sessions.cut(at(4), SessionNo(4)), Fate::Kept { until: at(34), displaced: vec![] });
         assert_eq!(sessions.kept(), 2);
-        assert_eq!(sessions.cut(at(5), SessionNo(9)), Fate::Over, "never asked to be kept");
+        assert_eq!(sessions.cut(at(5), SessionId(9)), DisconnectOutcome::Over, "never asked to be kept");
         assert_eq!(format!("{:?}", SessionKey(u128::MAX)), "SessionKey(ffff..)");
     }
 }
--- a/crates/limits/src/comeback.rs
+++ b/crates/limits/src/retry.rs
@@ -10,7 +10,7 @@
 
 /// A connection that is dialled anew.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ComeBackPlan {
+pub struct ReconnectPolicy {
     /// The wait after the first failure, doubled with each up to the last; each is drawn from the upper half of it.
     pub first: Duration,
     pub last: Duration,
@@ -18,7 +18,7 @@
     pub steady: Duration,
 }
 
-impl Default for ComeBackPlan {
+impl Default for ReconnectPolicy {
     fn default() -> Self {
         Self {
             first: Duration::from_millis(100),
@@ -29,8 +29,8 @@
 }
 
 #[derive(Debug)]
-pub struct ComeBack {
-    plan: ComeBackPlan,
+pub struct ReconnectBackoff {
+    plan: ReconnectPolicy,
     chance: Chance,
     failures: u32,
     opened: Option<Duration>,
@@ -38,8 +38,8 @@
     lost: Option<Duration>,
 }
 
-impl ComeBack {
-    pub fn new(plan: ComeBackPlan, seed: u64) -> Self {
+impl ReconnectBackoff {
+    pub fn new(plan: ReconnectPolicy, seed: u64) -> Self {
         Self { plan, chance: Chance::new(seed), failures: 0, opened: None, lost: None }
     }
 
@@ -72,7 +72,7 @@
 
 /// Calls that are offered again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RedialPlan {
+pub struct RedialPolicy {
     /// Offers of one call, the first among them.
     pub offers: u8,
     /// The wait before the second, doubled with each further one.
@@ -84,7 +84,7 @@
     pub least_left: Duration,
 }
 
-impl Default for RedialPlan {
+impl Default for RedialPolicy {
     fn default() -> Self {
         Self {
             offers: 3,
@@ -98,7 +98,7 @@
 
 /// Why a call is not offered again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NotAgain {
+pub enum RedialDenied {
     #[error("it was offered {0} times")]
     Offers(u8),
     #[error("its caller's time would be up")]
@@ -108,14 +108,14 @@
 }
 
 #[derive(Debug)]
-pub struct Redial {
-    plan: RedialPlan,
+pub struct RedialBudget {
+    plan: RedialPolicy,
     chance: Chance,
     saved: f64,
 }
 
-impl Redial {
-    pub fn new(plan: RedialPlan, seed: u64) -> Self {
+impl RedialBudget {
+    pub fn new(plan: RedialPolicy, seed: u64) -> Self {
         Self { plan, chance: Chance::new(seed), saved: plan.most_saved.min(SAVED_AT_START) }
     }
 
@@ -132,19 +132,19 @@
         until: Duration,
         offers: u8,
         told: Option<Duration>,
-    ) -> Result<Duration, NotAgain> {
+    ) -> Result<Duration, RedialDenied> {
         if offers >= self.plan.offers {
-            return Err(NotAgain::Offers(offers));
+            return Err(RedialDenied::Offers(offers));
         }
         let grown = self.plan.first.saturating_mul(1 << u32::from(offers.saturating_sub(1)).min(16));
         let drawn = grown.mul_f64(0.5 + 0.5 * self.chance.below_one());
         // All callers are told alike: they spread behind what they were told.
         let at = now + told.map_or(drawn, |told| told + drawn);
         if at + self.plan.least_left > until {
-            return Err(NotAgain::Time);
+            return Err(RedialDenied::Time);
         }
         if self.saved < 1.0 {
-            return Err(NotAgain::Credit);
+            return Err(RedialDenied::Credit);
         }
         self.saved -= 1.0;
         Ok(at)
@@ -163,7 +163,7 @@
 
     #[test]
     fn a_session_that_is_kept_is_come_back_for_in_time_however_often_it_was_cut() {
-        let mut back = ComeBack::new(ComeBackPlan::default(), 7);
+        let mut back = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
         (0..10).for_each(|_| _ = back.failed(ms(0), None, NONE));
         back.opened(ms(100));
         let (mut now, mut tries) = (ms(200), 0);
@@ -177,20 +177,20 @@
 
     #[test]
     fn waits_grow_to_the_last_and_a_told_wait_is_kept() {
-        let mut back = ComeBack::new(ComeBackPlan::default(), 7);
+        let mut back = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
         let waits: Vec<_> = (0..12).map(|_| back.failed(ms(0), None, NONE)).collect();
         for (no, wait) in waits.iter().enumerate() {
             let whole = ms(100 * (1 << no.min(20))).min(ms(10_000));
             assert!(*wait >= whole / 2 && *wait <= whole, "{no}: {wait:?}");
         }
-        let mut back = ComeBack::new(ComeBackPlan::default(), 7);
+        let mut back = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
         let told = back.failed(ms(0), Some(ms(3000)), NONE);
         assert!(told >= ms(3050) && told <= ms(3100), "{told:?}");
     }
 
     #[test]
     fn only_a_connection_that_held_makes_failures_forgotten() {
-        let mut back = ComeBack::new(ComeBackPlan::default(), 7);
+        let mut back = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
         (0..8).for_each(|_| _ = back.failed(ms(0), None, NONE));
         back.opened(ms(0));
         assert!(back.failed(ms(500), None, NONE) - ms(500) >= ms(5000), "it flaps");
@@ -202,7 +202,9 @@
     fn clients_that_failed_together_do_not_return_together() {
         let at: std::collections::BTreeSet<_> = (0..100)
             .map(|seed| {
-                ComeBack::new(ComeBackPlan::default(), seed).failed(ms(0), Some(ms(1000)), NONE).as_millis()
+                ReconnectBackoff::new(ReconnectPolicy::default(), seed)
+                    .failed(ms(0), Some(ms(1000)), NONE)
+                    .as_millis()
             })
             .collect();
         assert!(at.len() > 20, "{}", at.len());
@@ -210,23 +212,23 @@
 
     #[test]
     fn a_call_is_offered_again_within_its_time_and_number_and_after_the_told_wait() {
-        let mut redial = Redial::new(RedialPlan::default(), 1);
+        let mut redial = RedialBudget::new(RedialPolicy::default(), 1);
         let at = redial.again(ms(0), ms(3000), 1, Some(ms(900))).unwrap();
         assert!(at >= ms(900 + 125) && at <= ms(900 + 250), "{at:?}");
         assert!(redial.again(ms(0), ms(3000), 1, None).unwrap() >= ms(125));
-        assert_eq!(redial.again(ms(0), ms(3000), 3, None), Err(NotAgain::Offers(3)));
-        assert_eq!(redial.again(ms(0), ms(1000), 1, Some(ms(900))), Err(NotAgain::Time));
+        assert_eq!(redial.again(ms(0), ms(3000), 3, None), Err(RedialDenied::Offers(3)));
+        assert_eq!(redial.again(ms(0), ms(1000), 1, Some(ms(900))), Err(RedialDenied::Time));
     }
 
     #[test]
     fn what_is_offered_again_is_paid_for_by_first_offers() {
-        let plan = RedialPlan { most_saved: 2.0, earned: 0.25, ..RedialPlan::default() };
-        let mut redial = Redial::new(plan, 1);
+        let plan = RedialPolicy { most_saved: 2.0, earned: 0.25, ..RedialPolicy::default() };
+        let mut redial = RedialBudget::new(plan, 1);
         let mut again = || redial.again(ms(0), ms(9000), 1, None).is_ok();
         assert_eq!([again(), again(), again()], [true, true, false]);
         (0..4).for_each(|_| redial.first_offer());
         assert!(redial.again(ms(0), ms(9000), 1, None).is_ok());
-        assert_eq!(redial.again(ms(0), ms(9000), 1, None), Err(NotAgain::Credit));
+        assert_eq!(redial.again(ms(0), ms(9000), 1, None), Err(RedialDenied::Credit));
         (0..100).for_each(|_| redial.first_offer());
         let again = (0..5).filter(|_| redial.again(ms(0), ms(9000), 1, None).is_ok()).count();
         assert_eq!(again, 2, "no more than may be saved");
--- a/crates/limits/src/gate.rs
+++ b/crates/limits/src/session_limiter.rs
@@ -7,11 +7,11 @@
 use mintstall::host::CustomerNo;
 use thiserror::Error;
 
-use crate::bucket::Bucket;
+use crate::token_bucket::TokenBucket;
 
 /// One connection on which calls are asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SessionNo(pub u64);
+pub struct SessionId(pub u64);
 
 /// What may be in hand, and how fast it may come.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -55,47 +55,47 @@
     }
 }
 
-/// Why something was not let in. `come_back`: when it may be, jittered so that those refused do not return together.
+/// Why something was not let in. `retry_after`: when it may be, jittered so that those refused do not return together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum AdmissionError {
     #[error("no such session")]
     NoSession,
-    #[error("too fast on this session, come back in {} ms", .come_back.as_millis() + 1)]
-    TooFast { come_back: Duration },
+    #[error("too fast on this session, come back in {} ms", .retry_after.as_millis() + 1)]
+    RateLimited { retry_after: Duration },
     #[error("{most} calls are in hand on this session")]
     SessionCalls { most: usize },
     #[error("{most} calls are in hand for this customer")]
     CustomerCalls { most: usize },
     #[error("more calls are offered than can be worked on")]
-    Pressed { come_back: Duration },
+    Overloaded { retry_after: Duration },
 }
 
 /// What becomes of a connection that wants to be a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opening {
-    Open(SessionNo),
+pub enum OpenOutcome {
+    Open(SessionId),
     /// Too many open at once: to be looked at again after this.
-    Later(Duration),
+    RateLimited(Duration),
     Full,
 }
 
 #[derive(Debug)]
 struct Session {
-    offers: Bucket,
-    requests: Bucket,
+    offers: TokenBucket,
+    requests: TokenBucket,
     /// Calls in hand by customer. Emptied as calls end.
     calls: BTreeMap<CustomerNo, usize>,
 }
 
 /// Who is there and what they have in hand.
 #[derive(Debug)]
-pub struct Gate {
+pub struct SessionLimiter {
     limits: Limits,
     chance: Chance,
-    opens: Bucket,
+    opens: TokenBucket,
     next: u64,
     /// Emptied as sessions close; at most `limits.sessions`.
-    sessions: BTreeMap<SessionNo, Session>,
+    sessions: BTreeMap<SessionId, Session>,
     /// Calls in hand. Emptied as calls end.
     customers: BTreeMap<CustomerNo, usize>,
 }
@@ -103,10 +103,10 @@
 /// Those told to come back do so within this share more than the least.
 const SPREAD: f64 = 0.5;
 
-impl Gate {
+impl SessionLimiter {
     pub fn new(now: Duration, limits: Limits, seed: u64) -> Self {
         Self {
-            opens: Bucket::new(now, limits.opens_per_s, limits.opens_at_once),
+            opens: TokenBucket::new(now, limits.opens_per_s, limits.opens_at_once),
             limits,
             chance: Chance::new(seed),
             next: 0,
@@ -127,40 +127,47 @@
         self.customers.get(&customer).copied().unwrap_or(0)
     }
 
-    pub fn open(&mut self, now: Duration) -> Opening {
+    pub fn open(&mut self, now: Duration) -> OpenOutcome {
         if self.sessions.len() >= self.limits.sessions {
-            return Opening::Full;
+            return OpenOutcome::Full;
         }
         if let Err(wait) = self.opens.take(now) {
-            return Opening::Later(wait);
+            return OpenOutcome::RateLimited(wait);
         }
         self.next += 1;
-        let no = SessionNo(self.next);
-        let offers = Bucket::new(now, self.limits.offers_per_s, self.limits.offers_at_once);
-        let requests = Bucket::new(now, self.limits.requests_per_s, self.limits.requests_at_once);
+        let no = SessionId(self.next);
+        let offers = TokenBucket::new(now, self.limits.offers_per_s, self.limits.offers_at_once);
+        let requests = TokenBucket::new(now, self.limits.requests_per_s, self.limits.requests_at_once);
         self.sessions.insert(no, Session { offers, requests, calls: BTreeMap::new() });
-        Opening::Open(no)
+        OpenOutcome::Open(no)
     }
 
     /// A request of any kind: read, or turned down with the wait until the next is.
-    pub fn request(&mut self, now: Duration, session: SessionNo) -> Result<(), Refusal> {
-        let held = self.sessions.get_mut(&session).ok_or(Refusal::NoSession)?;
-        held.requests.take(now).map_err(|wait| Refusal::TooFast { come_back: self.spread(wait) })
+    pub fn request(&mut self, now: Duration, session: SessionId) -> Result<(), AdmissionError> {
+        let held = self.sessions.get_mut(&session).ok_or(AdmissionError::NoSession)?;
+        held.requests
+            .take(now)
+            .map_err(|wait| AdmissionError::RateLimited { retry_after: self.with_jitter(wait) })
     }
 
-    /// An offer: taken in hand, or refused. What is taken is given back by [`Gate::over`].
-    pub fn offer(&mut self, now: Duration, session: SessionNo, customer: CustomerNo) -> Result<(), Refusal> {
+    /// An offer: taken in hand, or refused. What is taken is given back by [`SessionLimiter::over`].
+    pub fn offer(
+        &mut self,
+        now: Duration,
+        session: SessionId,
+        customer: CustomerNo,
+    ) -> Result<(), AdmissionError> {
         let (in_session, in_all) = (self.limits.calls_a_session, self.limits.calls_a_customer);
         let of_customer = self.calls(customer);
-        let held = self.sessions.get_mut(&session).ok_or(Refusal::NoSession)?;
+        let held = self.sessions.get_mut(&session).ok_or(AdmissionError::NoSession)?;
         if let Err(wait) = held.offers.take(now) {
-            return Err(Refusal::TooFast { come_back: self.spread(wait) });
+            return Err(AdmissionError::RateLimited { retry_after: self.with_jitter(wait) });
         }
         if held.calls.values().sum::<usize>() >= in_session {
-            return Err(Refusal::SessionCalls { most: in_session });
+            return Err(AdmissionError::SessionCalls { most: in_session });
         }
         if of_customer >= in_all {
-            return Err(Refusal::CustomerCalls { most: in_all });
+            return Err(AdmissionError::CustomerCalls { most: in_all });
         }
         *held.calls.entry(customer).or_default() += 1;
         *self.customers.entry(customer).or_default() += 1;
@@ -168,7 +175,7 @@
     }
 
     /// A call that was taken in hand is over.
-    pub fn over(&mut self, session: SessionNo, customer: CustomerNo) {
+    pub fn over(&mut self, session: SessionId, customer: CustomerNo) {
         let Some(held) = self.sessions.get_mut(&session) else { return };
         if less(&mut held.calls, customer, 1) {
             less(&mut self.customers, customer, 1);
@@ -176,7 +183,7 @@
     }
 
     /// What a session has in hand, by customer, for a look from outside.
-    pub fn in_hand(&self, session: SessionNo) -> impl Iterator<Item = (CustomerNo, usize)> {
+    pub fn in_hand(&self, session: SessionId) -> impl Iterator<Item = (CustomerNo, usize)> {
         let calls = self.sessions.get(&session).map(|held| &held.calls);
         calls.into_iter().flatten().map(|(customer, count)| (*customer, *count))
     }
@@ -190,13 +197,13 @@
     }
 
     /// The session is gone, and with it all it had in hand.
-    pub fn close(&mut self, session: SessionNo) {
+    pub fn close(&mut self, session: SessionId) {
         let calls = self.sessions.remove(&session).map(|held| held.calls).unwrap_or_default();
         calls.into_iter().for_each(|(customer, count)| _ = less(&mut self.customers, customer, count));
     }
 
     /// A time to come back, spread over what follows it.
-    pub fn spread(&mut self, least: Duration) -> Duration {
+    pub fn with_jitter(&mut self, least: Duration) -> Duration {
         Duration::try_from_secs_f64(least.as_secs_f64() * (1.0 + SPREAD * self.chance.below_one()))
             .unwrap_or(least)
     }
@@ -219,15 +226,15 @@
     const NOW: Duration = Duration::from_secs(5);
     const ONE: CustomerNo = CustomerNo(1);
 
-    fn gate(change: impl FnOnce(&mut Limits)) -> Gate {
+    fn gate(change: impl FnOnce(&mut Limits)) -> SessionLimiter {
         let mut limits = Limits::default();
         change(&mut limits);
-        Gate::new(NOW, limits, 1)
+        SessionLimiter::new(NOW, limits, 1)
     }
 
-    fn open(gate: &mut Gate) -> SessionNo {
+    fn open(gate: &mut SessionLimiter) -> SessionId {
         match gate.open(NOW) {
-            Opening::Open(no) => no,
+            OpenOutcome::Open(no) => no,
             other => panic!("{other:?}"),
         }
     }
@@ -236,13 +243,13 @@
     fn an_accept_storm_is_paced_and_ends_at_the_limit() {
         let mut gate =
             gate(|limits| (limits.sessions, limits.opens_per_s, limits.opens_at_once) = (30, 10.0, 20.0));
-        let opened = (0..100).filter(|_| matches!(gate.open(NOW), Opening::Open(_))).count();
+        let opened = (0..100).filter(|_| matches!(gate.open(NOW), OpenOutcome::Open(_))).count();
         assert_eq!(opened, 20);
-        let Opening::Later(wait) = gate.open(NOW) else { panic!("not paced") };
-        assert!(matches!(gate.open(NOW + wait + Duration::from_micros(1)), Opening::Open(_)));
+        let OpenOutcome::RateLimited(wait) = gate.open(NOW) else { panic!("not paced") };
+        assert!(matches!(gate.open(NOW + wait + Duration::from_micros(1)), OpenOutcome::Open(_)));
         let later = NOW + Duration::from_secs(60);
-        assert_eq!((0..100).filter(|_| matches!(gate.open(later), Opening::Open(_))).count(), 9);
-        assert_eq!(gate.open(later), Opening::Full);
+        assert_eq!((0..100).filter(|_| matches!(gate.open(later), OpenOutcome::Open(_))).count(), 9);
+        assert_eq!(gate.open(later), OpenOutcome::Full);
     }
 
     #[test]
@@ -264,9 +271,9 @@
         let mut gate = gate(|limits| (limits.calls_a_session, limits.calls_a_customer) = (3, 5));
         let (one, other) = (open(&mut gate), open(&mut gate));
         assert!((0..3).all(|_| gate.offer(NOW, one, ONE).is_ok()));
-        assert_eq!(gate.offer(NOW, one, ONE), Err(Refusal::SessionCalls { most: 3 }));
+        assert_eq!(gate.offer(NOW, one, ONE), Err(AdmissionError::SessionCalls { most: 3 }));
         assert!((0..2).all(|_| gate.offer(NOW, other, ONE).is_ok()));
-        assert_eq!(gate.offer(NOW, other, ONE), Err(Refusal::CustomerCalls { most: 5 }));
+        assert_eq!(gate.offer(NOW, other, ONE), Err(AdmissionError::CustomerCalls { most: 5 }));
         assert_eq!(
             (gate.in_hand(other).collect::<Vec<_>>(), gate.greediest(3)),
             (vec![(ONE, 2)], vec![(ONE, 5)])
@@ -275,7 +282,7 @@
         gate.over(other, CustomerNo(9));
         gate.close(one);
         assert_eq!((gate.calls(ONE), gate.sessions()), (1, 1));
-        assert_eq!(gate.offer(NOW, one, ONE), Err(Refusal::NoSession));
+        assert_eq!(gate.offer(NOW, one, ONE), Err(AdmissionError::NoSession));
         gate.close(other);
         assert!(gate.customers.is_empty());
     }
@@ -284,7 +291,7 @@
     fn those_told_to_come_back_do_not_return_together() {
         let mut gate = gate(|_| {});
         let least = Duration::from_millis(100);
-        let told: std::collections::BTreeSet<_> = (0..50).map(|_| gate.spread(least)).collect();
+        let told: std::collections::BTreeSet<_> = (0..50).map(|_| gate.with_jitter(least)).collect();
         assert!(told.len() > 40 && told.iter().all(|told| (least..least * 3 / 2).contains(told)));
     }
 }
--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/token_bucket.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     per_s: f64,
     most: f64,
     tokens: f64,
     at: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Full at start. A rate that is no figure above nought never fills again.
     pub fn new(now: Duration, per_s: f64, at_once: f64) -> Self {
         let per_s = if per_s.is_finite() { per_s.max(0.0) } else { 0.0 };
@@ -37,19 +37,19 @@
 
     #[test]
     fn a_burst_passes_and_then_the_rate_holds() {
-        let mut bucket = Bucket::new(Duration::ZERO, 10.0, 5.0);
-        let taken = |bucket: &mut Bucket, ms| bucket.take(Duration::from_millis(ms)).is_ok();
+        let mut bucket = TokenBucket::new(Duration::ZERO, 10.0, 5.0);
+        let taken = |bucket: &mut TokenBucket, ms| bucket.take(Duration::from_millis(ms)).is_ok();
         assert_eq!((0..20).filter(|_| taken(&mut bucket, 0)).count(), 5);
         assert_eq!((0..10_000).filter(|ms| taken(&mut bucket, *ms)).count(), 99);
     }
 
     #[test]
     fn the_told_wait_is_enough_and_no_more() {
-        let mut bucket = Bucket::new(Duration::ZERO, 4.0, 1.0);
+        let mut bucket = TokenBucket::new(Duration::ZERO, 4.0, 1.0);
         bucket.take(Duration::ZERO).unwrap();
         let wait = bucket.take(Duration::ZERO).unwrap_err();
         assert!(bucket.take(wait - Duration::from_millis(1)).is_err());
         assert!(bucket.take(wait + Duration::from_micros(1)).is_ok());
-        assert_eq!(Bucket::new(Duration::ZERO, f64::NAN, 0.0).per_s, 0.0);
+        assert_eq!(TokenBucket::new(Duration::ZERO, f64::NAN, 0.0).per_s, 0.0);
     }
 }
