--- a/crates/cli/tests/calls.rs
+++ b/crates/cli/tests/calls.rs
@@ -10,7 +10,9 @@
 use mintstall_client::{Client, Event, Outcome, Plan, offer};
 use mintstall_lab::far::FarServer;
 use mintstall_standin::FarPlan;
-use mintstall_websocket::{Dialled, End, Ended, Event as Heard, Progress};
+use mintstall_websocket::{
+    ClientHandshake, ClientHandshakeState, CloseInfo, WebSocketConnection, WebSocketEvent,
+};
 use serde_json::{Value, json};
 
 use common::{CIRCUITS, Controller, LONG};
@@ -65,33 +67,33 @@
 /// A connection by hand: it reads only when asked to, and is cut by being dropped.
 struct Ws {
     stream: TcpStream,
-    end: Box<End>,
+    end: Box<WebSocketConnection>,
 }
 
 impl Ws {
     fn open(to: SocketAddr) -> Self {
         let mut stream = TcpStream::connect(to).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
-        let (mut dialled, request) = Dialled::new(to, 1 << 20).unwrap();
+        let (mut dialled, request) = ClientHandshake::new(to, 1 << 20).unwrap();
         stream.write_all(&request).unwrap();
         let mut buffer = [0; 4096];
         loop {
             let count = stream.read(&mut buffer).unwrap();
             match dialled.push(&buffer[..count]) {
-                Progress::Open(end) => return Self { stream, end },
-                Progress::More => {}
-                Progress::Turned(why) => panic!("{why}"),
+                ClientHandshakeState::Open(end) => return Self { stream, end },
+                ClientHandshakeState::Incomplete => {}
+                ClientHandshakeState::Rejected(why) => panic!("{why}"),
             }
         }
     }
 
     fn say(&mut self, text: &Value) -> std::io::Result<()> {
-        self.end.say(&text.to_string());
+        self.end.send_text(&text.to_string());
         self.stream.write_all(&std::mem::take(self.end.out()))
     }
 
     /// The next text, or how the connection ended.
-    fn hear(&mut self) -> Result<Value, Ended> {
+    fn hear(&mut self) -> Result<Value, CloseInfo> {
         let mut buffer = [0; 1];
         let mut texts = Vec::new();
         while texts.is_empty() {
@@ -100,9 +102,9 @@
                 Ok(1) => {}
                 other => panic!("{other:?}, {:?}", self.end.ended()),
             }
-            self.end.octets(&buffer, &mut |event| match event {
-                Heard::Text(text) => texts.push(text),
-                Heard::Alive => {}
+            self.end.on_octets(&buffer, &mut |event| match event {
+                WebSocketEvent::Text(text) => texts.push(text),
+                WebSocketEvent::PingOrPong => {}
             });
             if let Some(ended) = self.end.ended() {
                 return Err(ended.clone());
@@ -326,7 +328,7 @@
 #[test]
 fn what_a_browser_page_or_a_broken_client_sends_has_its_stated_answer() {
     let site = Site::start("broken.json", FarPlan::default(), json!({}));
-    let (_, request) = Dialled::new(site.calls(), 100).unwrap();
+    let (_, request) = ClientHandshake::new(site.calls(), 100).unwrap();
     let request = String::from_utf8(request).unwrap();
     let knock = |request: &str| {
         let mut stream = TcpStream::connect(site.calls()).unwrap();
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -355,7 +355,7 @@
             Ok(0) => self.gone("closed by the server"),
             Ok(count) => {
                 let now = self.now();
-                self.session.octets(now, &self.buffer[..count]);
+                self.session.on_octets(now, &self.buffer[..count]);
             }
             Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -12,7 +12,9 @@
     CallNumberInUse, CallTable, ConnectionMonitor, ConnectionTimeouts, MonitorAction, ReconciledCalls,
     ReconnectBackoff, ReconnectPolicy, ServerCallState,
 };
-use mintstall_websocket::{Dialled, End, Event as Heard1, Progress, close};
+use mintstall_websocket::{
+    ClientHandshake, ClientHandshakeState, WebSocketConnection, WebSocketEvent, close,
+};
 use serde_json::{Value, json};
 use thiserror::Error;
 
@@ -113,10 +115,10 @@
     },
     /// Being dialled by the owner.
     Dialling,
-    Shaking(Dialled),
+    Shaking(ClientHandshake),
     /// Hello was said.
-    Greeting(Box<End>),
-    Open(Box<End>),
+    Greeting(Box<WebSocketConnection>),
+    Open(Box<WebSocketConnection>),
     /// For good.
     Closed,
 }
@@ -195,7 +197,7 @@
 
     /// The connection is there.
     pub fn dialled(&mut self, now: Duration, to: SocketAddr) {
-        match Dialled::new(to, LONGEST_TEXT) {
+        match ClientHandshake::new(to, LONGEST_TEXT) {
             Ok((dialled, request)) => {
                 self.out.extend_from_slice(&request);
                 self.link = Link::Shaking(dialled);
@@ -296,25 +298,27 @@
     }
 
     /// Octets that came on the connection.
-    pub fn octets(&mut self, now: Duration, octets: &[u8]) {
+    pub fn on_octets(&mut self, now: Duration, octets: &[u8]) {
         let mut heard = Vec::new();
         match &mut self.link {
             Link::Shaking(dialled) => match dialled.push(octets) {
-                Progress::More => return,
-                Progress::Turned(why) => return self.down(now, &why.to_string(), why.come_back()),
-                Progress::Open(mut end) => {
-                    end.octets(&[], &mut |event| heard.push(event));
+                ClientHandshakeState::Incomplete => return,
+                ClientHandshakeState::Rejected(why) => {
+                    return self.down(now, &why.to_string(), why.retry_after());
+                }
+                ClientHandshakeState::Open(mut end) => {
+                    end.on_octets(&[], &mut |event| heard.push(event));
                     self.vigil.opened(now, ());
                     self.link = Link::Greeting(end);
                     self.greet();
                 }
             },
-            Link::Greeting(end) | Link::Open(end) => end.octets(octets, &mut |event| heard.push(event)),
+            Link::Greeting(end) | Link::Open(end) => end.on_octets(octets, &mut |event| heard.push(event)),
             Link::Down { .. } | Link::Dialling | Link::Closed => return,
         }
         self.vigil.heard(now, ());
         for event in heard {
-            if let Heard1::Text(text) = event {
+            if let WebSocketEvent::Text(text) = event {
                 self.text(now, &text);
             }
         }
@@ -516,7 +520,7 @@
         let Some((offer, left)) = self.book.asked(now, call) else { return };
         let offer = Offer { time_left_ms: left.as_millis() as u32, ..offer.clone() };
         let Link::Open(end) = &mut self.link else { return };
-        end.say(&Asked { id: Some(json!(call)), request: Request::Offer(offer) }.text());
+        end.send_text(&Asked { id: Some(json!(call)), request: Request::Offer(offer) }.text());
         self.book.sent(call);
     }
 
@@ -572,7 +576,7 @@
         if self.asked.len() < MOST_ASKED {
             self.asked.insert(ask, asking);
         }
-        end.say(&Asked { id: Some(json!(format!("a{ask}"))), request }.text());
+        end.send_text(&Asked { id: Some(json!(format!("a{ask}"))), request }.text());
         ask
     }
 
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -10,7 +10,9 @@
 use mintstall_callapi::{Fault, LineCutter, code, fault_text, result_text};
 use mintstall_isup::{Deframer, Frame};
 use mintstall_limits::{ConnectionMonitor, ConnectionTimeouts, MonitorAction};
-use mintstall_websocket::{Door, End, Event, Knock, NotLetIn, close};
+use mintstall_websocket::{
+    HandshakeRejection, ServerHandshake, ServerHandshakeState, WebSocketConnection, WebSocketEvent, close,
+};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use rand::Rng;
@@ -73,11 +75,11 @@
     },
     Line(LineNo),
     /// Came in for calls, its handshake not whole yet.
-    Knocking(Door),
+    Knocking(ServerHandshake),
     /// A line over WebSocket.
     Calls {
         line: LineNo,
-        end: Box<End>,
+        end: Box<WebSocketConnection>,
     },
     /// Told why it is closed; it goes once that is written.
     Leaving,
@@ -252,7 +254,7 @@
         let Some(token) = self.lines.get(&line).copied() else { return };
         match self.connections.get_mut(&token).map(|connection| &mut connection.purpose) {
             Some(Purpose::Calls { end, .. }) => {
-                end.say(text);
+                end.send_text(text);
                 self.pump(token);
             }
             _ => self.push(Some(token), &[text.as_bytes(), b"\n"]),
@@ -554,7 +556,7 @@
             let Some(Ok((stream, from))) = listener.as_ref().map(TcpListener::accept) else { return };
             let purpose = match on {
                 LINKS_IN => Purpose::Stranger { deframer: Deframer::default(), octets: Vec::new() },
-                CALLS_IN => Purpose::Knocking(Door::default()),
+                CALLS_IN => Purpose::Knocking(ServerHandshake::default()),
                 LINES_IN => match self.exchange.line_open(self.now()) {
                     Ok(line) => Purpose::Line(line),
                     Err(why) => {
@@ -594,7 +596,10 @@
             if let Err(why) = came {
                 debug!(%from, "connection turned away: {why}");
                 if on == CALLS_IN {
-                    let busy = NotLetIn { retry_after_s: Some(1), ..NotLetIn::new(503, why.to_string()) };
+                    let busy = HandshakeRejection {
+                        retry_after_s: Some(1),
+                        ..HandshakeRejection::new(503, why.to_string())
+                    };
                     self.wires.push(Some(token), &[&busy.octets()]);
                     self.wires.flush(token);
                 }
@@ -751,13 +756,13 @@
                 Err(why) => self.wires.close(Some(token), &why),
             },
             Purpose::Knocking(door) => match door.push(octets, &self.origins) {
-                Knock::More => {}
-                Knock::Turned(why) => self.turn_away(token, &why),
-                Knock::Wants(wish) => match self.exchange.line_open(now) {
+                ServerHandshakeState::Incomplete => {}
+                ServerHandshakeState::Rejected(why) => self.turn_away(token, &why),
+                ServerHandshakeState::Valid(wish) => match self.exchange.line_open(now) {
                     Ok(line) => {
                         debug!(line = line.0, "line open");
                         connection.purpose =
-                            Purpose::Calls { line, end: Box::new(wish.let_in(LONGEST_TEXT)) };
+                            Purpose::Calls { line, end: Box::new(wish.accept(LONGEST_TEXT)) };
                         self.wires.lines.insert(line, token);
                         self.wires.clients.opened(now, token);
                         self.client_octets(now, token, &[]);
@@ -767,8 +772,10 @@
                             NotOpen::Later(wait) => wait.as_secs() + 1,
                             NotOpen::Full(_) => 2,
                         };
-                        let busy =
-                            NotLetIn { retry_after_s: Some(wait), ..NotLetIn::new(503, why.to_string()) };
+                        let busy = HandshakeRejection {
+                            retry_after_s: Some(wait),
+                            ..HandshakeRejection::new(503, why.to_string())
+                        };
                         self.turn_away(token, &busy);
                     }
                 },
@@ -823,9 +830,9 @@
         let line = *line;
         // At most what was read in one go: what is asked is acted on once this connection is not held any more.
         let mut texts = Vec::new();
-        end.octets(octets, &mut |event| match event {
-            Event::Text(text) => texts.push(text),
-            Event::Alive => {}
+        end.on_octets(octets, &mut |event| match event {
+            WebSocketEvent::Text(text) => texts.push(text),
+            WebSocketEvent::PingOrPong => {}
         });
         for text in texts {
             self.exchange.line_text(now, &mut self.wires, line, text.as_bytes());
@@ -833,7 +840,7 @@
         self.wires.pump(token);
     }
 
-    fn turn_away(&mut self, token: Token, why: &NotLetIn) {
+    fn turn_away(&mut self, token: Token, why: &HandshakeRejection) {
         debug!(status = why.status, "client turned away: {}", why.why);
         if let Some(connection) = self.wires.connections.get_mut(&token) {
             connection.purpose = Purpose::Leaving;
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -14,7 +14,7 @@
 use mintstall_daemon::config::LimitsPlan;
 use mintstall_daemon::exchange::{Exchange, LONGEST_TEXT, LineNo, Port};
 use mintstall_isup::{Body, CauseIndicators, Location, Q850, Rel};
-use mintstall_websocket::{Door, End, Event as Heard, Knock};
+use mintstall_websocket::{ServerHandshake, ServerHandshakeState, WebSocketConnection, WebSocketEvent};
 
 use common::{FAR, Far};
 
@@ -46,8 +46,8 @@
 }
 
 enum Server {
-    Door(Door),
-    Open(LineNo, Box<End>),
+    Door(ServerHandshake),
+    Open(LineNo, Box<WebSocketConnection>),
 }
 
 /// A connection, with what is on its way.
@@ -118,7 +118,7 @@
             if let Some(wire) = self.wire_of(line)
                 && let Server::Open(_, end) = &mut wire.server
             {
-                end.say(&text);
+                end.send_text(&text);
                 wire.to_client.push_back(std::mem::take(end.out()));
             }
         }
@@ -142,7 +142,7 @@
         if client.session.wants_dial(now) {
             client.session.dialled(now, "127.0.0.1:9".parse().unwrap());
             client.wires.push(Wire {
-                server: Server::Door(Door::default()),
+                server: Server::Door(ServerHandshake::default()),
                 to_server: VecDeque::new(),
                 to_client: VecDeque::new(),
                 cut: false,
@@ -179,21 +179,23 @@
         let Some(octets) = wire.to_server.pop_front() else { return false };
         let mut texts = Vec::new();
         let mut hear = |event| match event {
-            Heard::Text(text) => texts.push(text),
-            Heard::Alive => {}
+            WebSocketEvent::Text(text) => texts.push(text),
+            WebSocketEvent::PingOrPong => {}
         };
         let line = match &mut wire.server {
             Server::Door(door) => {
-                let Knock::Wants(wish) = door.push(&octets, &BTreeSet::new()) else { panic!("not let in") };
-                let mut end = Box::new(wish.let_in(LONGEST_TEXT));
-                end.octets(&[], &mut hear);
+                let ServerHandshakeState::Valid(wish) = door.push(&octets, &BTreeSet::new()) else {
+                    panic!("not let in")
+                };
+                let mut end = Box::new(wish.accept(LONGEST_TEXT));
+                end.on_octets(&[], &mut hear);
                 let line = self.exchange.line_open(now).unwrap();
                 wire.to_client.push_back(std::mem::take(end.out()));
                 wire.server = Server::Open(line, end);
                 line
             }
             Server::Open(line, end) => {
-                end.octets(&octets, &mut hear);
+                end.on_octets(&octets, &mut hear);
                 *line
             }
         };
@@ -209,7 +211,7 @@
         let client = &mut self.clients[at];
         let Some(wire) = client.wires.last_mut().filter(|wire| !wire.cut) else { return false };
         let Some(octets) = wire.to_client.pop_front() else { return false };
-        client.session.octets(now, &octets);
+        client.session.on_octets(now, &octets);
         self.look_after(at);
         true
     }
--- a/crates/lab/benches/ordinary_call.rs
+++ b/crates/lab/benches/ordinary_call.rs
@@ -12,7 +12,7 @@
 use mintstall_daemon::config::{CallType, Calls, Config, LimitsPlan, Link, Signalling, Subscribers};
 use mintstall_daemon::{Exchange, Shell, exchange::LineNo, exchange::Port};
 use mintstall_isup::{Body, Data, Deframer, Frame, Message, RangeStatus};
-use mintstall_websocket::{Dialled, End, Event, Progress};
+use mintstall_websocket::{ClientHandshake, ClientHandshakeState, WebSocketConnection, WebSocketEvent};
 use mio::net::TcpStream as MioStream;
 use mio::{Events, Interest, Poll, Token};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
@@ -122,7 +122,7 @@
 /// How the subscriber's texts are carried.
 enum Carried {
     Lines(LineCutter),
-    WebSocket(Box<End>),
+    WebSocket(Box<WebSocketConnection>),
 }
 
 impl Carried {
@@ -133,7 +133,7 @@
                 out.push(b'\n');
             }
             Self::WebSocket(end) => {
-                end.say(text);
+                end.send_text(text);
                 out.append(end.out());
             }
         }
@@ -149,9 +149,9 @@
                     heard.push(read(text));
                 }
             }
-            Self::WebSocket(end) => end.octets(octets, &mut |event| match event {
-                Event::Text(text) => heard.push(read(text.as_bytes())),
-                Event::Alive => {}
+            Self::WebSocket(end) => end.on_octets(octets, &mut |event| match event {
+                WebSocketEvent::Text(text) => heard.push(read(text.as_bytes())),
+                WebSocketEvent::PingOrPong => {}
             }),
         }
         heard
@@ -348,17 +348,17 @@
     );
 }
 
-fn web_socket(to: SocketAddr) -> (MioStream, Box<End>) {
+fn web_socket(to: SocketAddr) -> (MioStream, Box<WebSocketConnection>) {
     let mut stream = TcpStream::connect(to).expect("connect");
-    let (mut dialled, request) = Dialled::new(to, 1 << 16).expect("a request");
+    let (mut dialled, request) = ClientHandshake::new(to, 1 << 16).expect("a request");
     stream.write_all(&request).expect("write");
     let mut buffer = [0; 4096];
     loop {
         let count = stream.read(&mut buffer).expect("read");
         match dialled.push(&buffer[..count]) {
-            Progress::Open(end) => return (mio(stream), end),
-            Progress::More => {}
-            Progress::Turned(why) => panic!("{why}"),
+            ClientHandshakeState::Open(end) => return (mio(stream), end),
+            ClientHandshakeState::Incomplete => {}
+            ClientHandshakeState::Rejected(why) => panic!("{why}"),
         }
     }
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -712,7 +712,7 @@
                 Ok(0) => return self.lost(token, "closed by the server"),
                 Ok(count) => {
                     let now = self.start.elapsed();
-                    self.members[at].session.octets(now, &self.buffer[..count]);
+                    self.members[at].session.on_octets(now, &self.buffer[..count]);
                     self.touched(at);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -486,7 +486,7 @@
         let purpose = connection.purpose;
         if let Purpose::Client(no) = purpose {
             if let Some(session) = self.clients.session(no) {
-                session.octets(now, octets);
+                session.on_octets(now, octets);
             }
             self.client_turn(no);
             return Ok(());
--- a/crates/websocket/src/dialled.rs
+++ b/crates/websocket/src/client_handshake.rs
@@ -8,23 +8,23 @@
 use tungstenite::handshake::derive_accept_key;
 use tungstenite::handshake::machine::TryParse;
 
-use crate::end::End;
-use crate::{LONGEST_HEAD, PATH, SUBPROTOCOL};
+use crate::connection::WebSocketConnection;
+use crate::{MAX_HEAD_OCTETS, PATH, SUBPROTOCOL};
 
 /// The server does not let this client in.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum TurnedAway {
+pub enum ClientHandshakeError {
     #[error("turned away with status {status}: {why}")]
-    Status { status: u16, why: String, come_back: Option<Duration> },
+    Status { status: u16, why: String, retry_after: Option<Duration> },
     #[error("what answers is no server of calls: {0}")]
     NoServer(String),
 }
 
-impl TurnedAway {
+impl ClientHandshakeError {
     /// How long the server asks this client to stay away.
-    pub fn come_back(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::Status { come_back, .. } => *come_back,
+            Self::Status { retry_after, .. } => *retry_after,
             Self::NoServer(_) => None,
         }
     }
@@ -32,24 +32,24 @@
 
 /// What has come of a handshake.
 #[derive(Debug)]
-pub enum Progress {
-    More,
-    /// Open. [`End::octets`] is to be called once, with none, for what came with the response.
-    Open(Box<End>),
-    Turned(TurnedAway),
+pub enum ClientHandshakeState {
+    Incomplete,
+    /// Open. [`WebSocketConnection::on_octets`] is to be called once, with none, for what came with the response.
+    Open(Box<WebSocketConnection>),
+    Rejected(ClientHandshakeError),
 }
 
 /// A handshake that is under way.
 #[derive(Debug)]
-pub struct Dialled {
+pub struct ClientHandshake {
     accept: String,
     head: Vec<u8>,
     longest_text: usize,
 }
 
-impl Dialled {
+impl ClientHandshake {
     /// With the request, to be written first.
-    pub fn new(to: SocketAddr, longest_text: usize) -> Result<(Self, Vec<u8>), TurnedAway> {
+    pub fn new(to: SocketAddr, longest_text: usize) -> Result<(Self, Vec<u8>), ClientHandshakeError> {
         let key = generate_key();
         let request = Request::builder()
             .uri(PATH)
@@ -60,32 +60,33 @@
             .header("Sec-WebSocket-Key", key)
             .header("Sec-WebSocket-Protocol", SUBPROTOCOL)
             .body(())
-            .map_err(|error| TurnedAway::NoServer(error.to_string()))?;
+            .map_err(|error| ClientHandshakeError::NoServer(error.to_string()))?;
         let (octets, key) =
-            generate_request(request).map_err(|error| TurnedAway::NoServer(error.to_string()))?;
+            generate_request(request).map_err(|error| ClientHandshakeError::NoServer(error.to_string()))?;
         Ok((Self { accept: derive_accept_key(key.as_bytes()), head: Vec::new(), longest_text }, octets))
     }
 
-    pub fn push(&mut self, octets: &[u8]) -> Progress {
+    pub fn push(&mut self, octets: &[u8]) -> ClientHandshakeState {
         self.head.extend_from_slice(octets);
-        let no_server = |why: String| Progress::Turned(TurnedAway::NoServer(why));
+        let no_server = |why: String| ClientHandshakeState::Rejected(ClientHandshakeError::NoServer(why));
         let (length, response) = match Response::try_parse(&self.head) {
             Ok(Some(parsed)) => parsed,
-            Ok(None) if self.head.len() > LONGEST_HEAD => return no_server("its head is too long".into()),
-            Ok(None) => return Progress::More,
+            Ok(None) if self.head.len() > MAX_HEAD_OCTETS => return no_server("its head is too long".into()),
+            Ok(None) => return ClientHandshakeState::Incomplete,
             Err(error) => return no_server(error.to_string()),
         };
         let field = |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
         let rest = &self.head[length..];
         if response.status() != 101 {
             let whole = field("Content-Length").and_then(|count| count.parse::<usize>().ok()).unwrap_or(0);
-            if rest.len() < whole.min(LONGEST_HEAD) {
-                return Progress::More;
+            if rest.len() < whole.min(MAX_HEAD_OCTETS) {
+                return ClientHandshakeState::Incomplete;
             }
-            let come_back = field("Retry-After").and_then(|wait| wait.parse().ok()).map(Duration::from_secs);
+            let retry_after =
+                field("Retry-After").and_then(|wait| wait.parse().ok()).map(Duration::from_secs);
             let why = String::from_utf8_lossy(rest).trim().to_string();
             let status = response.status().as_u16();
-            return Progress::Turned(TurnedAway::Status { status, why, come_back });
+            return ClientHandshakeState::Rejected(ClientHandshakeError::Status { status, why, retry_after });
         }
         if field("Sec-WebSocket-Accept") != Some(&self.accept) {
             return no_server("its Sec-WebSocket-Accept is not of this request".into());
@@ -94,6 +95,6 @@
             return no_server(format!("it does not speak {SUBPROTOCOL}"));
         }
         let rest = self.head.split_off(length);
-        Progress::Open(Box::new(End::client(rest, self.longest_text)))
+        ClientHandshakeState::Open(Box::new(WebSocketConnection::client(rest, self.longest_text)))
     }
 }
--- a/crates/websocket/src/end.rs
+++ b/crates/websocket/src/connection.rs
@@ -11,15 +11,15 @@
 
 /// What an end hears.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum WebSocketEvent {
     Text(String),
     /// A pong, or a ping, which is answered: the far end lives.
-    Alive,
+    PingOrPong,
 }
 
 /// How a connection has come to its end; nothing is heard or said after it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct CloseInfo {
     /// The code that the far end gave, or that it was given; [`close::NORMAL`] where it gave none.
     pub code: u16,
     pub reason: String,
@@ -29,13 +29,13 @@
 
 /// One end of a connection. Holds one unfinished message of bounded length, and what its owner has not taken to write.
 #[derive(Debug)]
-pub struct End {
+pub struct WebSocketConnection {
     context: WebSocketContext,
     out: Vec<u8>,
     /// What came with the handshake.
     early: Vec<u8>,
-    said_why: Option<Ended>,
-    ended: Option<Ended>,
+    said_why: Option<CloseInfo>,
+    ended: Option<CloseInfo>,
 }
 
 /// What the library reads from and writes to.
@@ -63,7 +63,7 @@
     }
 }
 
-impl End {
+impl WebSocketConnection {
     pub(crate) fn server(out: Vec<u8>, early: Vec<u8>, longest_text: usize) -> Self {
         Self::new(Role::Server, out, early, longest_text)
     }
@@ -87,12 +87,12 @@
         &mut self.out
     }
 
-    pub fn ended(&self) -> Option<&Ended> {
+    pub fn ended(&self) -> Option<&CloseInfo> {
         self.ended.as_ref()
     }
 
     /// Octets that came; after a handshake once with none, for what came with it.
-    pub fn octets(&mut self, octets: &[u8], hear: &mut dyn FnMut(Event)) {
+    pub fn on_octets(&mut self, octets: &[u8], hear: &mut dyn FnMut(WebSocketEvent)) {
         let early = std::mem::take(&mut self.early);
         let mut parts = [early.as_slice(), octets].into_iter().filter(|part| !part.is_empty());
         while self.ended.is_none()
@@ -102,14 +102,14 @@
         }
     }
 
-    fn read(&mut self, octets: &[u8], hear: &mut dyn FnMut(Event)) {
+    fn read(&mut self, octets: &[u8], hear: &mut dyn FnMut(WebSocketEvent)) {
         let mut pipe = Pipe { octets, out: &mut self.out };
         let fault = loop {
             match self.context.read(&mut pipe) {
                 // Told why it closes already: what still comes is not wanted.
                 Ok(Message::Text(_) | Message::Binary(_)) if self.said_why.is_some() => {}
-                Ok(Message::Text(text)) => hear(Event::Text(text.as_str().to_string())),
-                Ok(Message::Ping(_) | Message::Pong(_)) => hear(Event::Alive),
+                Ok(Message::Text(text)) => hear(WebSocketEvent::Text(text.as_str().to_string())),
+                Ok(Message::Ping(_) | Message::Pong(_)) => hear(WebSocketEvent::PingOrPong),
                 Ok(Message::Binary(_)) => {
                     break Some((close::UNSUPPORTED, "only texts are understood".to_string()));
                 }
@@ -118,7 +118,7 @@
                         Some(frame) => (frame.code.into(), frame.reason.as_str().to_string()),
                         None => (close::NORMAL, String::new()),
                     };
-                    let heard = Ended { code, reason, by_far_end: true };
+                    let heard = CloseInfo { code, reason, by_far_end: true };
                     self.ended = Some(self.said_why.take().unwrap_or(heard));
                     // Its answer goes out with this.
                     let _ = self.context.flush(&mut pipe);
@@ -140,7 +140,7 @@
         }
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send_text(&mut self, text: &str) {
         self.write(Message::text(text));
     }
 
@@ -167,7 +167,7 @@
         let frame = CloseFrame { code: CloseCode::from(code), reason: reason.as_str().into() };
         let mut pipe = Pipe { octets: &[], out: &mut self.out };
         let _ = self.context.close(&mut pipe, Some(frame));
-        self.said_why = Some(Ended { code, reason, by_far_end: false });
+        self.said_why = Some(CloseInfo { code, reason, by_far_end: false });
     }
 
     /// Whether it has begun to close.
--- a/crates/websocket/src/lib.rs
+++ b/crates/websocket/src/lib.rs
@@ -2,20 +2,20 @@
 //!
 //! | file | holds |
 //! | --- | --- |
-//! | `door` | the server's opening handshake: who may come in, by path, origin and subprotocol |
-//! | `dialled` | the client's |
-//! | `end` | an open connection, the same for both: texts, pings, the closing handshake |
+//! | `server_handshake` | the server's opening handshake: who may come in, by path, origin and subprotocol |
+//! | `client_handshake` | the client's |
+//! | `connection` | an open connection, the same for both: texts, pings, the closing handshake |
 //!
 //! Framing, masking and the handshakes' headers are tungstenite's. What is stated here: the answer to everything that an end
 //! may get wrong.
 
-mod dialled;
-mod door;
-mod end;
+mod client_handshake;
+mod connection;
+mod server_handshake;
 
-pub use dialled::{Dialled, Progress, TurnedAway};
-pub use door::{Door, Knock, NotLetIn, Wish};
-pub use end::{End, Ended, Event};
+pub use client_handshake::{ClientHandshake, ClientHandshakeError, ClientHandshakeState};
+pub use connection::{CloseInfo, WebSocketConnection, WebSocketEvent};
+pub use server_handshake::{HandshakeRejection, ServerHandshake, ServerHandshakeState, UpgradeRequest};
 
 /// The subprotocol that both ends must name: its number changes when a client that knows the last one would be misled.
 pub const SUBPROTOCOL: &str = "mintstall.calls.v1";
@@ -24,7 +24,7 @@
 pub const PATH: &str = "/calls";
 
 /// Octets of the longest head of a handshake.
-pub const LONGEST_HEAD: usize = 8 << 10;
+pub const MAX_HEAD_OCTETS: usize = 8 << 10;
 
 /// Why a connection is closed: RFC 6455 clause 7.4.1, with what each means here.
 pub mod close {
--- a/crates/websocket/src/door.rs
+++ b/crates/websocket/src/server_handshake.rs
@@ -8,19 +8,19 @@
 use tungstenite::handshake::server::{Request, Response, create_response, write_response};
 use tungstenite::http::HeaderValue;
 
-use crate::end::End;
-use crate::{LONGEST_HEAD, PATH, SUBPROTOCOL};
+use crate::connection::WebSocketConnection;
+use crate::{MAX_HEAD_OCTETS, PATH, SUBPROTOCOL};
 
 /// Why a client is not let in, as an HTTP status.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NotLetIn {
+pub struct HandshakeRejection {
     pub status: u16,
     pub why: String,
     /// Seconds to stay away, rounded up.
     pub retry_after_s: Option<u64>,
 }
 
-impl NotLetIn {
+impl HandshakeRejection {
     pub fn new(status: u16, why: impl Into<String>) -> Self {
         Self { status, why: why.into(), retry_after_s: None }
     }
@@ -56,95 +56,105 @@
 
 /// What has come of a handshake.
 #[derive(Debug)]
-pub enum Knock {
+pub enum ServerHandshakeState {
     /// Its head is not whole yet.
-    More,
+    Incomplete,
     /// In order; to be let in or turned away.
-    Wants(Box<Wish>),
-    Turned(NotLetIn),
+    Valid(Box<UpgradeRequest>),
+    Rejected(HandshakeRejection),
 }
 
 /// A client's handshake that is in order.
 #[derive(Debug)]
-pub struct Wish {
+pub struct UpgradeRequest {
     response: Response,
     /// What followed the head.
     rest: Vec<u8>,
 }
 
-impl Wish {
+impl UpgradeRequest {
     /// The open end, with the response first in what it has to write.
-    pub fn let_in(self, longest_text: usize) -> End {
+    pub fn accept(self, longest_text: usize) -> WebSocketConnection {
         let mut out = Vec::new();
         // Into memory, of a response built here: it has no way to fail.
         let _ = write_response(&mut out, &self.response);
-        End::server(out, self.rest, longest_text)
+        WebSocketConnection::server(out, self.rest, longest_text)
     }
 }
 
-/// One client at the door. Holds at most [`LONGEST_HEAD`] octets and what was pushed last.
+/// One client at the door. Holds at most [`MAX_HEAD_OCTETS`] octets and what was pushed last.
 #[derive(Debug, Default)]
-pub struct Door {
+pub struct ServerHandshake {
     head: Vec<u8>,
 }
 
-impl Door {
+impl ServerHandshake {
     /// `origins`: those of browser pages that are let in. A client that names none is no browser page.
-    pub fn push(&mut self, octets: &[u8], origins: &BTreeSet<String>) -> Knock {
+    pub fn push(&mut self, octets: &[u8], origins: &BTreeSet<String>) -> ServerHandshakeState {
         self.head.extend_from_slice(octets);
         let (length, request) = match Request::try_parse(&self.head) {
-            Ok(None) if self.head.len() > LONGEST_HEAD => {
-                return Knock::Turned(NotLetIn::new(
+            Ok(None) if self.head.len() > MAX_HEAD_OCTETS => {
+                return ServerHandshakeState::Rejected(HandshakeRejection::new(
                     431,
-                    format!("the head is longer than {LONGEST_HEAD} octets"),
+                    format!("the head is longer than {MAX_HEAD_OCTETS} octets"),
                 ));
             }
-            Ok(None) => return Knock::More,
-            Ok(Some((length, _))) if length > LONGEST_HEAD => {
-                return Knock::Turned(NotLetIn::new(
+            Ok(None) => return ServerHandshakeState::Incomplete,
+            Ok(Some((length, _))) if length > MAX_HEAD_OCTETS => {
+                return ServerHandshakeState::Rejected(HandshakeRejection::new(
                     431,
-                    format!("the head is longer than {LONGEST_HEAD} octets"),
+                    format!("the head is longer than {MAX_HEAD_OCTETS} octets"),
                 ));
             }
             Ok(Some(parsed)) => parsed,
-            Err(error) => return Knock::Turned(turned(&error)),
+            Err(error) => return ServerHandshakeState::Rejected(turned(&error)),
         };
         match judge(&request, origins) {
-            Ok(response) => Knock::Wants(Box::new(Wish { response, rest: self.head.split_off(length) })),
-            Err(why) => Knock::Turned(why),
+            Ok(response) => ServerHandshakeState::Valid(Box::new(UpgradeRequest {
+                response,
+                rest: self.head.split_off(length),
+            })),
+            Err(why) => ServerHandshakeState::Rejected(why),
         }
     }
 }
 
-fn judge(request: &Request, origins: &BTreeSet<String>) -> Result<Response, NotLetIn> {
+fn judge(request: &Request, origins: &BTreeSet<String>) -> Result<Response, HandshakeRejection> {
     if request.uri().path() != PATH {
-        return Err(NotLetIn::new(404, format!("calls are asked for at {PATH}")));
+        return Err(HandshakeRejection::new(404, format!("calls are asked for at {PATH}")));
     }
     let header = |name: &str| request.headers().get_all(name).iter();
     for origin in header("Origin") {
         if !origin.to_str().is_ok_and(|origin| origins.contains(origin)) {
-            return Err(NotLetIn::new(403, "pages of this origin may not ask for calls"));
+            return Err(HandshakeRejection::new(403, "pages of this origin may not ask for calls"));
         }
     }
     let mut response = create_response(request).map_err(|error| turned(&error))?;
     let mut named = header("Sec-WebSocket-Protocol").filter_map(|value| value.to_str().ok());
     if !named.any(|list| list.split(',').any(|name| name.trim() == SUBPROTOCOL)) {
-        return Err(NotLetIn::new(400, format!("Sec-WebSocket-Protocol does not name {SUBPROTOCOL}")));
+        return Err(HandshakeRejection::new(
+            400,
+            format!("Sec-WebSocket-Protocol does not name {SUBPROTOCOL}"),
+        ));
     }
     response.headers_mut().insert("Sec-WebSocket-Protocol", HeaderValue::from_static(SUBPROTOCOL));
     Ok(response)
 }
 
-fn turned(error: &Error) -> NotLetIn {
+fn turned(error: &Error) -> HandshakeRejection {
     match error {
-        Error::Protocol(ProtocolError::WrongHttpMethod) => NotLetIn::new(405, "only GET is known here"),
+        Error::Protocol(ProtocolError::WrongHttpMethod) => {
+            HandshakeRejection::new(405, "only GET is known here")
+        }
         Error::Protocol(
             ProtocolError::MissingConnectionUpgradeHeader
             | ProtocolError::MissingUpgradeWebSocketHeader
             | ProtocolError::MissingSecWebSocketVersionHeader,
-        ) => NotLetIn::new(426, "only WebSocket, version 13 (RFC 6455), is spoken here"),
-        Error::Capacity(CapacityError::TooManyHeaders) => NotLetIn::new(431, "too many header fields"),
-        error => NotLetIn::new(400, error.to_string()),
+        ) => HandshakeRejection::new(426, "only WebSocket, version 13 (RFC 6455), is spoken here"),
+        Error::Capacity(CapacityError::TooManyHeaders) => {
+            HandshakeRejection::new(431, "too many header fields")
+        }
+        error => HandshakeRejection::new(400, error.to_string()),
     }
 }
 
@@ -156,12 +166,12 @@
         Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\
         Sec-WebSocket-Protocol: other, mintstall.calls.v1\r\n\r\n";
 
-    fn knock(head: &str) -> Result<Vec<u8>, NotLetIn> {
+    fn knock(head: &str) -> Result<Vec<u8>, HandshakeRejection> {
         let origins = ["https://ours.example".to_string()].into();
-        match Door::default().push(head.as_bytes(), &origins) {
-            Knock::More => panic!("not whole"),
-            Knock::Wants(wish) => Ok(std::mem::take(wish.let_in(100).out())),
-            Knock::Turned(why) => Err(why),
+        match ServerHandshake::default().push(head.as_bytes(), &origins) {
+            ServerHandshakeState::Incomplete => panic!("not whole"),
+            ServerHandshakeState::Valid(wish) => Ok(std::mem::take(wish.accept(100).out())),
+            ServerHandshakeState::Rejected(why) => Err(why),
         }
     }
 
@@ -173,9 +183,15 @@
         assert!(response.contains("sec-websocket-accept: s3pplmbitxaq9kygzzhzrbk+xoo=\r\n"), "{response}");
         assert!(response.contains("sec-websocket-protocol: mintstall.calls.v1\r\n"), "{response}");
         for cut in 1..HEAD.len() {
-            let mut door = Door::default();
-            assert!(matches!(door.push(&HEAD.as_bytes()[..cut], &BTreeSet::new()), Knock::More));
-            assert!(matches!(door.push(&HEAD.as_bytes()[cut..], &BTreeSet::new()), Knock::Wants(_)));
+            let mut door = ServerHandshake::default();
+            assert!(matches!(
+                door.push(&HEAD.as_bytes()[..cut], &BTreeSet::new()),
+                ServerHandshakeState::Incomplete
+            ));
+            assert!(matches!(
+                door.push(&HEAD.as_bytes()[cut..], &BTreeSet::new()),
+                ServerHandshakeState::Valid(_)
+            ));
         }
     }
 
@@ -205,7 +221,7 @@
 
     #[test]
     fn who_is_turned_away_is_told_when_to_come_back() {
-        let why = NotLetIn { status: 503, why: "full".into(), retry_after_s: Some(2) };
+        let why = HandshakeRejection { status: 503, why: "full".into(), retry_after_s: Some(2) };
         let text = String::from_utf8(why.octets()).unwrap();
         assert!(
             text.contains("\r\nRetry-After: 2\r\n") && text.ends_with("Content-Length: 5\r\n\r\nfull\n"),
--- a/crates/websocket/tests/both_ends.rs
+++ b/crates/websocket/tests/both_ends.rs
@@ -2,56 +2,63 @@
 
 use std::collections::BTreeSet;
 
-use mintstall_websocket::{Dialled, Door, End, Ended, Event, Knock, Progress, TurnedAway, close};
+use mintstall_websocket::{
+    ClientHandshake, ClientHandshakeError, ClientHandshakeState, CloseInfo, ServerHandshake,
+    ServerHandshakeState, WebSocketConnection, WebSocketEvent, close,
+};
 
 const LONGEST: usize = 1000;
 
 /// Both ends, open. `cut`: octets handed over at a time.
-fn open(cut: usize) -> (End, End) {
-    let (mut dialled, request) = Dialled::new("127.0.0.1:9".parse().unwrap(), LONGEST).unwrap();
-    let mut door = Door::default();
+fn open(cut: usize) -> (WebSocketConnection, WebSocketConnection) {
+    let (mut dialled, request) = ClientHandshake::new("127.0.0.1:9".parse().unwrap(), LONGEST).unwrap();
+    let mut door = ServerHandshake::default();
     let mut server = None;
     for part in request.chunks(cut) {
         match door.push(part, &BTreeSet::new()) {
-            Knock::Wants(wish) => server = Some(wish.let_in(LONGEST)),
-            Knock::More => {}
-            Knock::Turned(why) => panic!("{why:?}"),
+            ServerHandshakeState::Valid(wish) => server = Some(wish.accept(LONGEST)),
+            ServerHandshakeState::Incomplete => {}
+            ServerHandshakeState::Rejected(why) => panic!("{why:?}"),
         }
     }
     let mut server = server.unwrap();
     // Said at once: it comes with the response.
-    server.say("first");
+    server.send_text("first");
     let mut client = None;
     let mut early = Vec::new();
     for part in std::mem::take(server.out()).chunks(cut) {
         match (&mut client, dialled_push(&mut dialled, &early, part)) {
             (None, Some(mut open)) => {
-                open.octets(&[], &mut |event| early.push(event));
+                open.on_octets(&[], &mut |event| early.push(event));
                 client = Some(open);
             }
-            (Some(client), _) => client.octets(part, &mut |event| early.push(event)),
+            (Some(client), _) => client.on_octets(part, &mut |event| early.push(event)),
             (None, None) => {}
         }
     }
-    assert_eq!(early, [Event::Text("first".into())]);
+    assert_eq!(early, [WebSocketEvent::Text("first".into())]);
     (server, *client.unwrap())
 }
 
-fn dialled_push(dialled: &mut Dialled, early: &[Event], part: &[u8]) -> Option<Box<End>> {
+fn dialled_push(
+    dialled: &mut ClientHandshake,
+    early: &[WebSocketEvent],
+    part: &[u8],
+) -> Option<Box<WebSocketConnection>> {
     if !early.is_empty() {
         return None;
     }
     match dialled.push(part) {
-        Progress::Open(end) => Some(end),
-        Progress::More => None,
-        Progress::Turned(why) => panic!("{why}"),
+        ClientHandshakeState::Open(end) => Some(end),
+        ClientHandshakeState::Incomplete => None,
+        ClientHandshakeState::Rejected(why) => panic!("{why}"),
     }
 }
 
-fn pass(from: &mut End, to: &mut End, cut: usize) -> Vec<Event> {
+fn pass(from: &mut WebSocketConnection, to: &mut WebSocketConnection, cut: usize) -> Vec<WebSocketEvent> {
     let mut heard = Vec::new();
     for part in std::mem::take(from.out()).chunks(cut) {
-        to.octets(part, &mut |event| heard.push(event));
+        to.on_octets(part, &mut |event| heard.push(event));
     }
     heard
 }
@@ -61,12 +68,15 @@
     for cut in [3, 4096] {
         let (mut server, mut client) = open(cut);
         let long = "ü".repeat(LONGEST / 2);
-        client.say("one");
-        client.say(&long);
-        assert_eq!(pass(&mut client, &mut server, cut), [Event::Text("one".into()), Event::Text(long)]);
+        client.send_text("one");
+        client.send_text(&long);
+        assert_eq!(
+            pass(&mut client, &mut server, cut),
+            [WebSocketEvent::Text("one".into()), WebSocketEvent::Text(long)]
+        );
         server.ping();
-        assert_eq!(pass(&mut server, &mut client, cut), [Event::Alive]);
-        assert_eq!(pass(&mut client, &mut server, cut), [Event::Alive], "a ping is answered");
+        assert_eq!(pass(&mut server, &mut client, cut), [WebSocketEvent::PingOrPong]);
+        assert_eq!(pass(&mut client, &mut server, cut), [WebSocketEvent::PingOrPong], "a ping is answered");
     }
 }
 
@@ -74,14 +84,14 @@
 fn closing_is_answered_and_the_reason_told_on_both_sides() {
     let (mut server, mut client) = open(4096);
     server.close(close::GOING_AWAY, &"ä".repeat(100));
-    server.say("too late");
+    server.send_text("too late");
     assert!(server.closing() && server.ended().is_none());
     pass(&mut server, &mut client, 4096);
     let told = client.ended().unwrap();
     assert_eq!((told.code, told.by_far_end, told.reason.as_str()), (1001, true, "ä".repeat(61).as_str()));
     pass(&mut client, &mut server, 4096);
     assert!(!server.ended().unwrap().by_far_end);
-    server.say("nothing after the end");
+    server.send_text("nothing after the end");
     assert_eq!(server.out(), &Vec::<u8>::new());
 }
 
@@ -104,10 +114,10 @@
 const LAST: u8 = 0x80;
 
 /// What the server hears of such octets, and how it ended.
-fn server_hears(octets: &[u8]) -> (Vec<Event>, Option<Ended>, Vec<u8>) {
+fn server_hears(octets: &[u8]) -> (Vec<WebSocketEvent>, Option<CloseInfo>, Vec<u8>) {
     let (mut server, _) = open(4096);
     let mut heard = Vec::new();
-    server.octets(octets, &mut |event| heard.push(event));
+    server.on_octets(octets, &mut |event| heard.push(event));
     let out = std::mem::take(server.out());
     (heard, server.ended().cloned(), out)
 }
@@ -116,7 +126,7 @@
 fn fragments_are_one_text_and_a_ping_between_them_is_answered() {
     let octets = [frame(TEXT, b"one "), frame(LAST | 0x9, b"?"), frame(LAST, b"text")].concat();
     let (heard, ended, out) = server_hears(&octets);
-    assert_eq!(heard, [Event::Alive, Event::Text("one text".into())]);
+    assert_eq!(heard, [WebSocketEvent::PingOrPong, WebSocketEvent::Text("one text".into())]);
     assert_eq!((ended, out), (None, vec![LAST | 0xA, 1, b'?']));
 }
 
@@ -147,24 +157,28 @@
 fn what_comes_after_a_fault_is_not_heard() {
     let (mut server, _) = open(4096);
     let mut heard = Vec::new();
-    server.octets(&frame(LAST | 0x2, b"binary"), &mut |event| heard.push(event));
-    server.octets(&frame(LAST | TEXT, b"text"), &mut |event| heard.push(event));
+    server.on_octets(&frame(LAST | 0x2, b"binary"), &mut |event| heard.push(event));
+    server.on_octets(&frame(LAST | TEXT, b"text"), &mut |event| heard.push(event));
     assert_eq!(heard, []);
 }
 
 #[test]
 fn a_client_is_told_why_it_is_turned_away() {
-    let (mut dialled, _) = Dialled::new("127.0.0.1:9".parse().unwrap(), LONGEST).unwrap();
-    let why = mintstall_websocket::NotLetIn { status: 503, why: "full".into(), retry_after_s: Some(3) };
+    let (mut dialled, _) = ClientHandshake::new("127.0.0.1:9".parse().unwrap(), LONGEST).unwrap();
+    let why =
+        mintstall_websocket::HandshakeRejection { status: 503, why: "full".into(), retry_after_s: Some(3) };
     let octets = why.octets();
-    assert!(matches!(dialled.push(&octets[..octets.len() - 2]), Progress::More));
-    let Progress::Turned(turned) = dialled.push(&octets[octets.len() - 2..]) else {
+    assert!(matches!(dialled.push(&octets[..octets.len() - 2]), ClientHandshakeState::Incomplete));
+    let ClientHandshakeState::Rejected(turned) = dialled.push(&octets[octets.len() - 2..]) else {
         panic!("not turned away")
     };
-    assert_eq!(turned.come_back(), Some(std::time::Duration::from_secs(3)));
-    assert!(matches!(turned, TurnedAway::Status { status: 503, why, .. } if why == "full"));
+    assert_eq!(turned.retry_after(), Some(std::time::Duration::from_secs(3)));
+    assert!(matches!(turned, ClientHandshakeError::Status { status: 503, why, .. } if why == "full"));
     for answer in ["nonsense\r\n\r\n", "HTTP/1.1 101 x\r\nSec-WebSocket-Accept: other\r\n\r\n"] {
-        let (mut dialled, _) = Dialled::new("127.0.0.1:9".parse().unwrap(), LONGEST).unwrap();
-        assert!(matches!(dialled.push(answer.as_bytes()), Progress::Turned(TurnedAway::NoServer(_))));
+        let (mut dialled, _) = ClientHandshake::new("127.0.0.1:9".parse().unwrap(), LONGEST).unwrap();
+        assert!(matches!(
+            dialled.push(answer.as_bytes()),
+            ClientHandshakeState::Rejected(ClientHandshakeError::NoServer(_))
+        ));
     }
 }
