--- a/crates/callapi/src/lib.rs
+++ b/crates/callapi/src/lib.rs
@@ -1,10 +1,10 @@
 //! Call-control messages: JSON-RPC 2.0 texts to types and back, without I/O.
 //!
-//! A subscriber line carries one text a line ([`LineCutter`]), a WebSocket connection one a message. A call is named by its
+//! A subscriber line carries one text a line ([`LineDecoder`]), a WebSocket connection one a message. A call is named by its
 //! client's own number, unique in its session; answers also tell the number that the exchange gave it. The reference for
 //! those who write clients is `docs/call-control.md`; its examples are read by the tests here.
 
-mod lines;
+mod line_decoder;
 mod schema;
 
 use std::borrow::Cow;
@@ -15,7 +15,7 @@
 use serde_json::value::RawValue;
 use serde_json::{Value, json};
 
-pub use lines::{LineCutter, LineTooLong};
+pub use line_decoder::{LineDecoder, LineTooLong};
 pub use schema::schema;
 
 /// `call.offer`: asks for a call. Its result is the call's one final answer.
@@ -111,13 +111,14 @@
     /// The number that the exchange gave it; 0 while it waits for its turn.
     pub exchange_call: u64,
     #[serde(flatten)]
-    pub state: State,
+    pub state: CallStatus,
 }
 
 /// Where a call is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "state", rename_all = "snake_case")]
-pub enum State {
+#[schemars(rename = "State")]
+pub enum CallStatus {
     /// For its turn.
     Waits,
     /// A route is looked for, or tried.
@@ -125,7 +126,7 @@
     Stands,
     /// It is not in hand any more; its final answer was this.
     Over {
-        answer: Final,
+        answer: FinalAnswer,
     },
 }
 
@@ -147,7 +148,8 @@
 
 /// The result of `session.hello`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct Welcome {
+#[schemars(rename = "Welcome")]
+pub struct HelloResult {
     pub server: String,
     pub version: String,
     pub exchange: u16,
@@ -189,7 +191,8 @@
 
 /// The result of `call.hangup` and `call.cancel`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct Done {
+#[schemars(rename = "Done")]
+pub struct CallAck {
     pub call: u64,
 }
 
@@ -224,7 +227,7 @@
 
 /// A request and the id by which its reply names it; without one no reply is given.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct RequestMessage {
     pub id: Option<Value>,
     pub request: Request,
 }
@@ -232,7 +235,8 @@
 /// The final answer of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "answer", rename_all = "snake_case")]
-pub enum Final {
+#[schemars(rename = "Final")]
+pub enum FinalAnswer {
     Stands,
     /// Nothing was carried out. The caller is asked to stay away for so long, milliseconds (0: no word).
     Refused {
@@ -243,12 +247,13 @@
 
 /// The result of `call.offer`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct Answered {
+#[schemars(rename = "Answered")]
+pub struct OfferResult {
     pub call: u64,
     /// The number that the exchange gave the call.
     pub exchange_call: u64,
     #[serde(flatten)]
-    pub answer: Final,
+    pub answer: FinalAnswer,
 }
 
 /// What `call.news` tells of a call.
@@ -257,12 +262,14 @@
     pub exchange_call: u64,
     pub customer: u16,
     #[serde(flatten)]
-    pub what: Happened,
+    pub what: CallEventKind,
 }
 
 /// Notification `call.news`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct NewsNote {
+#[schemars(rename = "NewsNote")]
+#[serde(expecting = "struct NewsNote")]
+pub struct CallNewsNotification {
     /// One more than that of the event before, whether or not this session may see that one.
     pub number: u64,
     pub event: CallEvent,
@@ -270,21 +277,26 @@
 
 /// Notification `call.news.missed`: so many events were more than are kept for a slow reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct MissedNote {
+#[schemars(rename = "MissedNote")]
+#[serde(expecting = "struct MissedNote")]
+pub struct NewsMissedNotification {
     pub count: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
-pub enum Happened {
-    Answered(Final),
-    Ended { ended: How },
+#[schemars(rename = "Happened")]
+#[serde(expecting = "data did not match any variant of untagged enum Happened")]
+pub enum CallEventKind {
+    Answered(FinalAnswer),
+    Ended { ended: EndReason },
 }
 
 /// How a standing call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+#[schemars(rename = "How")]
+pub enum EndReason {
     HungUp,
     Released,
     Cut,
@@ -292,14 +304,16 @@
 
 /// Notification `call.ended`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct EndedNote {
+#[schemars(rename = "EndedNote")]
+#[serde(expecting = "struct EndedNote")]
+pub struct CallEndedNotification {
     pub call: u64,
-    pub how: How,
+    pub how: EndReason,
 }
 
 /// Why a request was not carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct RpcError {
     pub code: i32,
     pub text: String,
     /// When it may be asked again, milliseconds from now.
@@ -343,23 +357,23 @@
     ];
 }
 
-impl Fault {
+impl RpcError {
     pub fn new(code: i32, text: impl Into<String>) -> Self {
         Self { code, text: text.into(), come_back_ms: None }
     }
 }
 
-impl Asked {
+impl RequestMessage {
     /// Reads one text; a fault comes with the id to reply to, null where it can't be known.
-    pub fn read(text: &[u8]) -> Result<Self, (Value, Fault)> {
+    pub fn read(text: &[u8]) -> Result<Self, (Value, RpcError)> {
         let raw: RawAsked = match serde_json::from_slice(text) {
             Ok(raw) => raw,
-            Err(error) => return Err((Value::Null, Fault::new(shape(text), error.to_string()))),
+            Err(error) => return Err((Value::Null, RpcError::new(shape(text), error.to_string()))),
         };
         let id = raw.id.map(|id| serde_json::from_str::<Value>(id.get()).unwrap_or(Value::Null));
-        let fail = |code, text: &str| (id.clone().unwrap_or(Value::Null), Fault::new(code, text));
+        let fail = |code, text: &str| (id.clone().unwrap_or(Value::Null), RpcError::new(code, text));
         if !matches!(id, None | Some(Value::Null | Value::String(_) | Value::Number(_))) {
-            return Err((Value::Null, Fault::new(code::INVALID_REQUEST, "id is neither text nor number")));
+            return Err((Value::Null, RpcError::new(code::INVALID_REQUEST, "id is neither text nor number")));
         }
         if raw.jsonrpc.as_deref() != Some("2.0") {
             return Err(fail(code::INVALID_REQUEST, "jsonrpc is not \"2.0\""));
@@ -431,7 +445,7 @@
     text(&Text { jsonrpc: "2.0", id, result })
 }
 
-pub fn fault_text(id: &Value, fault: &Fault) -> String {
+pub fn error_text(id: &Value, fault: &RpcError) -> String {
     let mut error = json!({ "code": fault.code, "message": fault.text });
     if let Some(wait) = fault.come_back_ms {
         error["data"] = json!({ "come_back_ms": wait });
@@ -440,7 +454,7 @@
 }
 
 /// Any notification.
-pub fn notice_text(method: &str, params: impl Serialize) -> String {
+pub fn notification_text(method: &str, params: impl Serialize) -> String {
     #[derive(Serialize)]
     struct Text<'a, P> {
         jsonrpc: &'static str,
@@ -450,14 +464,14 @@
     text(&Text { jsonrpc: "2.0", method, params })
 }
 
-pub fn ended_text(note: &EndedNote) -> String {
-    notice_text("call.ended", note)
+pub fn ended_text(note: &CallEndedNotification) -> String {
+    notification_text("call.ended", note)
 }
 
 /// What comes back: a result, a fault, or a notification.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
-    Answered(Answered),
+pub enum ServerMessage {
+    Answered(OfferResult),
     /// A result that is no answer of a call: the request's id and what it says.
     Result {
         id: Value,
@@ -469,14 +483,14 @@
         message: String,
         come_back_ms: Option<u64>,
     },
-    Ended(EndedNote),
-    News(NewsNote),
-    Missed(MissedNote),
+    Ended(CallEndedNotification),
+    News(CallNewsNotification),
+    Missed(NewsMissedNotification),
     /// A notification that this version does not know: passed over.
     Other(String),
 }
 
-impl Heard {
+impl ServerMessage {
     pub fn read(text: &[u8]) -> serde_json::Result<Self> {
         #[derive(Deserialize)]
         struct Raw<'a> {
@@ -526,15 +540,16 @@
     #[test]
     fn an_offer_is_read_and_written_the_same() {
         let text = br#"{"jsonrpc":"2.0","id":7,"method":"call.offer","params":{"call":1,"dest":4,"number":55,"time_left_ms":3000}}"#;
-        let asked = Asked::read(text).unwrap();
+        let asked = RequestMessage::read(text).unwrap();
         assert!(matches!(&asked.request, Request::Offer(offer) if offer.dest == 4 && offer.call_type == 0));
-        assert_eq!(Asked::read(asked.text().as_bytes()).unwrap(), asked);
+        assert_eq!(RequestMessage::read(asked.text().as_bytes()).unwrap(), asked);
     }
 
     #[test]
     fn each_kind_of_bad_text_has_its_code_and_the_id_to_reply_to() {
-        let code =
-            |text: &str| Asked::read(text.as_bytes()).map_err(|(id, fault)| (id, fault.code)).unwrap_err();
+        let code = |text: &str| {
+            RequestMessage::read(text.as_bytes()).map_err(|(id, fault)| (id, fault.code)).unwrap_err()
+        };
         assert_eq!(code("{"), (Value::Null, code::PARSE));
         assert_eq!(code("[]"), (Value::Null, code::INVALID_REQUEST));
         assert_eq!(code(r#"{"id":3,"method":"call.offer"}"#), (json!(3), code::INVALID_REQUEST));
@@ -545,10 +560,14 @@
 
     #[test]
     fn answers_and_ends_are_heard_as_said() {
-        let answer = Answered { call: 3, exchange_call: 9, answer: Final::Refused { come_back_ms: 500 } };
-        assert_eq!(Heard::read(result_text(&json!(3), answer).as_bytes()).unwrap(), Heard::Answered(answer));
-        let note = EndedNote { call: 3, how: How::Cut };
-        assert_eq!(Heard::read(ended_text(&note).as_bytes()).unwrap(), Heard::Ended(note));
+        let answer =
+            OfferResult { call: 3, exchange_call: 9, answer: FinalAnswer::Refused { come_back_ms: 500 } };
+        assert_eq!(
+            ServerMessage::read(result_text(&json!(3), answer).as_bytes()).unwrap(),
+            ServerMessage::Answered(answer)
+        );
+        let note = CallEndedNotification { call: 3, how: EndReason::Cut };
+        assert_eq!(ServerMessage::read(ended_text(&note).as_bytes()).unwrap(), ServerMessage::Ended(note));
     }
 
     /// The reference's examples, by direction.
@@ -561,7 +580,8 @@
     fn each_method_of_the_reference_is_read_as_it_stands_there_and_none_is_left_out() {
         let mut methods = std::collections::BTreeSet::new();
         for text in examples("--> ") {
-            let asked = Asked::read(text.as_bytes()).unwrap_or_else(|(_, fault)| panic!("{text}: {fault:?}"));
+            let asked = RequestMessage::read(text.as_bytes())
+                .unwrap_or_else(|(_, fault)| panic!("{text}: {fault:?}"));
             // Written back it says the same.
             let (was, is): (Value, Value) =
                 (serde_json::from_str(text).unwrap(), serde_json::from_str(&asked.text()).unwrap());
@@ -586,26 +606,26 @@
         let (mut codes, mut notices) = (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
         for text in examples("<-- ") {
             let shown: Value = serde_json::from_str(text).unwrap();
-            Heard::read(text.as_bytes()).unwrap();
+            ServerMessage::read(text.as_bytes()).unwrap();
             if let Some(code) = shown["error"]["code"].as_i64() {
                 codes.insert(code as i32);
             }
             if let Some(method) = shown["method"].as_str() {
                 notices.insert(method.to_string());
                 match method {
-                    "call.ended" => same::<EndedNote>(&shown["params"]),
-                    "call.news" => same::<NewsNote>(&shown["params"]),
-                    _ => same::<MissedNote>(&shown["params"]),
+                    "call.ended" => same::<CallEndedNotification>(&shown["params"]),
+                    "call.news" => same::<CallNewsNotification>(&shown["params"]),
+                    _ => same::<NewsMissedNotification>(&shown["params"]),
                 }
             }
             let Some(result) = shown.get("result") else { continue };
             match result.as_object().unwrap() {
-                of if of.contains_key("server") => same::<Welcome>(result),
+                of if of.contains_key("server") => same::<HelloResult>(result),
                 of if of.contains_key("state") => same::<CallState>(result),
-                of if of.contains_key("answer") => same::<Answered>(result),
+                of if of.contains_key("answer") => same::<OfferResult>(result),
                 of if of.contains_key("cursor") => same::<Subscribed>(result),
                 of if of.contains_key("traces") => same::<Traced>(result),
-                _ => same::<Done>(result),
+                _ => same::<CallAck>(result),
             }
         }
         assert_eq!(codes, code::ALL.iter().map(|(code, _)| *code).collect());
--- a/crates/callapi/src/lines.rs
+++ b/crates/callapi/src/line_decoder.rs
@@ -8,13 +8,13 @@
 
 /// Holds at most what was pushed last and one unfinished line.
 #[derive(Debug)]
-pub struct LineCutter {
+pub struct LineDecoder {
     held: Vec<u8>,
     used: usize,
     most: usize,
 }
 
-impl LineCutter {
+impl LineDecoder {
     pub fn new(most: usize) -> Self {
         Self { held: Vec::new(), used: 0, most }
     }
@@ -54,7 +54,7 @@
     fn lines_are_the_same_however_they_are_cut() {
         let text = b"one\r\n\ntwo\nthree\n";
         for cut in 0..text.len() {
-            let mut lines = LineCutter::new(10);
+            let mut lines = LineDecoder::new(10);
             let mut seen = Vec::new();
             for part in [&text[..cut], &text[cut..]] {
                 lines.push(part);
@@ -68,7 +68,7 @@
 
     #[test]
     fn a_line_without_end_is_turned_down_and_not_held() {
-        let mut lines = LineCutter::new(4);
+        let mut lines = LineDecoder::new(4);
         lines.push(b"12345");
         assert_eq!(lines.next(), Err(LineTooLong(4)));
     }
--- a/crates/callapi/src/schema.rs
+++ b/crates/callapi/src/schema.rs
@@ -4,8 +4,8 @@
 use serde_json::{Value, json};
 
 use crate::{
-    Answered, CallState, Cancel, Done, EndedNote, Get, Hangup, Hello, MissedNote, NewsNote, Offer, Subscribe,
-    Subscribed, TraceGet, Traced, Welcome, code,
+    CallAck, CallEndedNotification, CallNewsNotification, CallState, Cancel, Get, Hangup, Hello, HelloResult,
+    NewsMissedNotification, Offer, OfferResult, Subscribe, Subscribed, TraceGet, Traced, code,
 };
 
 /// All methods with their parameters and results, notifications, and error codes; types under `$defs`.
@@ -15,18 +15,18 @@
         json!({ "params": types.subschema_for::<P>(), "result": types.subschema_for::<R>() })
     }
     let methods = json!({
-        "session.hello": method::<Hello, Welcome>(&mut types),
-        "call.offer": method::<Offer, Answered>(&mut types),
-        "call.cancel": method::<Cancel, Done>(&mut types),
-        "call.hangup": method::<Hangup, Done>(&mut types),
+        "session.hello": method::<Hello, HelloResult>(&mut types),
+        "call.offer": method::<Offer, OfferResult>(&mut types),
+        "call.cancel": method::<Cancel, CallAck>(&mut types),
+        "call.hangup": method::<Hangup, CallAck>(&mut types),
         "call.get": method::<Get, CallState>(&mut types),
         "calls.subscribe": method::<Subscribe, Subscribed>(&mut types),
         "trace.get": method::<TraceGet, Traced>(&mut types),
     });
     let notifications = json!({
-        "call.ended": types.subschema_for::<EndedNote>(),
-        "call.news": types.subschema_for::<NewsNote>(),
-        "call.news.missed": types.subschema_for::<MissedNote>(),
+        "call.ended": types.subschema_for::<CallEndedNotification>(),
+        "call.news": types.subschema_for::<CallNewsNotification>(),
+        "call.news.missed": types.subschema_for::<NewsMissedNotification>(),
     });
     let errors: Vec<Value> =
         code::ALL.iter().map(|(code, meaning)| json!({ "code": code, "meaning": meaning })).collect();
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -134,7 +134,7 @@
 
 #[cfg(test)]
 mod tests {
-    use mintstall_callapi::Final;
+    use mintstall_callapi::FinalAnswer;
 
     use super::*;
 
@@ -143,7 +143,7 @@
         let day = Day::default();
         let report = |broken: bool| {
             let mut auditor = Auditor::new(&day.rules, Duration::ZERO, Duration::ZERO);
-            let answer = Seen::Answered { office: 1, call: 1, exchange_call: 1, answer: Final::Fails };
+            let answer = Seen::Answered { office: 1, call: 1, exchange_call: 1, answer: FinalAnswer::Fails };
             if broken {
                 auditor.saw(Duration::ZERO, answer);
             }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -4,7 +4,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use mintstall_callapi::{Answered, CallState, Final, Get, Offer, Request, TraceGet, Traced, Welcome};
+use mintstall_callapi::{
+    CallState, FinalAnswer, Get, HelloResult, Offer, OfferResult, Request, TraceGet, Traced,
+};
 use mintstall_limits::{RedialBudget, RedialDenied};
 use rand::Rng;
 use serde::de::DeserializeOwned;
@@ -45,14 +47,14 @@
     Lost,
 }
 
-impl From<Answered> for Outcome {
-    fn from(Answered { exchange_call, answer, .. }: Answered) -> Self {
+impl From<OfferResult> for Outcome {
+    fn from(OfferResult { exchange_call, answer, .. }: OfferResult) -> Self {
         match answer {
-            Final::Stands => Self::Stands { exchange_call },
-            Final::Refused { come_back_ms } => {
+            FinalAnswer::Stands => Self::Stands { exchange_call },
+            FinalAnswer::Refused { come_back_ms } => {
                 Self::Refused { come_back: Duration::from_millis(come_back_ms.into()) }
             }
-            Final::Fails => Self::Fails,
+            FinalAnswer::Fails => Self::Fails,
         }
     }
 }
@@ -79,7 +81,7 @@
     stream: Option<TcpStream>,
     start: Instant,
     last_call: u64,
-    welcome: Option<Welcome>,
+    welcome: Option<HelloResult>,
     /// Events that came while another was waited for.
     kept: Vec<Event>,
     buffer: Vec<u8>,
@@ -129,7 +131,7 @@
     }
 
     /// What the server said of itself when the session was last opened.
-    pub fn welcome(&self) -> Option<&Welcome> {
+    pub fn welcome(&self) -> Option<&HelloResult> {
         self.welcome.as_ref()
     }
 
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 
 use mintstall_callapi::{
-    Answered, Asked, CallState, Cancel, EndedNote, Final, Hangup, Heard, Hello, How, MissedNote, NewsNote,
-    Offer, Request, State as CallIs, Subscribe, Subscribed, Welcome, code,
+    CallEndedNotification, CallNewsNotification, CallState, CallStatus, Cancel, EndReason, FinalAnswer,
+    Hangup, Hello, HelloResult, NewsMissedNotification, Offer, OfferResult, Request, RequestMessage,
+    ServerMessage, Subscribe, Subscribed, code,
 };
 use mintstall_limits::{
     CallNumberInUse, CallTable, ConnectionMonitor, ConnectionTimeouts, MonitorAction, ReconciledCalls,
@@ -59,7 +60,7 @@
     /// It is open; `taken_up`: it is the session of before.
     Up {
         taken_up: bool,
-        welcome: Box<Welcome>,
+        welcome: Box<HelloResult>,
     },
     /// The connection is gone, or was not to be had; it is dialled again by itself.
     Down {
@@ -70,11 +71,11 @@
         why: String,
     },
     /// A call's one final answer.
-    Answered(Answered),
+    Answered(OfferResult),
     /// A standing call ended; `None`: while the connection was gone, how is not known.
     Ended {
         call: u64,
-        how: Option<How>,
+        how: Option<EndReason>,
     },
     /// What became of a call can't be told any more: its session is over, or no answer came in time.
     Lost {
@@ -86,8 +87,8 @@
         code: i64,
         why: String,
     },
-    News(NewsNote),
-    Missed(MissedNote),
+    News(CallNewsNotification),
+    Missed(NewsMissedNotification),
     /// What [`Session::ask`] asked for.
     Reply {
         ask: u64,
@@ -348,7 +349,7 @@
     }
 
     fn text(&mut self, now: Duration, text: &str) {
-        let heard = match Heard::read(text.as_bytes()) {
+        let heard = match ServerMessage::read(text.as_bytes()) {
             Ok(heard) => heard,
             Err(error) => {
                 if let Link::Greeting(end) | Link::Open(end) = &mut self.link {
@@ -358,20 +359,20 @@
             }
         };
         match heard {
-            Heard::Answered(answered) => self.answered(answered),
-            Heard::Ended(EndedNote { call, how }) => {
+            ServerMessage::Answered(answered) => self.answered(answered),
+            ServerMessage::Ended(CallEndedNotification { call, how }) => {
                 if self.book.over(call) {
                     self.events.push_back(Event::Ended { call, how: Some(how) });
                 }
             }
-            Heard::News(note) => {
+            ServerMessage::News(note) => {
                 self.cursor = Some(note.number + 1);
                 self.events.push_back(Event::News(note));
             }
-            Heard::Missed(note) => self.events.push_back(Event::Missed(note)),
-            Heard::Other(_) => {}
-            Heard::Result { id, result } => self.replied(now, &id, Ok(result)),
-            Heard::Fault { id, code, message, come_back_ms } => match id.as_u64() {
+            ServerMessage::Missed(note) => self.events.push_back(Event::Missed(note)),
+            ServerMessage::Other(_) => {}
+            ServerMessage::Result { id, result } => self.replied(now, &id, Ok(result)),
+            ServerMessage::Fault { id, code, message, come_back_ms } => match id.as_u64() {
                 Some(call) => self.offer_fault(call, code, message, come_back_ms),
                 None => self.replied(now, &id, Err((code, message))),
             },
@@ -384,8 +385,8 @@
         }
     }
 
-    fn answered(&mut self, answered: Answered) {
-        if self.book.answered(answered.call, answered.answer == Final::Stands) {
+    fn answered(&mut self, answered: OfferResult) {
+        if self.book.answered(answered.call, answered.answer == FinalAnswer::Stands) {
             self.events.push_back(Event::Answered(answered));
         }
     }
@@ -393,8 +394,8 @@
     fn offer_fault(&mut self, call: u64, code: i64, why: String, come_back_ms: Option<u64>) {
         if code == i64::from(code::TOO_FAST) {
             let come_back_ms = come_back_ms.map_or(0, |ms| u32::try_from(ms).unwrap_or(u32::MAX));
-            let answer = Final::Refused { come_back_ms };
-            return self.answered(Answered { call, exchange_call: 0, answer });
+            let answer = FinalAnswer::Refused { come_back_ms };
+            return self.answered(OfferResult { call, exchange_call: 0, answer });
         }
         if self.book.over(call) {
             self.events.push_back(Event::Fault { call, code, why });
@@ -422,7 +423,7 @@
             (Asking::Subscribe, Err((code, why))) => match self.cursor.take() {
                 // Too old, or another server's: from now on, and the gap is told.
                 Some(_) if code == i64::from(code::INVALID_PARAMS) => {
-                    self.events.push_back(Event::Missed(MissedNote { count: 0 }));
+                    self.events.push_back(Event::Missed(NewsMissedNotification { count: 0 }));
                     self.say(Asking::Subscribe, Request::Subscribe(Subscribe { cursor: None }));
                 }
                 _ => {
@@ -436,7 +437,7 @@
     }
 
     fn welcome(&mut self, now: Duration, welcome: Value) {
-        let welcome: Welcome = match serde_json::from_value(welcome) {
+        let welcome: HelloResult = match serde_json::from_value(welcome) {
             Ok(welcome) => welcome,
             Err(error) => return self.down(now, &format!("its welcome makes no sense: {error}"), None),
         };
@@ -465,7 +466,7 @@
     fn settle(&mut self, now: Duration) {
         let Some((_, there)) = self.settling.take() else { return };
         let in_hand = |state: &CallState| match state.state {
-            CallIs::Stands => ServerCallState::Standing,
+            CallStatus::Stands => ServerCallState::Standing,
             _ => ServerCallState::Unanswered,
         };
         let states = there.iter().map(|(call, state)| (*call, in_hand(state))).collect();
@@ -484,7 +485,11 @@
         let ReconciledCalls { send, stand, over, lost } = settled;
         for call in stand {
             let exchange_call = there.get(&call).map_or(0, |state| state.exchange_call);
-            self.events.push_back(Event::Answered(Answered { call, exchange_call, answer: Final::Stands }));
+            self.events.push_back(Event::Answered(OfferResult {
+                call,
+                exchange_call,
+                answer: FinalAnswer::Stands,
+            }));
         }
         self.events.extend(over.into_iter().map(|call| Event::Ended { call, how: None }));
         self.events.extend(lost.into_iter().map(|call| Event::Lost { call }));
@@ -520,7 +525,7 @@
         let Some((offer, left)) = self.book.asked(now, call) else { return };
         let offer = Offer { time_left_ms: left.as_millis() as u32, ..offer.clone() };
         let Link::Open(end) = &mut self.link else { return };
-        end.send_text(&Asked { id: Some(json!(call)), request: Request::Offer(offer) }.text());
+        end.send_text(&RequestMessage { id: Some(json!(call)), request: Request::Offer(offer) }.text());
         self.book.sent(call);
     }
 
@@ -576,7 +581,7 @@
         if self.asked.len() < MOST_ASKED {
             self.asked.insert(ask, asking);
         }
-        end.send_text(&Asked { id: Some(json!(format!("a{ask}"))), request }.text());
+        end.send_text(&RequestMessage { id: Some(json!(format!("a{ask}"))), request }.text());
         ask
     }
 
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -7,9 +7,10 @@
     CallId, CallType, CustomerNo, Dialled, ExchangeId, OfficeNo, RosterLine, Standing as HostStanding, Zone,
 };
 use mintstall_callapi::{
-    Answered, Asked, CallEvent, CallState, CallTrace, Done, EndedNote, Fault, Final, Happened, Hello, How,
-    LineCutter, MissedNote, NewsNote, Offer, Request, SessionLimits, State, Subscribed, TraceGet, Traced,
-    Welcome, code, ended_text, fault_text, notice_text, result_text,
+    CallAck, CallEndedNotification, CallEvent, CallEventKind, CallNewsNotification, CallState, CallStatus,
+    CallTrace, EndReason, FinalAnswer, Hello, HelloResult, LineDecoder, NewsMissedNotification, Offer,
+    OfferResult, Request, RequestMessage, RpcError, SessionLimits, Subscribed, TraceGet, Traced, code,
+    ended_text, error_text, notification_text, result_text,
 };
 use mintstall_isup::Report;
 use mintstall_limits::{
@@ -53,7 +54,7 @@
 const LONGEST_NEWS: usize = 1 << 20;
 
 struct Line {
-    cutter: LineCutter,
+    cutter: LineDecoder,
     /// The session whose it is: that of the connection, or one taken up.
     session: SessionId,
     /// The name of the token that it presented.
@@ -104,11 +105,11 @@
 impl NotOpen {
     /// What is said to it before it is closed.
     pub fn text(&self) -> String {
-        let mut fault = Fault::new(code::TOO_MANY, self.to_string());
+        let mut fault = RpcError::new(code::TOO_MANY, self.to_string());
         if let Self::Later(wait) = self {
             fault.come_back_ms = Some(wait.as_millis() as u64 + 1);
         }
-        fault_text(&Value::Null, &fault)
+        error_text(&Value::Null, &fault)
     }
 }
 
@@ -123,7 +124,7 @@
     admission: Admission<Pending>,
     tokens: Tokens,
     resumable: ResumableSessions,
-    repeats: AnswerCache<Answered>,
+    repeats: AnswerCache<OfferResult>,
     news: EventLog<CallEvent>,
     /// Draws the keys of sessions.
     keys: StdRng,
@@ -136,7 +137,7 @@
     /// What a session that is taken up is told after its welcome. Emptied with it.
     owed_texts: Vec<String>,
     roster: Roster,
-    feed: LineCutter,
+    feed: LineDecoder,
     lines: BTreeMap<LineNo, Line>,
     /// Which line each session has, or had when it was cut. Emptied with the lines.
     sessions: BTreeMap<SessionId, LineNo>,
@@ -214,7 +215,7 @@
             sessions: BTreeMap::new(),
             owed_texts: Vec::new(),
             roster: Roster::new(Limits::default()),
-            feed: LineCutter::new(LONGEST_NEWS),
+            feed: LineDecoder::new(LONGEST_NEWS),
             lines: BTreeMap::new(),
             askers: BTreeMap::new(),
         }
@@ -236,15 +237,18 @@
             asker.progress = if stands { Progress::Stands } else { Progress::Unanswered };
             let answer = final_answer(answer);
             asker.span.in_scope(|| debug!(?answer, "answered"));
-            let answered = Answered { call: asker.call, exchange_call: call.0, answer };
+            let answered = OfferResult { call: asker.call, exchange_call: call.0, answer };
             let (session, customer, line) = (asker.session, asker.customer, asker.line);
             if let Some(id) = &asker.id {
                 let text = result_text(id, answered);
                 self.say(port, line, None, text);
             }
             self.repeats.answered(now, session, answered.call, answered);
-            let event =
-                CallEvent { exchange_call: call.0, customer: customer.0, what: Happened::Answered(answer) };
+            let event = CallEvent {
+                exchange_call: call.0,
+                customer: customer.0,
+                what: CallEventKind::Answered(answer),
+            };
             self.news.push(customer, event);
             let log = &mut |line: &str| port.note(line);
             self.ready.extend(self.admission.answered(now, session, customer, stands, log));
@@ -256,10 +260,10 @@
             if let Some(asker) = self.forget(call) {
                 let how = how_ended(end);
                 asker.span.in_scope(|| debug!(?how, "ended"));
-                let what = Happened::Ended { ended: how };
+                let what = CallEventKind::Ended { ended: how };
                 let event = CallEvent { exchange_call: call.0, customer: asker.customer.0, what };
                 self.news.push(asker.customer, event);
-                let text = ended_text(&EndedNote { call: asker.call, how });
+                let text = ended_text(&CallEndedNotification { call: asker.call, how });
                 self.say(port, asker.line, Some(asker.call), text);
             }
         }
@@ -344,7 +348,7 @@
         match self.admission.open(now) {
             OpenOutcome::Open(SessionId(no)) => {
                 let line = Line {
-                    cutter: LineCutter::new(LONGEST_TEXT),
+                    cutter: LineDecoder::new(LONGEST_TEXT),
                     session: SessionId(no),
                     token: None,
                     backlog: None,
@@ -367,7 +371,7 @@
             DisconnectOutcome::Over => self.end_line(now, port, line),
             DisconnectOutcome::Kept { displaced, .. } => {
                 held.backlog = Some(Backlog::new(self.resume_texts));
-                held.cutter = LineCutter::new(LONGEST_TEXT);
+                held.cutter = LineDecoder::new(LONGEST_TEXT);
                 self.end_sessions(now, port, &displaced);
             }
         }
@@ -414,15 +418,15 @@
         port: &mut dyn Port,
         line: LineNo,
         key: &str,
-    ) -> Result<Vec<CallState>, Fault> {
-        let invalid = |text: &str| Fault::new(code::INVALID_PARAMS, text);
+    ) -> Result<Vec<CallState>, RpcError> {
+        let invalid = |text: &str| RpcError::new(code::INVALID_PARAMS, text);
         let key = u128::from_str_radix(key, 16).map_err(|_| invalid("resume is no session's key"))?;
         let here = self.lines.get(&line).ok_or_else(|| invalid("the line is closed"))?;
         if !here.calls.is_empty() {
             return Err(invalid("a session is taken up before anything else is asked for"));
         }
         let resumed = self.resumable.resume(now, SessionKey(key), here.token.as_deref());
-        let session = resumed.map_err(|error| Fault::new(code::DENIED, error.to_string()))?;
+        let session = resumed.map_err(|error| RpcError::new(code::DENIED, error.to_string()))?;
         if here.session == session {
             return Err(invalid("the session is this connection's own"));
         }
@@ -494,12 +498,13 @@
         port: &mut dyn Port,
         line: LineNo,
         hello: &Hello,
-    ) -> Result<Welcome, Fault> {
-        let held = self.lines.get_mut(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
+    ) -> Result<HelloResult, RpcError> {
+        let held =
+            self.lines.get_mut(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         if self.tokens.asks() {
             let token = hello.token.as_deref().ok_or(AuthError::NoToken);
             let grant = token.and_then(|token| self.tokens.present(token));
-            let grant = grant.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
+            let grant = grant.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
             held.token = Some(grant.name.clone());
         }
         debug!(line = line.0, client = hello.client, token = held.token, "hello");
@@ -507,7 +512,7 @@
             Some(key) => self.take_up(now, port, line, key)?,
             None => Vec::new(),
         };
-        let held = self.lines.get(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
+        let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let mut session = hello.resume.clone();
         if hello.resumable && session.is_none() {
             let key = SessionKey(self.keys.random());
@@ -515,7 +520,7 @@
             session = Some(format!("{:032x}", key.0));
         }
         let limits = self.admission.gate.limits();
-        Ok(Welcome {
+        Ok(HelloResult {
             server: "mintstall".into(),
             version: env!("CARGO_PKG_VERSION").into(),
             exchange: self.office.own().0,
@@ -547,24 +552,24 @@
         let Some(id) = &pending.id else { return };
         match refusal {
             AdmissionError::RateLimited { retry_after } | AdmissionError::Overloaded { retry_after } => {
-                let answer = Final::Refused { come_back_ms: retry_after.as_millis() as u32 };
-                let text = result_text(id, Answered { call, exchange_call: 0, answer });
+                let answer = FinalAnswer::Refused { come_back_ms: retry_after.as_millis() as u32 };
+                let text = result_text(id, OfferResult { call, exchange_call: 0, answer });
                 self.say(port, line, None, text);
             }
             other => {
-                let text = fault_text(id, &Fault::new(code::TOO_MANY, other.to_string()));
+                let text = error_text(id, &RpcError::new(code::TOO_MANY, other.to_string()));
                 self.say(port, line, None, text);
             }
         }
     }
 
-    fn subscribe(&mut self, line: LineNo, cursor: Option<u64>) -> Result<u64, Fault> {
-        let held = self.lines.get(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
+    fn subscribe(&mut self, line: LineNo, cursor: Option<u64>) -> Result<u64, RpcError> {
+        let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
-        allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
+        allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
         let sees = self.tokens.named(held.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
         let cursor = self.news.watch(held.session, cursor, sees);
-        cursor.map_err(|error| Fault::new(code::INVALID_PARAMS, error.to_string()))
+        cursor.map_err(|error| RpcError::new(code::INVALID_PARAMS, error.to_string()))
     }
 
     /// Tells those who watch what is new, as far as their connections have room.
@@ -579,10 +584,13 @@
             let Some(line) = line.filter(|line| port.has_room(*line)) else { continue };
             let told = self.news.tell(session, AT_ONCE);
             if told.missed > 0 {
-                port.say(line, &notice_text("call.news.missed", MissedNote { count: told.missed }));
+                port.say(
+                    line,
+                    &notification_text("call.news.missed", NewsMissedNotification { count: told.missed }),
+                );
             }
             for (number, event) in told.events {
-                port.say(line, &notice_text("call.news", NewsNote { number, event }));
+                port.say(line, &notification_text("call.news", CallNewsNotification { number, event }));
             }
         }
     }
@@ -611,15 +619,15 @@
     pub fn line_octets(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, octets: &[u8]) {
         let Some(held) = self.lines.get_mut(&line) else { return };
         // Taken out while its texts are acted on.
-        let mut cutter = std::mem::replace(&mut held.cutter, LineCutter::new(LONGEST_TEXT));
+        let mut cutter = std::mem::replace(&mut held.cutter, LineDecoder::new(LONGEST_TEXT));
         cutter.push(octets);
         loop {
             match cutter.next() {
                 Ok(Some(text)) => self.text(now, port, line, text),
                 Ok(None) => break,
                 Err(error) => {
-                    let fault = Fault::new(code::PARSE, error.to_string());
-                    port.say(line, &fault_text(&Value::Null, &fault));
+                    let fault = RpcError::new(code::PARSE, error.to_string());
+                    port.say(line, &error_text(&Value::Null, &fault));
                     port.close_line(line, &error.to_string());
                     break;
                 }
@@ -640,16 +648,16 @@
     fn text(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, text: &[u8]) {
         let Some(session) = self.lines.get(&line).map(|line| line.session) else { return };
         let allowed = self.admission.gate.request(now, session);
-        let Asked { id, request } = match Asked::read(text) {
+        let RequestMessage { id, request } = match RequestMessage::read(text) {
             Ok(asked) => asked,
-            Err((id, fault)) => return port.say(line, &fault_text(&id, &fault)),
+            Err((id, fault)) => return port.say(line, &error_text(&id, &fault)),
         };
         if let Err(refusal) = allowed {
-            let mut fault = Fault::new(code::TOO_FAST, refusal.to_string());
+            let mut fault = RpcError::new(code::TOO_FAST, refusal.to_string());
             if let AdmissionError::RateLimited { retry_after } = refusal {
                 fault.come_back_ms = Some(retry_after.as_millis() as u64 + 1);
             }
-            return id.iter().for_each(|id| port.say(line, &fault_text(id, &fault)));
+            return id.iter().for_each(|id| port.say(line, &error_text(id, &fault)));
         }
         let done = match request {
             Request::Hello(hello) => self.hello(now, port, line, &hello).map(|welcome| {
@@ -661,10 +669,10 @@
             }),
             Request::Offer(offer) => self.offer(now, port, line, &id, &offer),
             Request::Hangup(hangup) => self.hang_up(now, port, line, hangup.call).map(|()| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, Done { call: hangup.call })));
+                id.iter().for_each(|id| port.say(line, &result_text(id, CallAck { call: hangup.call })));
             }),
             Request::Cancel(cancel) => self.cancel(now, port, line, cancel.call).map(|()| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, Done { call: cancel.call })));
+                id.iter().for_each(|id| port.say(line, &result_text(id, CallAck { call: cancel.call })));
             }),
             Request::Get(get) => self.get(now, line, get.call).map(|state| {
                 id.iter().for_each(|id| port.say(line, &result_text(id, state)));
@@ -674,7 +682,7 @@
             }),
         };
         if let (Err(fault), Some(id)) = (done, id) {
-            port.say(line, &fault_text(&id, &fault));
+            port.say(line, &error_text(&id, &fault));
         }
     }
 
@@ -685,17 +693,21 @@
         line: LineNo,
         id: &Option<Value>,
         offer: &Offer,
-    ) -> Result<(), Fault> {
-        let held = self.lines.get_mut(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
+    ) -> Result<(), RpcError> {
+        let held =
+            self.lines.get_mut(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed =
             self.tokens.check(held.token.as_deref(), Scope::Offer, Some(CustomerNo(offer.customer)));
-        allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
+        allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
         if let CachedAnswer::Answered(answered) = self.repeats.offer(now, held.session, offer.call) {
             id.iter().for_each(|id| port.say(line, &result_text(id, answered)));
             return Ok(());
         }
         if held.calls.contains_key(&offer.call) {
-            return Err(Fault::new(code::NUMBER_IN_USE, format!("call {} is in hand already", offer.call)));
+            return Err(RpcError::new(
+                code::NUMBER_IN_USE,
+                format!("call {} is in hand already", offer.call),
+            ));
         }
         let session = held.session;
         let pending = Pending { line, session, id: id.clone(), offer: offer.clone(), since: now };
@@ -711,9 +723,15 @@
         Ok(())
     }
 
-    fn hang_up(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, call: u64) -> Result<(), Fault> {
+    fn hang_up(
+        &mut self,
+        now: Duration,
+        port: &mut dyn Port,
+        line: LineNo,
+        call: u64,
+    ) -> Result<(), RpcError> {
         let known = self.lines.get(&line).and_then(|line| line.calls.get(&call)).copied();
-        let unknown = || Fault::new(code::UNKNOWN_CALL, format!("no call {call} is in hand"));
+        let unknown = || RpcError::new(code::UNKNOWN_CALL, format!("no call {call} is in hand"));
         let id = match known.ok_or_else(unknown)? {
             Held::With(id) => id,
             Held::Waiting => {
@@ -723,7 +741,7 @@
                 if let Some(id) = pending.and_then(|pending| pending.id) {
                     port.say(
                         line,
-                        &result_text(&id, Answered { call, exchange_call: 0, answer: Final::Fails }),
+                        &result_text(&id, OfferResult { call, exchange_call: 0, answer: FinalAnswer::Fails }),
                     );
                 }
                 return Ok(());
@@ -738,49 +756,55 @@
     }
 
     /// Gives up a call that has no answer yet.
-    fn cancel(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, call: u64) -> Result<(), Fault> {
+    fn cancel(
+        &mut self,
+        now: Duration,
+        port: &mut dyn Port,
+        line: LineNo,
+        call: u64,
+    ) -> Result<(), RpcError> {
         let held = self.lines.get(&line).and_then(|line| line.calls.get(&call)).copied();
         if let Some(Held::With(id)) = held
             && self.askers.get(&id).is_some_and(|asker| asker.progress == Progress::Stands)
         {
-            return Err(Fault::new(code::STANDS, format!("call {call} stands: hang it up")));
+            return Err(RpcError::new(code::STANDS, format!("call {call} stands: hang it up")));
         }
         self.hang_up(now, port, line, call)
     }
 
     fn call_state(&self, call: u64, held: Held) -> CallState {
         match held {
-            Held::Waiting => CallState { call, exchange_call: 0, state: State::Waits },
+            Held::Waiting => CallState { call, exchange_call: 0, state: CallStatus::Waits },
             Held::With(id) => {
                 let stands = self.askers.get(&id).is_some_and(|asker| asker.progress == Progress::Stands);
-                let state = if stands { State::Stands } else { State::Offered };
+                let state = if stands { CallStatus::Stands } else { CallStatus::Offered };
                 CallState { call, exchange_call: id.0, state }
             }
         }
     }
 
-    fn get(&mut self, now: Duration, line: LineNo, call: u64) -> Result<CallState, Fault> {
-        let unknown = || Fault::new(code::UNKNOWN_CALL, format!("no call {call} is known"));
+    fn get(&mut self, now: Duration, line: LineNo, call: u64) -> Result<CallState, RpcError> {
+        let unknown = || RpcError::new(code::UNKNOWN_CALL, format!("no call {call} is known"));
         let held = self.lines.get(&line).ok_or_else(unknown)?;
         if let Some(held) = held.calls.get(&call) {
             return Ok(self.call_state(call, *held));
         }
-        let Answered { exchange_call, answer, .. } =
+        let OfferResult { exchange_call, answer, .. } =
             self.repeats.get(now, held.session, call).ok_or_else(unknown)?;
-        Ok(CallState { call, exchange_call, state: State::Over { answer } })
+        Ok(CallState { call, exchange_call, state: CallStatus::Over { answer } })
     }
 
     /// Whoever may watch sees the traces of the customers that its token sees.
-    fn trace_get(&self, line: LineNo, get: TraceGet) -> Result<Vec<CallTrace>, Fault> {
-        let held = self.lines.get(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
+    fn trace_get(&self, line: LineNo, get: TraceGet) -> Result<Vec<CallTrace>, RpcError> {
+        let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
-        allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
+        allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
         let sees = self.tokens.named(held.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
         let mut traces = self.traces(get.origin, get.exchange_call);
         traces.retain(|trace| sees.includes(CustomerNo(trace.customer)));
         if traces.is_empty() {
             let why = format!("call {} is not among the last calls", get.exchange_call);
-            return Err(Fault::new(code::UNKNOWN_CALL, why));
+            return Err(RpcError::new(code::UNKNOWN_CALL, why));
         }
         Ok(traces)
     }
@@ -789,7 +813,7 @@
 
     /// The directory is there: it is asked for all that is new.
     pub fn directory_open(&mut self, port: &mut dyn Port) {
-        self.feed = LineCutter::new(LONGEST_NEWS);
+        self.feed = LineDecoder::new(LONGEST_NEWS);
         port.reply(&Reply::Want(Ask { office: self.office.own().0, held: self.roster.version() }).text());
     }
 
@@ -801,7 +825,7 @@
         octets: &[u8],
     ) -> Result<bool, String> {
         self.feed.push(octets);
-        let mut feed = std::mem::replace(&mut self.feed, LineCutter::new(LONGEST_NEWS));
+        let mut feed = std::mem::replace(&mut self.feed, LineDecoder::new(LONGEST_NEWS));
         let mut new = false;
         let result = loop {
             match feed.next() {
@@ -984,19 +1008,19 @@
     }
 }
 
-pub fn final_answer(answer: Answer) -> Final {
+pub fn final_answer(answer: Answer) -> FinalAnswer {
     match answer {
-        Answer::Stands => Final::Stands,
-        Answer::Refused { come_back } => Final::Refused { come_back_ms: come_back.as_millis() as u32 },
-        Answer::Fails => Final::Fails,
+        Answer::Stands => FinalAnswer::Stands,
+        Answer::Refused { come_back } => FinalAnswer::Refused { come_back_ms: come_back.as_millis() as u32 },
+        Answer::Fails => FinalAnswer::Fails,
     }
 }
 
-pub fn how_ended(end: CallEnd) -> How {
+pub fn how_ended(end: CallEnd) -> EndReason {
     match end {
-        CallEnd::HungUp => How::HungUp,
-        CallEnd::Released => How::Released,
-        CallEnd::Cut => How::Cut,
+        CallEnd::HungUp => EndReason::HungUp,
+        CallEnd::Released => EndReason::Released,
+        CallEnd::Cut => EndReason::Cut,
     }
 }
 
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use mintstall::host::OfficeNo;
-use mintstall_callapi::{Fault, LineCutter, code, fault_text, result_text};
+use mintstall_callapi::{LineDecoder, RpcError, code, error_text, result_text};
 use mintstall_isup::{Deframer, Frame};
 use mintstall_limits::{ConnectionMonitor, ConnectionTimeouts, MonitorAction};
 use mintstall_websocket::{
@@ -84,7 +84,7 @@
     /// Told why it is closed; it goes once that is written.
     Leaving,
     Directory,
-    Admin(LineCutter),
+    Admin(LineDecoder),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -570,7 +570,7 @@
                     warn!(%from, "connection turned away: {MOST_ADMINS} there already");
                     continue;
                 }
-                _ => Purpose::Admin(LineCutter::new(LONGEST_ADMIN_TEXT)),
+                _ => Purpose::Admin(LineDecoder::new(LONGEST_ADMIN_TEXT)),
             };
             let line = match purpose {
                 Purpose::Line(line) => Some(line),
@@ -909,11 +909,11 @@
     let asked: Result<Value, _> = serde_json::from_slice(text);
     let asked = match asked {
         Ok(asked) => asked,
-        Err(error) => return fault_text(&Value::Null, &Fault::new(code::PARSE, error.to_string())),
+        Err(error) => return error_text(&Value::Null, &RpcError::new(code::PARSE, error.to_string())),
     };
     let id = asked.get("id").cloned().unwrap_or(Value::Null);
     if let Err(denied) = exchange.admin_may(asked["token"].as_str()) {
-        return fault_text(&id, &Fault::new(code::DENIED, denied.to_string()));
+        return error_text(&id, &RpcError::new(code::DENIED, denied.to_string()));
     }
     match asked["method"].as_str() {
         Some("status") => {
@@ -926,10 +926,12 @@
             let origin = params["origin"].as_u64().map(|origin| u16::try_from(origin).unwrap_or(u16::MAX));
             match params["call"].as_u64() {
                 Some(call) => result_text(&id, exchange.traces(origin, call)),
-                None => fault_text(&id, &Fault::new(code::INVALID_PARAMS, "params.call is no number")),
+                None => error_text(&id, &RpcError::new(code::INVALID_PARAMS, "params.call is no number")),
             }
         }
-        Some(method) => fault_text(&id, &Fault::new(code::NO_SUCH_METHOD, format!("no method {method:?}"))),
-        None => fault_text(&id, &Fault::new(code::INVALID_REQUEST, "method is missing")),
+        Some(method) => {
+            error_text(&id, &RpcError::new(code::NO_SUCH_METHOD, format!("no method {method:?}")))
+        }
+        None => error_text(&id, &RpcError::new(code::INVALID_REQUEST, "method is missing")),
     }
 }
--- a/crates/daemon/tests/admission.rs
+++ b/crates/daemon/tests/admission.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use mintstall::host::OfficeNo;
-use mintstall_callapi::{Asked, Final, Hangup, Heard, Offer, Request};
+use mintstall_callapi::{FinalAnswer, Hangup, Offer, Request, RequestMessage, ServerMessage};
 use mintstall_daemon::config::LimitsPlan;
 use mintstall_daemon::exchange::{Exchange, LineNo, Port, own_seed};
 use serde_json::json;
@@ -15,7 +15,7 @@
 
 #[derive(Default)]
 struct Wires {
-    said: BTreeMap<LineNo, Vec<Heard>>,
+    said: BTreeMap<LineNo, Vec<ServerMessage>>,
     sent: Vec<Vec<u8>>,
     notes: Vec<String>,
     closed: Vec<LineNo>,
@@ -29,7 +29,7 @@
         panic!("{why}");
     }
     fn say(&mut self, line: LineNo, text: &str) {
-        self.said.entry(line).or_default().push(Heard::read(text.as_bytes()).unwrap());
+        self.said.entry(line).or_default().push(ServerMessage::read(text.as_bytes()).unwrap());
     }
     fn close_line(&mut self, line: LineNo, _: &str) {
         self.closed.push(line);
@@ -84,7 +84,7 @@
     }
 
     fn ask(&mut self, line: LineNo, request: Request) {
-        let text = Asked { id: Some(json!(1)), request }.text() + "\n";
+        let text = RequestMessage { id: Some(json!(1)), request }.text() + "\n";
         self.exchange.line_octets(self.now, &mut self.wires, line, text.as_bytes());
         self.far();
     }
@@ -105,10 +105,10 @@
     }
 
     /// The answers given on a line since last asked: call and answer.
-    fn answers(&mut self, line: LineNo) -> Vec<(u64, Final)> {
+    fn answers(&mut self, line: LineNo) -> Vec<(u64, FinalAnswer)> {
         let said = self.wires.said.remove(&line).unwrap_or_default();
         let answer = |heard| match heard {
-            Heard::Answered(answered) => Some((answered.call, answered.answer)),
+            ServerMessage::Answered(answered) => Some((answered.call, answered.answer)),
             _ => None,
         };
         said.into_iter().filter_map(answer).collect()
@@ -156,7 +156,7 @@
     (1..=50).for_each(|call| room.offer(greedy, call, 1));
     room.offer(quiet, 1, 2);
     (0..3).for_each(|_| room.stands());
-    assert_eq!(room.answers(quiet), [(1, Final::Stands)]);
+    assert_eq!(room.answers(quiet), [(1, FinalAnswer::Stands)]);
 }
 
 #[test]
@@ -168,11 +168,11 @@
     room.pass(Duration::from_millis(760));
     let answers = room.answers(line);
     assert!(
-        matches!(answers[..], [(2, Final::Refused { come_back_ms })] if come_back_ms >= 500),
+        matches!(answers[..], [(2, FinalAnswer::Refused { come_back_ms })] if come_back_ms >= 500),
         "{answers:?}"
     );
     room.stands();
-    assert_eq!(room.answers(line), [(1, Final::Stands)]);
+    assert_eq!(room.answers(line), [(1, FinalAnswer::Stands)]);
     room.pass(Duration::from_secs(5));
     assert_eq!((room.answers(line), room.figures()), (vec![], (0, 0)));
 }
@@ -187,7 +187,7 @@
     room.far();
     assert_eq!((room.far.set_ups.len(), room.figures()), (1, (1, 0)), "the other line's call is out");
     room.stands();
-    assert_eq!(room.answers(stays), [(1, Final::Stands)]);
+    assert_eq!(room.answers(stays), [(1, FinalAnswer::Stands)]);
     room.ask(stays, Request::Hangup(Hangup { call: 1 }));
     let status = room.exchange.status();
     assert_eq!((&status["calls"], room.figures()), (&json!(0), (0, 0)));
@@ -200,7 +200,7 @@
     room.offer(line, 1, 0);
     room.offer(line, 2, 0);
     room.ask(line, Request::Hangup(Hangup { call: 2 }));
-    assert_eq!(room.answers(line), [(2, Final::Fails)]);
+    assert_eq!(room.answers(line), [(2, FinalAnswer::Fails)]);
     room.stands();
     assert_eq!((room.far.set_ups.len(), room.figures()), (0, (0, 0)));
 }
@@ -235,12 +235,12 @@
     room.offer(line, 1, 0);
     room.offer(line, 2, 0);
     room.exchange.stop(&mut room.wires);
-    assert!(matches!(room.answers(line)[..], [(2, Final::Refused { .. })]));
+    assert!(matches!(room.answers(line)[..], [(2, FinalAnswer::Refused { .. })]));
     room.offer(line, 3, 0);
     room.stands();
     let answers: BTreeMap<_, _> = room.answers(line).into_iter().collect();
-    assert_eq!(answers.get(&1), Some(&Final::Stands));
-    assert!(matches!(answers.get(&3), Some(Final::Refused { .. })), "{answers:?}");
+    assert_eq!(answers.get(&1), Some(&FinalAnswer::Stands));
+    assert!(matches!(answers.get(&3), Some(FinalAnswer::Refused { .. })), "{answers:?}");
 }
 
 impl Room {
@@ -316,7 +316,7 @@
     let calls: Vec<_> = calls.iter().map(|call| (&call["call"], &call["state"])).collect();
     assert_eq!(calls, [(&json!(1), &json!("stands")), (&json!(2), &json!("stands"))]);
     assert_eq!(welcome["result"]["owed"], json!(2));
-    assert_eq!(room.answers(after), [(1, Final::Stands), (2, Final::Stands)]);
+    assert_eq!(room.answers(after), [(1, FinalAnswer::Stands), (2, FinalAnswer::Stands)]);
     assert_eq!((room.answers(after), room.figures()), (vec![], (0, 0)));
     // The calls are the new line's: it ends them.
     room.ask(after, Request::Hangup(Hangup { call: 1 }));
@@ -329,7 +329,7 @@
     room.cut(after);
     room.offer(third, 3, 0);
     room.stands();
-    assert_eq!((room.answers(after), room.answers(third)), (vec![], vec![(3, Final::Stands)]));
+    assert_eq!((room.answers(after), room.answers(third)), (vec![], vec![(3, FinalAnswer::Stands)]));
     assert_eq!(room.hello(third, json!({ "client": "test", "resume": key }))["error"]["code"], -32602);
 }
 
@@ -368,7 +368,7 @@
     room.stands();
     assert_eq!(
         (room.answers(other), room.answers(after)),
-        (vec![(1, Final::Stands)], vec![(2, Final::Stands)])
+        (vec![(1, FinalAnswer::Stands)], vec![(2, FinalAnswer::Stands)])
     );
     assert_eq!(room.figures(), (0, 0));
 }
@@ -402,9 +402,9 @@
         room.ask(line, Request::Get(mintstall_callapi::Get { call }));
         room.wires.said.remove(&line).unwrap_or_default().pop().unwrap()
     };
-    let state = |heard: Heard| match heard {
-        Heard::Result { result, .. } => result["state"].as_str().unwrap().to_string(),
-        Heard::Fault { code, .. } => code.to_string(),
+    let state = |heard: ServerMessage| match heard {
+        ServerMessage::Result { result, .. } => result["state"].as_str().unwrap().to_string(),
+        ServerMessage::Fault { code, .. } => code.to_string(),
         other => panic!("{other:?}"),
     };
     (1..=2).for_each(|call| room.offer(line, call, 0));
@@ -416,10 +416,10 @@
         room.ask(line, Request::Cancel(mintstall_callapi::Cancel { call }));
         room.wires.said.remove(&line).unwrap_or_default()
     };
-    assert!(matches!(cancel(&mut room, 1)[..], [Heard::Fault { code: -32006, .. }]));
+    assert!(matches!(cancel(&mut room, 1)[..], [ServerMessage::Fault { code: -32006, .. }]));
     let said = cancel(&mut room, 2);
     assert!(
-        matches!(&said[..], [Heard::Answered(a), Heard::Result { .. }] if a.answer == Final::Fails),
+        matches!(&said[..], [ServerMessage::Answered(a), ServerMessage::Result { .. }] if a.answer == FinalAnswer::Fails),
         "{said:?}"
     );
     assert_eq!((state(get(&mut room, 2)), state(get(&mut room, 9))), ("over".into(), "-32001".into()));
@@ -434,7 +434,7 @@
     (0..3).for_each(|_| room.ask(line, get.clone()));
     let said = room.wires.said.remove(&line).unwrap();
     let codes = said.iter().map(|heard| match heard {
-        Heard::Fault { code, come_back_ms, .. } => (*code, come_back_ms.is_some()),
+        ServerMessage::Fault { code, come_back_ms, .. } => (*code, come_back_ms.is_some()),
         other => panic!("{other:?}"),
     });
     assert_eq!(codes.collect::<Vec<_>>(), [(-32001, false), (-32001, false), (-32005, true)]);
@@ -447,12 +447,12 @@
     room.offer(line, 1, 0);
     room.stands();
     let said = room.wires.said.remove(&line).unwrap();
-    let [Heard::Answered(answered)] = said[..] else { panic!("{said:?}") };
+    let [ServerMessage::Answered(answered)] = said[..] else { panic!("{said:?}") };
     let get = |exchange_call| Request::TraceGet(mintstall_callapi::TraceGet { exchange_call, origin: None });
     room.ask(line, get(answered.exchange_call));
     room.ask(line, get(77));
     let said = room.wires.said.remove(&line).unwrap();
-    let [Heard::Result { result, .. }, Heard::Fault { code: -32001, .. }] = &said[..] else {
+    let [ServerMessage::Result { result, .. }, ServerMessage::Fault { code: -32001, .. }] = &said[..] else {
         panic!("{said:?}")
     };
     let steps = result["traces"][0]["steps"].as_array().unwrap();
@@ -466,15 +466,15 @@
     let (before, key) = room.opened();
     room.offer(before, 1, 0);
     room.stands();
-    assert_eq!(room.answers(before), [(1, Final::Stands)]);
+    assert_eq!(room.answers(before), [(1, FinalAnswer::Stands)]);
     room.offer(before, 1, 0);
-    assert_eq!((room.answers(before), room.far.set_ups.len()), (vec![(1, Final::Stands)], 0));
+    assert_eq!((room.answers(before), room.far.set_ups.len()), (vec![(1, FinalAnswer::Stands)], 0));
     // On the connection after a cut too: it is the same session.
     room.cut(before);
     let after = room.line();
     room.hello(after, json!({ "client": "test", "resume": key }));
     room.offer(after, 1, 0);
-    assert_eq!((room.answers(after), room.far.set_ups.len()), (vec![(1, Final::Stands)], 0));
+    assert_eq!((room.answers(after), room.far.set_ups.len()), (vec![(1, FinalAnswer::Stands)], 0));
     assert_eq!(room.exchange.status()["counts"]["offered"], json!(1));
     room.ask(after, Request::Hangup(Hangup { call: 1 }));
     room.pass(Duration::from_secs(31));
@@ -498,7 +498,10 @@
     room.stands();
     assert_eq!(room.wires.said.remove(&watcher).unwrap_or_default().len(), 1);
     room.ask(watcher, subscribe(Some(99)));
-    assert!(matches!(room.wires.said.remove(&watcher).unwrap()[..], [Heard::Fault { code: -32602, .. }]));
+    assert!(matches!(
+        room.wires.said.remove(&watcher).unwrap()[..],
+        [ServerMessage::Fault { code: -32602, .. }]
+    ));
 }
 
 #[test]
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use mintstall::host::OfficeNo;
-use mintstall_callapi::{Final, Offer};
+use mintstall_callapi::{FinalAnswer, Offer};
 use mintstall_client::{Event, Plan, Session};
 use mintstall_daemon::config::LimitsPlan;
 use mintstall_daemon::exchange::{Exchange, LONGEST_TEXT, LineNo, Port};
@@ -155,7 +155,7 @@
         while let Some(event) = client.session.next_event() {
             let (call, outcome) = match event {
                 Event::Answered(answered) => {
-                    if answered.answer == Final::Stands {
+                    if answered.answer == FinalAnswer::Stands {
                         client.standing.insert(answered.call);
                     }
                     (answered.call, "answered")
--- a/crates/lab/benches/ordinary_call.rs
+++ b/crates/lab/benches/ordinary_call.rs
@@ -8,7 +8,7 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use mintstall_callapi::{Asked, Hangup, Heard, LineCutter, Offer, Request};
+use mintstall_callapi::{Hangup, LineDecoder, Offer, Request, RequestMessage, ServerMessage};
 use mintstall_daemon::config::{CallType, Calls, Config, LimitsPlan, Link, Signalling, Subscribers};
 use mintstall_daemon::{Exchange, Shell, exchange::LineNo, exchange::Port};
 use mintstall_isup::{Body, Data, Deframer, Frame, Message, RangeStatus};
@@ -112,16 +112,16 @@
         cut: false,
         redial: false,
     };
-    Asked { id: Some(call.into()), request: Request::Offer(offer) }.text()
+    RequestMessage { id: Some(call.into()), request: Request::Offer(offer) }.text()
 }
 
 fn hang_up(call: u64) -> String {
-    Asked { id: Some(call.into()), request: Request::Hangup(Hangup { call }) }.text()
+    RequestMessage { id: Some(call.into()), request: Request::Hangup(Hangup { call }) }.text()
 }
 
 /// How the subscriber's texts are carried.
 enum Carried {
-    Lines(LineCutter),
+    Lines(LineDecoder),
     WebSocket(Box<WebSocketConnection>),
 }
 
@@ -139,8 +139,8 @@
         }
     }
 
-    fn hear(&mut self, octets: &[u8]) -> Vec<Heard> {
-        let read = |text: &[u8]| Heard::read(text).expect("a text");
+    fn hear(&mut self, octets: &[u8]) -> Vec<ServerMessage> {
+        let read = |text: &[u8]| ServerMessage::read(text).expect("a text");
         let mut heard = Vec::new();
         match self {
             Self::Lines(lines) => {
@@ -192,8 +192,8 @@
             octets[1] += count as u64;
             for heard in carried.hear(&buffer[..count]) {
                 match heard {
-                    Heard::Answered(answered) => carried.say(&hang_up(answered.call), &mut to_line),
-                    Heard::Result { .. } => {
+                    ServerMessage::Answered(answered) => carried.say(&hang_up(answered.call), &mut to_line),
+                    ServerMessage::Result { .. } => {
                         done += 1;
                         if offered < CALLS {
                             carried.say(&offer(first + offered), &mut to_line);
@@ -339,7 +339,7 @@
 
     let lines = addresses.subscribers.expect("a line's address");
     let line = mio(TcpStream::connect(lines).expect("connect"));
-    measure("lines", Carried::Lines(LineCutter::new(1 << 16)), line, &mut far, &mut poll, 1);
+    measure("lines", Carried::Lines(LineDecoder::new(1 << 16)), line, &mut far, &mut poll, 1);
     let (stream, end) = web_socket(addresses.calls.expect("the address for calls"));
     measure("WebSocket", Carried::WebSocket(end), stream, &mut far, &mut poll, 100);
     let (allocations, bytes) = allocated();
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use mintstall_callapi::Final;
+use mintstall_callapi::FinalAnswer;
 use mintstall_isup::{Body, Cic, Data, Frame, Iam, Message, Number, RangeStatus};
 use mintstall_roster::{Entry, Standing};
 use mintstall_standin::{Rules, Seen, Witness};
@@ -211,10 +211,10 @@
         }
     }
 
-    fn answered(&mut self, at: Duration, office: u16, call: u64, exchange_call: u64, answer: Final) {
+    fn answered(&mut self, at: Duration, office: u16, call: u64, exchange_call: u64, answer: FinalAnswer) {
         let grace = ms(self.rules.answer_grace_ms) + self.slack;
         let desk = self.desks.entry(office).or_default();
-        let stands = answer == Final::Stands;
+        let stands = answer == FinalAnswer::Stands;
         let Some(taken) = desk.open.remove(&call) else {
             let again = desk.answered.contains(&call);
             let what =
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mintstall_callapi::{Answered, How, Offer};
+use mintstall_callapi::{EndReason, Offer, OfferResult};
 use mintstall_client::{Event, Plan, ReconnectPolicy, Session};
 use mintstall_standin::{Clients as ClientsPlan, Witness, World};
 use rand::{Rng, SeedableRng};
@@ -133,11 +133,11 @@
         let office = no.0;
         while let Some(event) = self.sessions.get_mut(&no).and_then(Session::next_event) {
             match event {
-                Event::Answered(Answered { call, exchange_call, answer }) => {
+                Event::Answered(OfferResult { call, exchange_call, answer }) => {
                     world.answered(now, office, call, exchange_call, answer, witness);
                 }
                 Event::Ended { call, how } => {
-                    world.ended(now, office, call, how.unwrap_or(How::Cut), witness)
+                    world.ended(now, office, call, how.unwrap_or(EndReason::Cut), witness)
                 }
                 Event::Up { taken_up, .. } => self.tally.taken_up += u64::from(taken_up),
                 // The auditor misses their answers, and says so.
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use mintstall_callapi::{Answered, Final, Offer};
+use mintstall_callapi::{FinalAnswer, Offer, OfferResult};
 use mintstall_client::{Event, Plan, Session};
 use mintstall_daemon::wires::Outbox;
 use mio::net::TcpStream;
@@ -611,7 +611,7 @@
                     self.connections.remove(&token);
                 }
             }
-            Event::Answered(Answered { call, answer, .. }) => {
+            Event::Answered(OfferResult { call, answer, .. }) => {
                 let stage = member.waits.remove(&call);
                 let Some((when, tally)) = stage else {
                     if let Some(tally) = self.tallies.last_mut() {
@@ -622,7 +622,7 @@
                 let took = now.saturating_sub(when);
                 let Tally { part, stood, refused } = &mut self.tallies[tally];
                 match answer {
-                    Final::Stands => {
+                    FinalAnswer::Stands => {
                         note(stood, took);
                         match took <= Duration::from_millis(self.plan.target_ms) {
                             true => part.in_time += 1,
@@ -631,11 +631,11 @@
                         let hold = now + Duration::from_millis(self.plan.hold_ms);
                         self.at(hold, Due::HangUp(at, call));
                     }
-                    Final::Refused { .. } => {
+                    FinalAnswer::Refused { .. } => {
                         part.refused += 1;
                         note(refused, took);
                     }
-                    Final::Fails => part.failed += 1,
+                    FinalAnswer::Fails => part.failed += 1,
                 }
             }
             Event::Lost { call } => {
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-use mintstall_callapi::{Asked, Hangup, Heard, LineCutter, Request};
+use mintstall_callapi::{Hangup, LineDecoder, Request, RequestMessage, ServerMessage};
 use mintstall_daemon::wires::Outbox;
 use mintstall_office::Tally;
 use mintstall_roster::{FeedNote, ProcessorNote, Reply};
@@ -80,7 +80,7 @@
 struct Connection {
     stream: TcpStream,
     purpose: Purpose,
-    cutter: LineCutter,
+    cutter: LineDecoder,
     out: Outbox,
     /// A client's that has not been told that it is there.
     dialling: bool,
@@ -317,7 +317,7 @@
         self.next += 1;
         let token = Token(self.next);
         self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        let cutter = LineCutter::new(1 << 16);
+        let cutter = LineDecoder::new(1 << 16);
         let dialling = matches!(purpose, Purpose::Client(_));
         let connection = Connection { stream, purpose, cutter, out: Outbox::default(), dialling };
         self.connections.insert(token, connection);
@@ -503,15 +503,20 @@
         let mut acts = Vec::new();
         for text in texts {
             match purpose {
-                Purpose::Line(office) => match Heard::read(&text) {
-                    Ok(Heard::Answered(a)) => {
+                Purpose::Line(office) => match ServerMessage::read(&text) {
+                    Ok(ServerMessage::Answered(a)) => {
                         self.world.answered(now, office, a.call, a.exchange_call, a.answer, self.witness);
                     }
-                    Ok(Heard::Ended(note)) => {
+                    Ok(ServerMessage::Ended(note)) => {
                         self.world.ended(now, office, note.call, note.how, self.witness)
                     }
-                    Ok(Heard::Result { .. } | Heard::News(_) | Heard::Missed(_) | Heard::Other(_)) => {}
-                    Ok(Heard::Fault { code, message, .. }) => info!(office, code, "{message}"),
+                    Ok(
+                        ServerMessage::Result { .. }
+                        | ServerMessage::News(_)
+                        | ServerMessage::Missed(_)
+                        | ServerMessage::Other(_),
+                    ) => {}
+                    Ok(ServerMessage::Fault { code, message, .. }) => info!(office, code, "{message}"),
                     Err(error) => warn!(office, "a line makes no sense: {error}"),
                 },
                 Purpose::Directory(office) => {
@@ -593,11 +598,13 @@
                     self.client_turn(self.clients.of(office, call));
                 }
                 Act::Offer { office, offer } => {
-                    let asked = Asked { id: Some(json!(offer.call)), request: Request::Offer(offer) };
+                    let asked =
+                        RequestMessage { id: Some(json!(offer.call)), request: Request::Offer(offer) };
                     self.push(Purpose::Line(office), &[asked.text().as_bytes(), b"\n"]);
                 }
                 Act::HangUp { office, call } => {
-                    let asked = Asked { id: Some(json!(call)), request: Request::Hangup(Hangup { call }) };
+                    let asked =
+                        RequestMessage { id: Some(json!(call)), request: Request::Hangup(Hangup { call }) };
                     self.push(Purpose::Line(office), &[asked.text().as_bytes(), b"\n"]);
                 }
                 Act::Roster { office, news } => self.feed(office, &FeedNote::Roster(news)),
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mintstall::host::{CallId, OfficeNo};
-use mintstall_callapi::Final;
+use mintstall_callapi::FinalAnswer;
 use mintstall_daemon::exchange::{final_answer, how_ended, order, processor_report};
 use mintstall_daemon::roster_lines;
 use mintstall_office::{Answer, CallEnd, Office, Plant};
@@ -298,7 +298,7 @@
                     let Some(seat) = self.seats[usize::from(no) - 1].as_mut() else { continue };
                     let Some(name) = seat.names.get(&call).copied() else { continue };
                     let answer = final_answer(answer);
-                    if answer != Final::Stands {
+                    if answer != FinalAnswer::Stands {
                         seat.names.remove(&call);
                         seat.calls.remove(&name);
                     }
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mintstall::host::*;
-use mintstall_callapi::{Asked, Final, Heard, Offer, Request};
+use mintstall_callapi::{FinalAnswer, Offer, Request, RequestMessage, ServerMessage};
 use mintstall_client::{RedialBudget, RedialPolicy};
 use mintstall_daemon::Config;
 use mintstall_daemon::exchange::{Exchange, LineNo, Port};
@@ -22,7 +22,7 @@
 struct Wires {
     from: u16,
     sent: VecDeque<(u16, u16, Vec<u8>)>,
-    said: Vec<Heard>,
+    said: Vec<ServerMessage>,
 }
 
 impl Port for Wires {
@@ -33,7 +33,7 @@
         panic!("{why}");
     }
     fn say(&mut self, _: LineNo, text: &str) {
-        self.said.push(Heard::read(text.as_bytes()).unwrap());
+        self.said.push(ServerMessage::read(text.as_bytes()).unwrap());
     }
     fn close_line(&mut self, _: LineNo, why: &str) {
         panic!("{why}");
@@ -228,7 +228,7 @@
             cut: false,
             redial,
         };
-        let text = Asked { id: Some(json!(call)), request: Request::Offer(offer) }.text();
+        let text = RequestMessage { id: Some(json!(call)), request: Request::Offer(offer) }.text();
         let now = self.now;
         self.first.line_text(now, &mut self.wires, self.line, text.as_bytes());
         self.carry();
@@ -270,16 +270,16 @@
             net.offer(name, left, again);
         }
         for heard in std::mem::take(&mut net.wires.said) {
-            let Heard::Answered(answered) = heard else { panic!("{heard:?}") };
+            let ServerMessage::Answered(answered) = heard else { panic!("{heard:?}") };
             let no = answered.call / 10 * 10;
             let (first, onward) = net.set_ups.remove(&answered.exchange_call).unwrap_or_default();
             let of = of_call.entry(no).or_default();
             (of.1, of.2) = (of.1 + first, of.2 + onward);
             let wish = wishes.get_mut(&no).unwrap();
             let told = match answered.answer {
-                Final::Stands => panic!("all fail"),
-                Final::Refused { come_back_ms } => Some(Duration::from_millis(come_back_ms.into())),
-                Final::Fails => None,
+                FinalAnswer::Stands => panic!("all fail"),
+                FinalAnswer::Refused { come_back_ms } => Some(Duration::from_millis(come_back_ms.into())),
+                FinalAnswer::Fails => None,
             };
             match redial.again(net.now, wish.until, wish.offers, told) {
                 Ok(at) => wish.at = at,
--- a/crates/platform/src/bus.rs
+++ b/crates/platform/src/bus.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use mintstall_callapi::LineCutter;
+use mintstall_callapi::LineDecoder;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -64,14 +64,14 @@
 pub struct Bus {
     /// Number of the last event that was taken.
     last: u64,
-    lines: LineCutter,
+    lines: LineDecoder,
     /// A gap that the bus told again just after it was asked from the last number is none that can be filled.
     asked_from: Option<u64>,
 }
 
 impl Bus {
     pub fn new(last: u64) -> Self {
-        Self { last, lines: LineCutter::new(LONGEST_LINE), asked_from: None }
+        Self { last, lines: LineDecoder::new(LONGEST_LINE), asked_from: None }
     }
 
     pub fn last(&self) -> u64 {
@@ -80,13 +80,13 @@
 
     /// The line that asks for all events behind the last; what had come in part is dropped.
     pub fn ask(&mut self) -> String {
-        self.lines = LineCutter::new(LONGEST_LINE);
+        self.lines = LineDecoder::new(LONGEST_LINE);
         format!("from {}\n", self.last)
     }
 
     /// Takes what came and hands on each new event.
     pub fn take(&mut self, octets: &[u8], mut each: impl FnMut(Event)) -> Result<(), DecodeError> {
-        let mut lines = std::mem::replace(&mut self.lines, LineCutter::new(LONGEST_LINE));
+        let mut lines = std::mem::replace(&mut self.lines, LineDecoder::new(LONGEST_LINE));
         lines.push(octets);
         while let Some(line) = lines.next().map_err(|_| DecodeError::TooLong)? {
             self.line(line.trim_ascii(), &mut each)?;
--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mintstall_callapi::{Final, How, Offer};
+use mintstall_callapi::{EndReason, FinalAnswer, Offer};
 use rand::Rng;
 
 use crate::score::Outcome;
@@ -206,7 +206,7 @@
         office: u16,
         call: u64,
         exchange_call: u64,
-        answer: Final,
+        answer: FinalAnswer,
         w: &mut dyn Witness,
     ) {
         w.saw(now, Seen::Answered { office, call, exchange_call, answer });
@@ -216,7 +216,7 @@
             return;
         }
         match answer {
-            Final::Stands => {
+            FinalAnswer::Stands => {
                 let of = &self.day.call_types[usize::from(caller.offer.call_type)];
                 let late = now - caller.since > Duration::from_millis(of.setup_target_ms);
                 caller.earned = caller.revenue * if late { of.late_share } else { 1.0 };
@@ -227,10 +227,10 @@
                 let until = (now + Duration::from_secs_f64(hold)).min(now.max(self.length + LAST_TALK));
                 self.at(until, Event::HangsUp { caller: id, tries });
             }
-            Final::Refused { come_back_ms } => {
+            FinalAnswer::Refused { come_back_ms } => {
                 self.turned_down(now, id, Duration::from_millis(come_back_ms.into()), Outcome::Refused);
             }
-            Final::Fails => self.turned_down(now, id, Duration::ZERO, Outcome::Failed),
+            FinalAnswer::Fails => self.turned_down(now, id, Duration::ZERO, Outcome::Failed),
         }
     }
 
@@ -260,7 +260,7 @@
     }
 
     /// A call that stood has ended, not by its caller: it was cut, and comes again once.
-    pub fn ended(&mut self, now: Duration, office: u16, call: u64, how: How, w: &mut dyn Witness) {
+    pub fn ended(&mut self, now: Duration, office: u16, call: u64, how: EndReason, w: &mut dyn Witness) {
         w.saw(now, Seen::Ended { office, call, how });
         self.lost(now, call >> 8, Some(call));
     }
--- a/crates/standin/src/witness.rs
+++ b/crates/standin/src/witness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mintstall_callapi::{Final, How, Offer};
+use mintstall_callapi::{EndReason, FinalAnswer, Offer};
 use mintstall_roster::Entry;
 
 /// One thing seen. Offices are point codes.
@@ -36,7 +36,7 @@
         office: u16,
         call: u64,
         exchange_call: u64,
-        answer: Final,
+        answer: FinalAnswer,
     },
     HungUp {
         office: u16,
@@ -50,7 +50,7 @@
     Ended {
         office: u16,
         call: u64,
-        how: How,
+        how: EndReason,
     },
     /// A controller was told of exchanges.
     Told {
