--- a/crates/cli/tests/calls.rs
+++ b/crates/cli/tests/calls.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use mintstall_client::{Client, Event, Outcome, Plan, offer};
+use mintstall_client::{CallOutcome, Client, Event, SessionConfig, offer};
 use mintstall_lab::far::FarServer;
 use mintstall_standin::FarPlan;
 use mintstall_websocket::{
@@ -53,7 +53,7 @@
     }
 
     fn client(&self) -> Client {
-        Client::connect(vec![self.calls()], Plan::named("test"), LONG).unwrap()
+        Client::connect(vec![self.calls()], SessionConfig::named("test"), LONG).unwrap()
     }
 
     /// The far exchange saw no call with two seizures out, none sent again too soon, and the controller stops in order.
@@ -155,7 +155,7 @@
     site.until("the seizure", |status| status["groups"][0]["seized"] == 1);
     let asked = Instant::now();
     client.cancel(call);
-    assert_eq!(client.outcome(call).unwrap(), Outcome::Fails);
+    assert_eq!(client.outcome(call).unwrap(), CallOutcome::Fails);
     assert!(asked.elapsed() < Duration::from_millis(600), "answered at once, not when the exchange would");
     assert_eq!(client.next_event(Duration::from_millis(900)), None);
     site.at_rest();
@@ -210,7 +210,7 @@
     assert_eq!(gone.hear().unwrap()["result"]["answer"], "stands");
     // Another answers pings, being read, and stays.
     let mut lives = site.client();
-    assert!(matches!(lives.call(offer(2, 5_551_000, LONG)).unwrap(), Outcome::Stands { .. }));
+    assert!(matches!(lives.call(offer(2, 5_551_000, LONG)).unwrap(), CallOutcome::Stands { .. }));
     // Nothing is read from the first any more, so that no ping is answered.
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
@@ -229,7 +229,9 @@
         "limits": { "requests_per_s": 1e9, "requests_at_once": 1e9 } });
     let site = Site::start("never-reads.json", FarPlan::default(), limits);
     let mut good = site.client();
-    let Outcome::Stands { exchange_call } = good.call(offer(2, 5_551_000, LONG)).unwrap() else { panic!() };
+    let CallOutcome::Stands { exchange_call } = good.call(offer(2, 5_551_000, LONG)).unwrap() else {
+        panic!()
+    };
     let mut bad = Ws::open(site.calls());
     bad.stream.set_write_timeout(Some(LONG)).unwrap();
     let get = json!({ "jsonrpc": "2.0", "id": 1, "method": "trace.get", "params": { "exchange_call": exchange_call } });
@@ -240,7 +242,7 @@
     while bad.say(&get).is_ok() {
         assert!(start.elapsed() < LONG, "it may go on for ever");
     }
-    assert!(matches!(good.call(offer(2, 5_551_001, LONG)).unwrap(), Outcome::Stands { .. }));
+    assert!(matches!(good.call(offer(2, 5_551_001, LONG)).unwrap(), CallOutcome::Stands { .. }));
     good.close();
     site.at_rest();
     site.over();
@@ -262,7 +264,7 @@
     let mut quiet = site.client();
     for no in 0..15 {
         let outcome = quiet.call(offer(2, 5_551_000 + no, Duration::from_secs(10))).unwrap();
-        assert!(matches!(outcome, Outcome::Stands { .. }), "quiet call {no}: {outcome:?}");
+        assert!(matches!(outcome, CallOutcome::Stands { .. }), "quiet call {no}: {outcome:?}");
         quiet.hang_up(no + 1);
     }
     let answers: Vec<Value> = (0..150).map(|_| greedy.hear().unwrap()["result"].clone()).collect();
@@ -314,11 +316,11 @@
         .map(|_| {
             let to = site.calls();
             std::thread::spawn(move || {
-                Client::connect(vec![to], Plan::named("storm"), LONG).map(Client::close).is_ok()
+                Client::connect(vec![to], SessionConfig::named("storm"), LONG).map(Client::close).is_ok()
             })
         })
         .collect();
-    assert!(matches!(early.call(offer(2, 5_551_000, LONG)).unwrap(), Outcome::Stands { .. }));
+    assert!(matches!(early.call(offer(2, 5_551_000, LONG)).unwrap(), CallOutcome::Stands { .. }));
     assert!(clients.into_iter().all(|client| client.join().unwrap()));
     early.close();
     site.at_rest();
@@ -358,13 +360,13 @@
     let nobody = site.calls();
     let mut client = site.client();
     let call = client.start(offer(2, 5_551_000, LONG)).unwrap();
-    assert!(matches!(client.outcome(call).unwrap(), Outcome::Stands { .. }));
+    assert!(matches!(client.outcome(call).unwrap(), CallOutcome::Stands { .. }));
     site.controller.kill("-KILL");
     site.controller.wait();
-    assert!(matches!(client.next_event(LONG), Some(Event::Down { .. })));
+    assert!(matches!(client.next_event(LONG), Some(Event::Disconnected { .. })));
     // Nothing is there to dial: the offer is kept for its caller's time, then said to be lost.
     let call = client.start(offer(2, 5_551_001, Duration::from_millis(600))).unwrap();
-    assert_eq!(client.outcome(call).unwrap(), Outcome::Lost, "{nobody}");
+    assert_eq!(client.outcome(call).unwrap(), CallOutcome::Lost, "{nobody}");
 }
 
 #[test]
--- a/crates/cli/tests/neighbours.rs
+++ b/crates/cli/tests/neighbours.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use mintstall_client::{Client, Event, Outcome, Plan, offer};
+use mintstall_client::{CallOutcome, Client, Event, SessionConfig, offer};
 use serde_json::{Value, json};
 
 use common::{Controller, LONG};
@@ -57,13 +57,13 @@
     };
     all_idle(&three);
     idle(&one, 2);
-    let mut client = Client::connect(vec![addr(&one, "calls")], Plan::named("test"), LONG).unwrap();
+    let mut client = Client::connect(vec![addr(&one, "calls")], SessionConfig::named("test"), LONG).unwrap();
     let mut calls: Vec<u64> = Vec::new();
     // The direct group first, then over the tandem.
     let mut fill = |client: &mut Client, count: u64| {
         for no in 0..count {
             let call = client.start(offer(2, 5_551_000 + no, Duration::from_secs(5))).unwrap();
-            assert!(matches!(client.outcome(call).unwrap(), Outcome::Stands { .. }), "call {no}");
+            assert!(matches!(client.outcome(call).unwrap(), CallOutcome::Stands { .. }), "call {no}");
             calls.push(call);
         }
     };
--- a/crates/client/examples/monitor.rs
+++ b/crates/client/examples/monitor.rs
@@ -4,19 +4,22 @@
 
 use std::time::Duration;
 
-use mintstall_client::{Client, Event, Plan};
+use mintstall_client::{Client, Event, SessionConfig};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let server = std::env::args().nth(1).ok_or("usage: monitor SERVER")?;
-    let plan = Plan { token: std::env::var("MINTSTALL_TOKEN").ok(), ..Plan::named("monitor example") };
+    let plan = SessionConfig {
+        token: std::env::var("MINTSTALL_TOKEN").ok(),
+        ..SessionConfig::named("monitor example")
+    };
     let mut client = Client::connect(vec![server.parse()?], plan, Duration::from_secs(10))?;
     client.watch();
     loop {
         match client.next_event(Duration::from_secs(1)) {
             Some(Event::News(note)) => println!("{} {:?}", note.number, note.event),
             Some(Event::Missed(note)) => println!("{} events were missed", note.count),
-            Some(Event::Down { why }) => eprintln!("down: {why}"),
-            Some(Event::Up { .. }) => eprintln!("up"),
+            Some(Event::Disconnected { why }) => eprintln!("down: {why}"),
+            Some(Event::Connected { .. }) => eprintln!("up"),
             Some(Event::Denied { why }) => return Err(why.into()),
             _ => {}
         }
--- a/crates/client/examples/polite.rs
+++ b/crates/client/examples/polite.rs
@@ -4,16 +4,19 @@
 
 use std::time::Duration;
 
-use mintstall_client::{Client, Plan, RedialBudget, RedialPolicy, offer};
+use mintstall_client::{Client, RedialBudget, RedialPolicy, SessionConfig, offer};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args: Vec<String> = std::env::args().skip(1).collect();
     let [server, dest, number] = &args[..] else { return Err("usage: polite SERVER DEST NUMBER".into()) };
-    let plan = Plan { token: std::env::var("MINTSTALL_TOKEN").ok(), ..Plan::named("polite example") };
+    let plan = SessionConfig {
+        token: std::env::var("MINTSTALL_TOKEN").ok(),
+        ..SessionConfig::named("polite example")
+    };
     let mut client = Client::connect(vec![server.parse()?], plan, Duration::from_secs(10))?;
     let mut redial = RedialBudget::new(RedialPolicy::default(), std::process::id().into());
     let wish = offer(dest.parse()?, number.parse()?, Duration::from_secs(6));
-    let (outcome, why) = client.call_politely(&mut redial, wish)?;
+    let (outcome, why) = client.call_with_redial(&mut redial, wish)?;
     println!("{outcome:?}");
     why.iter().for_each(|why| println!("not offered again: {why}"));
     client.close();
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -12,7 +12,7 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-use crate::session::{AskError, Event, Plan, Session};
+use crate::session::{Event, RequestError, Session, SessionConfig};
 
 #[derive(Debug, Error)]
 pub enum ClientError {
@@ -23,7 +23,7 @@
     #[error("denied: {0}")]
     Denied(String),
     #[error(transparent)]
-    Ask(#[from] AskError),
+    Ask(#[from] RequestError),
     #[error("error {code}: {why}")]
     Fault { code: i64, why: String },
     #[error("no reply within {0:?}")]
@@ -34,25 +34,25 @@
 
 /// What became of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// It stands, under the number that the exchange gave it.
     Stands {
         exchange_call: u64,
     },
     Refused {
-        come_back: Duration,
+        retry_after: Duration,
     },
     Fails,
     /// Nobody can tell: its session is over, or no answer came in time.
     Lost,
 }
 
-impl From<OfferResult> for Outcome {
+impl From<OfferResult> for CallOutcome {
     fn from(OfferResult { exchange_call, answer, .. }: OfferResult) -> Self {
         match answer {
             FinalAnswer::Stands => Self::Stands { exchange_call },
             FinalAnswer::Refused { come_back_ms } => {
-                Self::Refused { come_back: Duration::from_millis(come_back_ms.into()) }
+                Self::Refused { retry_after: Duration::from_millis(come_back_ms.into()) }
             }
             FinalAnswer::Fails => Self::Fails,
         }
@@ -97,7 +97,11 @@
 
 impl Client {
     /// Connects to the first of the servers that lets it in. Later cuts are mended by themselves, the server of before first.
-    pub fn connect(servers: Vec<SocketAddr>, plan: Plan, within: Duration) -> Result<Self, ClientError> {
+    pub fn connect(
+        servers: Vec<SocketAddr>,
+        plan: SessionConfig,
+        within: Duration,
+    ) -> Result<Self, ClientError> {
         if servers.is_empty() {
             return Err(ClientError::NoServers);
         }
@@ -116,8 +120,8 @@
         let mut last = "nothing answers".to_string();
         while client.now() < until {
             match client.pump(until) {
-                Some(Event::Up { .. }) => return Ok(client),
-                Some(Event::Down { why }) => last = why,
+                Some(Event::Connected { .. }) => return Ok(client),
+                Some(Event::Disconnected { why }) => last = why,
                 Some(Event::Denied { why }) => return Err(ClientError::Denied(why)),
                 Some(event) => client.keep(event),
                 None => {}
@@ -136,18 +140,18 @@
     }
 
     /// Asks for a call and waits for its final answer.
-    pub fn call(&mut self, offer: Offer) -> Result<Outcome, ClientError> {
+    pub fn call(&mut self, offer: Offer) -> Result<CallOutcome, ClientError> {
         let call = self.start(offer)?;
         self.outcome(call)
     }
 
     /// Asks for a call, and for the same again while it is refused or fails, as the rules for that allow: within its caller's
     /// time and after the wait that was told. Returns the last outcome and why there is no further offer, if it does not stand.
-    pub fn call_politely(
+    pub fn call_with_redial(
         &mut self,
         redial: &mut RedialBudget,
         offer: Offer,
-    ) -> Result<(Outcome, Option<RedialDenied>), ClientError> {
+    ) -> Result<(CallOutcome, Option<RedialDenied>), ClientError> {
         let until = self.now() + Duration::from_millis(offer.time_left_ms.into());
         redial.first_offer();
         let mut offers = 0;
@@ -156,11 +160,11 @@
             let outcome = self.call(Offer { time_left_ms: left, redial: offers > 0, ..offer.clone() })?;
             offers += 1;
             let told = match outcome {
-                Outcome::Stands { .. } => return Ok((outcome, None)),
+                CallOutcome::Stands { .. } => return Ok((outcome, None)),
                 // It may stand unheard: only its caller can tell whether to ask again.
-                Outcome::Lost => return Ok((outcome, Some(RedialDenied::Time))),
-                Outcome::Refused { come_back } => Some(come_back),
-                Outcome::Fails => None,
+                CallOutcome::Lost => return Ok((outcome, Some(RedialDenied::Time))),
+                CallOutcome::Refused { retry_after } => Some(retry_after),
+                CallOutcome::Fails => None,
             };
             match redial.again(self.now(), until, offers, told) {
                 Err(why) => return Ok((outcome, Some(why))),
@@ -188,7 +192,7 @@
     }
 
     /// Waits for a call's answer. It comes, or is lost, before the caller's time and a grace are up.
-    pub fn outcome(&mut self, call: u64) -> Result<Outcome, ClientError> {
+    pub fn outcome(&mut self, call: u64) -> Result<CallOutcome, ClientError> {
         let of = move |event: &Event| match event {
             Event::Answered(answered) => answered.call == call,
             Event::Lost { call: lost } => *lost == call,
@@ -200,7 +204,7 @@
             Event::Answered(answered) => Ok(answered.into()),
             Event::Fault { code, why, .. } => Err(ClientError::Fault { code, why }),
             Event::Denied { why } => Err(ClientError::Denied(why)),
-            _ => Ok(Outcome::Lost),
+            _ => Ok(CallOutcome::Lost),
         }
     }
 
@@ -252,7 +256,7 @@
             match self.pump(until) {
                 Some(event) if which(&event) => return Ok(event),
                 Some(event) => self.keep(event),
-                None if self.session.is_closed() => return Err(AskError::Closed.into()),
+                None if self.session.is_closed() => return Err(RequestError::Closed.into()),
                 None => {}
             }
         }
@@ -310,8 +314,8 @@
             event = self.session.next_event();
         }
         match &event {
-            Some(Event::Up { welcome, .. }) => self.welcome = Some((**welcome).clone()),
-            Some(Event::Down { .. }) => self.stream = None,
+            Some(Event::Connected { welcome, .. }) => self.welcome = Some((**welcome).clone()),
+            Some(Event::Disconnected { .. }) => self.stream = None,
             _ => {}
         }
         event
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -7,9 +7,9 @@
 //!
 //! ```no_run
 //! use std::time::Duration;
-//! use mintstall_client::{Client, Plan, offer};
+//! use mintstall_client::{Client, SessionConfig, offer};
 //!
-//! let mut client = Client::connect(vec!["127.0.0.1:7300".parse()?], Plan::named("example"), Duration::from_secs(5))?;
+//! let mut client = Client::connect(vec!["127.0.0.1:7300".parse()?], SessionConfig::named("example"), Duration::from_secs(5))?;
 //! let outcome = client.call(offer(2, 5_551_000, Duration::from_secs(3)))?;
 //! println!("{outcome:?}");
 //! # Ok::<(), Box<dyn std::error::Error>>(())
@@ -18,8 +18,8 @@
 mod client;
 mod session;
 
-pub use client::{Client, ClientError, Outcome, offer};
-pub use session::{AskError, Event, Plan, Session};
+pub use client::{CallOutcome, Client, ClientError, offer};
+pub use session::{Event, RequestError, Session, SessionConfig};
 
 pub use mintstall_callapi as api;
 pub use mintstall_limits::{ReconnectPolicy, RedialBudget, RedialDenied, RedialPolicy};
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -21,30 +21,30 @@
 
 /// How a session is kept.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct SessionConfig {
     /// What the client calls itself, for the server's log.
     pub client: String,
     pub token: Option<String>,
     /// Whether a session that was cut is taken up again; otherwise each connection is a session of its own.
     pub resumes: bool,
-    pub come_back: ReconnectPolicy,
+    pub reconnect: ReconnectPolicy,
     /// When a server that says nothing is pinged, and given up.
-    pub patience: ConnectionTimeouts,
+    pub timeouts: ConnectionTimeouts,
     /// Calls in hand at a time.
     pub most_calls: usize,
     /// How long after its caller's time an answer may still be on its way, before the call counts as lost.
     pub grace: Duration,
 }
 
-impl Plan {
+impl SessionConfig {
     pub fn named(client: impl Into<String>) -> Self {
         Self {
             client: client.into(),
             token: None,
             resumes: true,
-            come_back: ReconnectPolicy::default(),
+            reconnect: ReconnectPolicy::default(),
             // The server pings sooner: only one that is gone is silent for so long.
-            patience: ConnectionTimeouts {
+            timeouts: ConnectionTimeouts {
                 idle_timeout: Duration::from_secs(45),
                 ..ConnectionTimeouts::default()
             },
@@ -57,13 +57,13 @@
 /// What happens on a session.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// It is open; `taken_up`: it is the session of before.
-    Up {
-        taken_up: bool,
+    /// It is open; `resumed`: it is the session of before.
+    Connected {
+        resumed: bool,
         welcome: Box<HelloResult>,
     },
     /// The connection is gone, or was not to be had; it is dialled again by itself.
-    Down {
+    Disconnected {
         why: String,
     },
     /// The server wants nothing of this client: its token is no good. Not dialled again.
@@ -98,7 +98,7 @@
 
 /// An offer or request that can't be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum AskError {
+pub enum RequestError {
     #[error(transparent)]
     InUse(#[from] CallNumberInUse),
     #[error("{0} calls are in hand already")]
@@ -130,7 +130,7 @@
 const MOST_ASKED: usize = 1_000;
 
 pub struct Session {
-    plan: Plan,
+    plan: SessionConfig,
     link: Link,
     back: ReconnectBackoff,
     book: CallTable<Offer>,
@@ -164,12 +164,12 @@
 
 impl Session {
     /// Dials at once. `seed` sets the jitter apart from that of other clients.
-    pub fn new(now: Duration, plan: Plan, seed: u64) -> Self {
+    pub fn new(now: Duration, plan: SessionConfig, seed: u64) -> Self {
         Self {
             link: Link::Down { dial_at: now },
-            back: ReconnectBackoff::new(plan.come_back, seed),
+            back: ReconnectBackoff::new(plan.reconnect, seed),
             book: CallTable::new(plan.most_calls, plan.grace),
-            vigil: ConnectionMonitor::new(ConnectionTimeouts { max_handshakes: 1, ..plan.patience }),
+            vigil: ConnectionMonitor::new(ConnectionTimeouts { max_handshakes: 1, ..plan.timeouts }),
             plan,
             key: None,
             kept: Duration::ZERO,
@@ -295,7 +295,7 @@
         }
         let kept = if self.key.is_some() { self.kept } else { Duration::ZERO };
         self.link = Link::Down { dial_at: self.back.failed(now, told, kept) };
-        self.events.push_back(Event::Down { why: why.to_string() });
+        self.events.push_back(Event::Disconnected { why: why.to_string() });
     }
 
     /// Octets that came on the connection.
@@ -444,13 +444,13 @@
         let Link::Greeting(end) = std::mem::replace(&mut self.link, Link::Dialling) else { return };
         self.link = Link::Open(end);
         self.back.opened(now);
-        let taken_up = self.key.is_some() && self.key == welcome.session;
+        let resumed = self.key.is_some() && self.key == welcome.session;
         self.key = welcome.session.clone();
         self.kept = Duration::from_millis(welcome.limits.kept_ms);
         let there = welcome.calls.iter().map(|call| (call.call, *call)).collect();
         let owed = welcome.owed;
-        self.events.push_back(Event::Up { taken_up, welcome: Box::new(welcome) });
-        match taken_up {
+        self.events.push_back(Event::Connected { resumed, welcome: Box::new(welcome) });
+        match resumed {
             true => self.settling = Some((owed, there)),
             false => {
                 let settled = self.book.begun_anew(now);
@@ -505,12 +505,12 @@
 
     /// Asks for a call, under a number that is not in hand; `offer.time_left_ms` counts from now. While there is no
     /// connection it is kept, and sent with the time that is left then.
-    pub fn offer(&mut self, now: Duration, offer: Offer) -> Result<(), AskError> {
+    pub fn offer(&mut self, now: Duration, offer: Offer) -> Result<(), RequestError> {
         if self.is_closed() {
-            return Err(AskError::Closed);
+            return Err(RequestError::Closed);
         }
         if self.book.is_full() {
-            return Err(AskError::TooMany(self.book.len()));
+            return Err(RequestError::TooMany(self.book.len()));
         }
         let (call, until) = (offer.call, now + Duration::from_millis(offer.time_left_ms.into()));
         self.book.offer(call, offer, until)?;
@@ -561,12 +561,12 @@
     }
 
     /// Any other request; its reply comes as an event under the number returned.
-    pub fn ask(&mut self, request: Request) -> Result<u64, AskError> {
+    pub fn ask(&mut self, request: Request) -> Result<u64, RequestError> {
         if !self.is_open() {
-            return Err(AskError::NotOpen);
+            return Err(RequestError::NotOpen);
         }
         if self.asked.len() >= MOST_ASKED {
-            return Err(AskError::TooMany(MOST_ASKED));
+            return Err(RequestError::TooMany(MOST_ASKED));
         }
         let ask = self.say(Asking::Other, request);
         self.pump();
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -10,7 +10,7 @@
 
 use mintstall::host::OfficeNo;
 use mintstall_callapi::{FinalAnswer, Offer};
-use mintstall_client::{Event, Plan, Session};
+use mintstall_client::{Event, Session, SessionConfig};
 use mintstall_daemon::config::LimitsPlan;
 use mintstall_daemon::exchange::{Exchange, LONGEST_TEXT, LineNo, Port};
 use mintstall_isup::{Body, CauseIndicators, Location, Q850, Rel};
@@ -86,7 +86,7 @@
         let config = common::config(limits);
         let now = Duration::from_secs(3600);
         let client = |seed| Client {
-            session: Session::new(now, Plan::named("fuzz"), seed),
+            session: Session::new(now, SessionConfig::named("fuzz"), seed),
             wires: Vec::new(),
             last_call: 0,
             outcomes: BTreeMap::new(),
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mintstall_callapi::{EndReason, Offer, OfferResult};
-use mintstall_client::{Event, Plan, ReconnectPolicy, Session};
+use mintstall_client::{Event, ReconnectPolicy, Session, SessionConfig};
 use mintstall_standin::{Clients as ClientsPlan, Witness, World};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -59,8 +59,8 @@
     fn begin(&mut self, now: Duration, no: ClientNo) {
         self.seed = self.seed.wrapping_add(1);
         // Cuts are the script's and say nothing of the controller: what is judged is not how long a client stays away.
-        let come_back = ReconnectPolicy { steady: Duration::from_millis(200), ..ReconnectPolicy::default() };
-        let plan = Plan { come_back, ..Plan::named(format!("day {}.{}", no.0, no.1)) };
+        let reconnect = ReconnectPolicy { steady: Duration::from_millis(200), ..ReconnectPolicy::default() };
+        let plan = SessionConfig { reconnect, ..SessionConfig::named(format!("day {}.{}", no.0, no.1)) };
         self.sessions.insert(no, Session::new(now, plan, self.seed));
     }
 
@@ -139,12 +139,12 @@
                 Event::Ended { call, how } => {
                     world.ended(now, office, call, how.unwrap_or(EndReason::Cut), witness)
                 }
-                Event::Up { taken_up, .. } => self.tally.taken_up += u64::from(taken_up),
+                Event::Connected { resumed, .. } => self.tally.taken_up += u64::from(resumed),
                 // The auditor misses their answers, and says so.
                 Event::Lost { call } => info!(office, call, "lost"),
                 Event::Fault { call, code, why } => info!(office, call, code, "{why}"),
                 Event::Denied { why } => info!(office, "denied: {why}"),
-                Event::Down { .. } | Event::News(_) | Event::Missed(_) | Event::Reply { .. } => {}
+                Event::Disconnected { .. } | Event::News(_) | Event::Missed(_) | Event::Reply { .. } => {}
             }
         }
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -10,7 +10,7 @@
 
 use hdrhistogram::Histogram;
 use mintstall_callapi::{FinalAnswer, Offer, OfferResult};
-use mintstall_client::{Event, Plan, Session};
+use mintstall_client::{Event, Session, SessionConfig};
 use mintstall_daemon::wires::Outbox;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
@@ -279,7 +279,8 @@
 
 /// The session of the client at this place, which dials then.
 fn session(plan: &LoadPlan, group: &Group, dial_at: Duration, at: usize) -> Session {
-    let named = Plan { token: group.token.clone(), ..Plan::named(format!("load {}", group.name)) };
+    let named =
+        SessionConfig { token: group.token.clone(), ..SessionConfig::named(format!("load {}", group.name)) };
     Session::new(dial_at, named, plan.seed.wrapping_add(at as u64))
 }
 
@@ -596,16 +597,16 @@
         let now = self.now();
         let member = &mut self.members[at];
         match event {
-            Event::Up { taken_up, .. } => {
+            Event::Connected { resumed, .. } => {
                 if member.opened {
-                    self.report.taken_up += u64::from(taken_up);
-                    self.report.begun_anew += u64::from(!taken_up);
+                    self.report.taken_up += u64::from(resumed);
+                    self.report.begun_anew += u64::from(!resumed);
                 } else {
                     member.opened = true;
                     note(&mut self.opens, now.saturating_sub(self.dialled_at[at]));
                 }
             }
-            Event::Down { .. } => {
+            Event::Disconnected { .. } => {
                 self.report.downs += 1;
                 if let Some(token) = member.token.take() {
                     self.connections.remove(&token);
