--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
-use mintstall_daemon::{Config, Shell, ShellError};
+use mintstall_daemon::{Config, Server, ServerError};
 use serde_json::json;
 
 #[derive(Parser)]
@@ -201,14 +201,14 @@
         Ok(config) => config,
         Err(error) => return bad_input(error),
     };
-    let shell = match Shell::open(&config) {
-        Ok(shell) => shell,
-        Err(error @ ShellError::Tokens(_)) => return bad_input(error),
+    let server = match Server::open(&config) {
+        Ok(server) => server,
+        Err(error @ ServerError::Tokens(_)) => return bad_input(error),
         Err(error) => return failed(error),
     };
-    println!("{}", json!(shell.addresses()));
+    println!("{}", json!(server.addresses()));
     tracing::info!(exchange = config.exchange, "takes calls");
-    match shell.run() {
+    match server.run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => failed(error),
     }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -24,7 +24,7 @@
     #[serde(default)]
     pub subscribers: Subscribers,
     #[serde(default)]
-    pub calls: Calls,
+    pub calls: CallApiConfig,
     /// Where the directory is; without one the roster is all exchanges of `signalling.links`, ready.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub directory: Option<Directory>,
@@ -38,7 +38,7 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub customers: Vec<Customer>,
     #[serde(default)]
-    pub limits: LimitsPlan,
+    pub limits: LimitsConfig,
     /// The file of tokens; read again on SIGHUP. None: nobody is asked for one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tokens: Option<PathBuf>,
@@ -89,7 +89,8 @@
 /// Where clients ask for calls over WebSocket; the reference is `docs/call-control.md`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Calls {
+#[schemars(rename = "Calls")]
+pub struct CallApiConfig {
     #[serde(skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
     /// Origins of browser pages that may connect (`https://host`); none: no page may. Clients that are no pages name none.
@@ -106,7 +107,7 @@
     pub most_unread: usize,
 }
 
-impl Default for Calls {
+impl Default for CallApiConfig {
     fn default() -> Self {
         let patience = ConnectionTimeouts::default();
         let ms = |span: Duration| span.as_millis() as u64;
@@ -123,7 +124,7 @@
     }
 }
 
-impl Calls {
+impl CallApiConfig {
     pub fn patience(&self) -> ConnectionTimeouts {
         let ms = Duration::from_millis;
         ConnectionTimeouts {
@@ -185,7 +186,8 @@
 /// What is let in before a call is offered to the decisions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct LimitsPlan {
+#[schemars(rename = "LimitsPlan")]
+pub struct LimitsConfig {
     /// Subscriber lines at a time, opened a second, and at once.
     pub sessions: usize,
     pub opens_per_s: f64,
@@ -215,7 +217,7 @@
     pub news: usize,
 }
 
-impl Default for LimitsPlan {
+impl Default for LimitsConfig {
     fn default() -> Self {
         let limits = Limits::default();
         Self {
@@ -241,7 +243,7 @@
     }
 }
 
-impl LimitsPlan {
+impl LimitsConfig {
     pub fn limits(&self) -> Limits {
         Limits {
             sessions: self.sessions,
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -32,24 +32,24 @@
 
 /// One connection on which calls are asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LineNo(pub u64);
+pub struct LineId(pub u64);
 
 /// What an exchange acts through.
-pub trait Port {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]);
+pub trait Transport {
+    fn send_to_link(&mut self, to: OfficeNo, octets: &[u8]);
     fn close_link(&mut self, to: OfficeNo, why: &str);
     /// A text for a subscriber line, its end not included.
-    fn say(&mut self, line: LineNo, text: &str);
-    fn close_line(&mut self, line: LineNo, why: &str);
+    fn send_to_line(&mut self, line: LineId, text: &str);
+    fn close_line(&mut self, line: LineId, why: &str);
     /// Whether what waits for a line is little enough to add what can wait.
-    fn has_room(&self, line: LineNo) -> bool;
+    fn has_room(&self, line: LineId) -> bool;
     /// A text for the directory.
-    fn reply(&mut self, text: &str);
-    fn note(&mut self, line: &str);
+    fn send_to_directory(&mut self, text: &str);
+    fn log_info(&mut self, line: &str);
 }
 
 /// Octets of the longest text that a line may carry: an offer has some 200.
-pub const LONGEST_TEXT: usize = 16 << 10;
+pub const MAX_MESSAGE_OCTETS: usize = 16 << 10;
 /// And of the directory: 2,048 entries of some 100 octets.
 const LONGEST_NEWS: usize = 1 << 20;
 
@@ -75,7 +75,7 @@
 
 /// An offer on its way in.
 struct Pending {
-    line: LineNo,
+    line: LineId,
     session: SessionId,
     id: Option<Value>,
     offer: Offer,
@@ -83,7 +83,7 @@
 }
 
 struct Asker {
-    line: LineNo,
+    line: LineId,
     session: SessionId,
     customer: CustomerNo,
     progress: Progress,
@@ -95,14 +95,14 @@
 
 /// Why a connection is not taken as a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum NotOpen {
+pub enum LineOpenError {
     #[error("too many lines open at once, come back in {} ms", .0.as_millis() + 1)]
     Later(Duration),
     #[error("{0} lines are open")]
     Full(usize),
 }
 
-impl NotOpen {
+impl LineOpenError {
     /// What is said to it before it is closed.
     pub fn text(&self) -> String {
         let mut fault = RpcError::new(code::TOO_MANY, self.to_string());
@@ -133,14 +133,14 @@
     /// Offers whose turn has come. Emptied before anything returns.
     ready: VecDeque<Pending>,
     /// Cut sessions with more to hear than is kept. Emptied likewise.
-    overflown: Vec<LineNo>,
+    overflown: Vec<LineId>,
     /// What a session that is taken up is told after its welcome. Emptied with it.
     owed_texts: Vec<String>,
     roster: Roster,
     feed: LineDecoder,
-    lines: BTreeMap<LineNo, Line>,
+    lines: BTreeMap<LineId, Line>,
     /// Which line each session has, or had when it was cut. Emptied with the lines.
-    sessions: BTreeMap<SessionId, LineNo>,
+    sessions: BTreeMap<SessionId, LineId>,
     /// Who asked for each call. Emptied as calls end.
     askers: BTreeMap<CallId, Asker>,
 }
@@ -152,7 +152,7 @@
 }
 
 /// A roster's lines as the decisions read them.
-pub fn roster_lines(held: &[mintstall_roster::Held]) -> Vec<RosterLine> {
+pub fn exchange_entries(held: &[mintstall_roster::Held]) -> Vec<RosterLine> {
     let line = |held: &mintstall_roster::Held| RosterLine {
         exchange: ExchangeId(held.entry.exchange),
         office: OfficeNo(held.entry.office),
@@ -169,14 +169,14 @@
 
 /// What the office does, written down until it has returned: answers need its callers' names.
 struct Wire<'a> {
-    port: &'a mut dyn Port,
+    port: &'a mut dyn Transport,
     answers: Vec<(CallId, Answer)>,
     ends: Vec<(CallId, CallEnd)>,
 }
 
 impl Plant for Wire<'_> {
     fn send(&mut self, to: OfficeNo, octets: &[u8]) {
-        self.port.send(to, octets);
+        self.port.send_to_link(to, octets);
     }
     fn close(&mut self, to: OfficeNo, why: &str) {
         self.port.close_link(to, why);
@@ -187,8 +187,8 @@
     fn ended(&mut self, call: CallId, end: CallEnd) {
         self.ends.push((call, end));
     }
-    fn note(&mut self, line: &str) {
-        self.port.note(line);
+    fn log_info(&mut self, line: &str) {
+        self.port.log_info(line);
     }
 }
 
@@ -225,7 +225,7 @@
     fn with<R>(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
+        port: &mut dyn Transport,
         f: impl FnOnce(&mut Office, &mut Wire) -> R,
     ) -> R {
         let mut wire = Wire { port, answers: Vec::new(), ends: Vec::new() };
@@ -250,7 +250,7 @@
                 what: CallEventKind::Answered(answer),
             };
             self.news.push(customer, event);
-            let log = &mut |line: &str| port.note(line);
+            let log = &mut |line: &str| port.log_info(line);
             self.ready.extend(self.admission.answered(now, session, customer, stands, log));
             if !stands {
                 self.forget(call);
@@ -271,15 +271,15 @@
     }
 
     /// Says something on a line, or keeps it for when its session is taken up; `about`: a notification about that call.
-    fn say(&mut self, port: &mut dyn Port, line: LineNo, about: Option<u64>, text: String) {
+    fn say(&mut self, port: &mut dyn Transport, line: LineId, about: Option<u64>, text: String) {
         let Some(held) = self.lines.get_mut(&line) else { return };
-        let Some(backlog) = &mut held.backlog else { return port.say(line, &text) };
+        let Some(backlog) = &mut held.backlog else { return port.send_to_line(line, &text) };
         let kept = match about {
             Some(call) => backlog.note(call, text),
             None => backlog.answer(text),
         };
         if let Err(overflow) = kept {
-            port.note(&format!("session {} is over: {overflow}", held.session.0));
+            port.log_info(&format!("session {} is over: {overflow}", held.session.0));
             self.overflown.push(line);
         }
     }
@@ -295,22 +295,22 @@
         Some(asker)
     }
 
-    pub fn link_up(&mut self, now: Duration, port: &mut dyn Port, to: OfficeNo) {
+    pub fn link_up(&mut self, now: Duration, port: &mut dyn Transport, to: OfficeNo) {
         self.with(now, port, |office, wire| office.link_up(now, wire, to));
     }
 
-    pub fn link_down(&mut self, now: Duration, port: &mut dyn Port, to: OfficeNo) {
+    pub fn link_down(&mut self, now: Duration, port: &mut dyn Transport, to: OfficeNo) {
         self.with(now, port, |office, wire| office.link_down(now, wire, to));
         self.take_ready(now, port);
     }
 
-    pub fn link_octets(&mut self, now: Duration, port: &mut dyn Port, from: OfficeNo, octets: &[u8]) {
+    pub fn link_octets(&mut self, now: Duration, port: &mut dyn Transport, from: OfficeNo, octets: &[u8]) {
         self.with(now, port, |office, wire| office.octets(now, wire, from, octets));
         self.take_ready(now, port);
     }
 
-    pub fn on_timer(&mut self, now: Duration, port: &mut dyn Port) {
-        for (pending, refusal) in self.admission.on_timer(now, &mut |text| port.note(text)) {
+    pub fn on_timer(&mut self, now: Duration, port: &mut dyn Transport) {
+        for (pending, refusal) in self.admission.on_timer(now, &mut |text| port.log_info(text)) {
             self.refuse(port, &pending, refusal);
         }
         let over = self.resumable.expired(now);
@@ -328,14 +328,14 @@
     }
 
     /// No new calls from now on; those that wait for their turn are refused.
-    pub fn stop(&mut self, port: &mut dyn Port) {
+    pub fn stop(&mut self, port: &mut dyn Transport) {
         self.office.stop();
         let waiting = self.admission.drain();
         waiting.iter().for_each(|(pending, refusal)| self.refuse(port, pending, *refusal));
     }
 
     /// All calls that are left are let go.
-    pub fn release_all(&mut self, now: Duration, port: &mut dyn Port) {
+    pub fn release_all(&mut self, now: Duration, port: &mut dyn Transport) {
         self.with(now, port, |office, wire| office.release_all(now, wire));
         // Their answers gave others their turn, which are refused: nobody is let in any more.
         self.take_ready(now, port);
@@ -344,34 +344,34 @@
     // Subscriber lines.
 
     /// A connection for calls, if there is room for one more.
-    pub fn line_open(&mut self, now: Duration) -> Result<LineNo, NotOpen> {
+    pub fn line_open(&mut self, now: Duration) -> Result<LineId, LineOpenError> {
         match self.admission.open(now) {
             OpenOutcome::Open(SessionId(no)) => {
                 let line = Line {
-                    cutter: LineDecoder::new(LONGEST_TEXT),
+                    cutter: LineDecoder::new(MAX_MESSAGE_OCTETS),
                     session: SessionId(no),
                     token: None,
                     backlog: None,
                     calls: BTreeMap::new(),
                 };
-                self.lines.insert(LineNo(no), line);
-                self.sessions.insert(SessionId(no), LineNo(no));
-                Ok(LineNo(no))
+                self.lines.insert(LineId(no), line);
+                self.sessions.insert(SessionId(no), LineId(no));
+                Ok(LineId(no))
             }
-            OpenOutcome::RateLimited(wait) => Err(NotOpen::Later(wait)),
-            OpenOutcome::Full => Err(NotOpen::Full(self.lines.len())),
+            OpenOutcome::RateLimited(wait) => Err(LineOpenError::Later(wait)),
+            OpenOutcome::Full => Err(LineOpenError::Full(self.lines.len())),
         }
     }
 
     /// The connection is gone. A resumable session is kept for a while; of any other what is in hand is hung up, and
     /// nobody is told.
-    pub fn line_closed(&mut self, now: Duration, port: &mut dyn Port, line: LineNo) {
+    pub fn line_closed(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
         let Some(held) = self.lines.get_mut(&line) else { return };
         match self.resumable.cut(now, held.session) {
             DisconnectOutcome::Over => self.end_line(now, port, line),
             DisconnectOutcome::Kept { displaced, .. } => {
                 held.backlog = Some(Backlog::new(self.resume_texts));
-                held.cutter = LineDecoder::new(LONGEST_TEXT);
+                held.cutter = LineDecoder::new(MAX_MESSAGE_OCTETS);
                 self.end_sessions(now, port, &displaced);
             }
         }
@@ -379,12 +379,12 @@
     }
 
     /// Its client has closed it for good: what is in hand is hung up, resumable or not.
-    pub fn line_over(&mut self, now: Duration, port: &mut dyn Port, line: LineNo) {
+    pub fn line_over(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
         self.end_line(now, port, line);
         self.take_ready(now, port);
     }
 
-    fn end_sessions(&mut self, now: Duration, port: &mut dyn Port, sessions: &[SessionId]) {
+    fn end_sessions(&mut self, now: Duration, port: &mut dyn Transport, sessions: &[SessionId]) {
         for session in sessions {
             if let Some(line) = self.sessions.get(session).copied() {
                 self.end_line(now, port, line);
@@ -392,19 +392,19 @@
         }
     }
 
-    fn end_line(&mut self, now: Duration, port: &mut dyn Port, line: LineNo) {
+    fn end_line(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
         let Some(Line { calls, session, .. }) = self.lines.remove(&line) else { return };
         self.sessions.remove(&session);
         self.resumable.forget(session);
         self.repeats.over(session);
         self.news.leave(session);
-        self.admission.close(now, session, &mut |text| port.note(text));
+        self.admission.close(now, session, &mut |text| port.log_info(text));
         for held in calls.into_values() {
             let Held::With(call) = held else { continue };
             let asker = self.askers.remove(&call);
             self.with(now, port, |office, wire| office.hang_up(now, wire, call));
             if let Some(asker) = asker.filter(|asker| asker.progress == Progress::Unanswered) {
-                let log = &mut |text: &str| port.note(text);
+                let log = &mut |text: &str| port.log_info(text);
                 let next = self.admission.answered(now, session, asker.customer, false, log);
                 self.ready.extend(next);
             }
@@ -415,8 +415,8 @@
     fn take_up(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
-        line: LineNo,
+        port: &mut dyn Transport,
+        line: LineId,
         key: &str,
     ) -> Result<Vec<CallState>, RpcError> {
         let invalid = |text: &str| RpcError::new(code::INVALID_PARAMS, text);
@@ -454,7 +454,7 @@
             }
         });
         self.sessions.remove(&fresh);
-        self.admission.close(now, fresh, &mut |text| port.note(text));
+        self.admission.close(now, fresh, &mut |text| port.log_info(text));
         let calls = calls.into_iter().map(|(call, held)| self.call_state(call, held)).collect();
         // Said after the welcome: the client must know whose they are.
         let mut backlog = before.backlog;
@@ -465,7 +465,7 @@
     }
 
     /// Offers whose turn has come go to the decisions, and what that answers may bring others their turn.
-    fn take_ready(&mut self, now: Duration, port: &mut dyn Port) {
+    fn take_ready(&mut self, now: Duration, port: &mut dyn Transport) {
         loop {
             if let Some(line) = self.overflown.pop() {
                 self.end_line(now, port, line);
@@ -495,8 +495,8 @@
     fn hello(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
-        line: LineNo,
+        port: &mut dyn Transport,
+        line: LineId,
         hello: &Hello,
     ) -> Result<HelloResult, RpcError> {
         let held =
@@ -530,7 +530,7 @@
                 calls_a_customer: limits.calls_a_customer,
                 offers_per_s: limits.offers_per_s,
                 requests_per_s: limits.requests_per_s,
-                text_octets: LONGEST_TEXT,
+                text_octets: MAX_MESSAGE_OCTETS,
                 kept_ms: self.resumable.span().as_millis() as u64,
                 repeat_ms: self.repeat_ms,
             },
@@ -541,7 +541,7 @@
     }
 
     /// What was not let in: a call answered as refused where a later try may do better, else a fault of the client.
-    fn refuse(&mut self, port: &mut dyn Port, pending: &Pending, refusal: AdmissionError) {
+    fn refuse(&mut self, port: &mut dyn Transport, pending: &Pending, refusal: AdmissionError) {
         let (line, call) = (pending.line, pending.offer.call);
         if let Some(held) = self.lines.get_mut(&line)
             && held.calls.get(&call) == Some(&Held::Waiting)
@@ -563,7 +563,7 @@
         }
     }
 
-    fn subscribe(&mut self, line: LineNo, cursor: Option<u64>) -> Result<u64, RpcError> {
+    fn subscribe(&mut self, line: LineId, cursor: Option<u64>) -> Result<u64, RpcError> {
         let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
         allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
@@ -573,35 +573,38 @@
     }
 
     /// Tells those who watch what is new, as far as their connections have room.
-    fn tell_watchers(&mut self, port: &mut dyn Port) {
+    fn tell_watchers(&mut self, port: &mut dyn Transport) {
         const AT_ONCE: usize = 256;
         if self.news.watchers() == 0 {
             return;
         }
         for session in self.news.behind() {
-            let there = |line: &LineNo| self.lines.get(line).is_some_and(|line| line.backlog.is_none());
+            let there = |line: &LineId| self.lines.get(line).is_some_and(|line| line.backlog.is_none());
             let line = self.sessions.get(&session).copied().filter(there);
             let Some(line) = line.filter(|line| port.has_room(*line)) else { continue };
             let told = self.news.tell(session, AT_ONCE);
             if told.missed > 0 {
-                port.say(
+                port.send_to_line(
                     line,
                     &notification_text("call.news.missed", NewsMissedNotification { count: told.missed }),
                 );
             }
             for (number, event) in told.events {
-                port.say(line, &notification_text("call.news", CallNewsNotification { number, event }));
+                port.send_to_line(
+                    line,
+                    &notification_text("call.news", CallNewsNotification { number, event }),
+                );
             }
         }
     }
 
     /// An offer goes to the decisions, with the time that its caller has left.
-    fn take(&mut self, now: Duration, port: &mut dyn Port, pending: Pending) {
+    fn take(&mut self, now: Duration, port: &mut dyn Transport, pending: Pending) {
         let Pending { line, session, id, offer, since } = pending;
         let customer = CustomerNo(offer.customer);
         let Some(held) = self.lines.get_mut(&line) else {
             // Its line closed as its turn came: its place goes on.
-            let log = &mut |text: &str| port.note(text);
+            let log = &mut |text: &str| port.log_info(text);
             let next = self.admission.answered(now, session, customer, false, log);
             return self.ready.extend(next);
         };
@@ -616,10 +619,10 @@
         self.with(now, port, |office, wire| office.offer(now, wire, call, order));
     }
 
-    pub fn line_octets(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, octets: &[u8]) {
+    pub fn line_octets(&mut self, now: Duration, port: &mut dyn Transport, line: LineId, octets: &[u8]) {
         let Some(held) = self.lines.get_mut(&line) else { return };
         // Taken out while its texts are acted on.
-        let mut cutter = std::mem::replace(&mut held.cutter, LineDecoder::new(LONGEST_TEXT));
+        let mut cutter = std::mem::replace(&mut held.cutter, LineDecoder::new(MAX_MESSAGE_OCTETS));
         cutter.push(octets);
         loop {
             match cutter.next() {
@@ -627,7 +630,7 @@
                 Ok(None) => break,
                 Err(error) => {
                     let fault = RpcError::new(code::PARSE, error.to_string());
-                    port.say(line, &error_text(&Value::Null, &fault));
+                    port.send_to_line(line, &error_text(&Value::Null, &fault));
                     port.close_line(line, &error.to_string());
                     break;
                 }
@@ -640,57 +643,61 @@
     }
 
     /// One whole text of a line whose connection carries texts.
-    pub fn line_text(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, text: &[u8]) {
+    pub fn line_text(&mut self, now: Duration, port: &mut dyn Transport, line: LineId, text: &[u8]) {
         self.text(now, port, line, text);
         self.take_ready(now, port);
     }
 
-    fn text(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, text: &[u8]) {
+    fn text(&mut self, now: Duration, port: &mut dyn Transport, line: LineId, text: &[u8]) {
         let Some(session) = self.lines.get(&line).map(|line| line.session) else { return };
         let allowed = self.admission.gate.request(now, session);
         let RequestMessage { id, request } = match RequestMessage::read(text) {
             Ok(asked) => asked,
-            Err((id, fault)) => return port.say(line, &error_text(&id, &fault)),
+            Err((id, fault)) => return port.send_to_line(line, &error_text(&id, &fault)),
         };
         if let Err(refusal) = allowed {
             let mut fault = RpcError::new(code::TOO_FAST, refusal.to_string());
             if let AdmissionError::RateLimited { retry_after } = refusal {
                 fault.come_back_ms = Some(retry_after.as_millis() as u64 + 1);
             }
-            return id.iter().for_each(|id| port.say(line, &error_text(id, &fault)));
+            return id.iter().for_each(|id| port.send_to_line(line, &error_text(id, &fault)));
         }
         let done = match request {
             Request::Hello(hello) => self.hello(now, port, line, &hello).map(|welcome| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, &welcome)));
-                self.owed_texts.drain(..).for_each(|text| port.say(line, &text));
+                id.iter().for_each(|id| port.send_to_line(line, &result_text(id, &welcome)));
+                self.owed_texts.drain(..).for_each(|text| port.send_to_line(line, &text));
             }),
             Request::Subscribe(subscribe) => self.subscribe(line, subscribe.cursor).map(|cursor| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, Subscribed { cursor })));
+                id.iter().for_each(|id| port.send_to_line(line, &result_text(id, Subscribed { cursor })));
             }),
             Request::Offer(offer) => self.offer(now, port, line, &id, &offer),
             Request::Hangup(hangup) => self.hang_up(now, port, line, hangup.call).map(|()| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, CallAck { call: hangup.call })));
+                id.iter()
+                    .for_each(|id| port.send_to_line(line, &result_text(id, CallAck { call: hangup.call })));
             }),
             Request::Cancel(cancel) => self.cancel(now, port, line, cancel.call).map(|()| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, CallAck { call: cancel.call })));
+                id.iter()
+                    .for_each(|id| port.send_to_line(line, &result_text(id, CallAck { call: cancel.call })));
             }),
             Request::Get(get) => self.get(now, line, get.call).map(|state| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, state)));
+                id.iter().for_each(|id| port.send_to_line(line, &result_text(id, state)));
             }),
             Request::TraceGet(get) => self.trace_get(line, get).map(|traces| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, Traced { traces: traces.clone() })));
+                id.iter().for_each(|id| {
+                    port.send_to_line(line, &result_text(id, Traced { traces: traces.clone() }))
+                });
             }),
         };
         if let (Err(fault), Some(id)) = (done, id) {
-            port.say(line, &error_text(&id, &fault));
+            port.send_to_line(line, &error_text(&id, &fault));
         }
     }
 
     fn offer(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
-        line: LineNo,
+        port: &mut dyn Transport,
+        line: LineId,
         id: &Option<Value>,
         offer: &Offer,
     ) -> Result<(), RpcError> {
@@ -700,7 +707,7 @@
             self.tokens.check(held.token.as_deref(), Scope::Offer, Some(CustomerNo(offer.customer)));
         allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
         if let CachedAnswer::Answered(answered) = self.repeats.offer(now, held.session, offer.call) {
-            id.iter().for_each(|id| port.say(line, &result_text(id, answered)));
+            id.iter().for_each(|id| port.send_to_line(line, &result_text(id, answered)));
             return Ok(());
         }
         if held.calls.contains_key(&offer.call) {
@@ -712,7 +719,7 @@
         let session = held.session;
         let pending = Pending { line, session, id: id.clone(), offer: offer.clone(), since: now };
         let (customer, left) = (CustomerNo(offer.customer), Duration::from_millis(offer.time_left_ms.into()));
-        let log = &mut |text: &str| port.note(text);
+        let log = &mut |text: &str| port.log_info(text);
         let (verdict, displaced) = self.admission.offer(now, session, customer, left, pending, log);
         match verdict {
             AdmissionDecision::Admit(pending) => self.take(now, port, pending),
@@ -726,8 +733,8 @@
     fn hang_up(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
-        line: LineNo,
+        port: &mut dyn Transport,
+        line: LineId,
         call: u64,
     ) -> Result<(), RpcError> {
         let known = self.lines.get(&line).and_then(|line| line.calls.get(&call)).copied();
@@ -736,10 +743,10 @@
             Held::With(id) => id,
             Held::Waiting => {
                 let which = |pending: &Pending| pending.line == line && pending.offer.call == call;
-                let pending = self.admission.withdraw(now, which, &mut |text| port.note(text));
+                let pending = self.admission.withdraw(now, which, &mut |text| port.log_info(text));
                 self.lines.get_mut(&line).into_iter().for_each(|line| _ = line.calls.remove(&call));
                 if let Some(id) = pending.and_then(|pending| pending.id) {
-                    port.say(
+                    port.send_to_line(
                         line,
                         &result_text(&id, OfferResult { call, exchange_call: 0, answer: FinalAnswer::Fails }),
                     );
@@ -759,8 +766,8 @@
     fn cancel(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
-        line: LineNo,
+        port: &mut dyn Transport,
+        line: LineId,
         call: u64,
     ) -> Result<(), RpcError> {
         let held = self.lines.get(&line).and_then(|line| line.calls.get(&call)).copied();
@@ -783,7 +790,7 @@
         }
     }
 
-    fn get(&mut self, now: Duration, line: LineNo, call: u64) -> Result<CallState, RpcError> {
+    fn get(&mut self, now: Duration, line: LineId, call: u64) -> Result<CallState, RpcError> {
         let unknown = || RpcError::new(code::UNKNOWN_CALL, format!("no call {call} is known"));
         let held = self.lines.get(&line).ok_or_else(unknown)?;
         if let Some(held) = held.calls.get(&call) {
@@ -795,7 +802,7 @@
     }
 
     /// Whoever may watch sees the traces of the customers that its token sees.
-    fn trace_get(&self, line: LineNo, get: TraceGet) -> Result<Vec<CallTrace>, RpcError> {
+    fn trace_get(&self, line: LineId, get: TraceGet) -> Result<Vec<CallTrace>, RpcError> {
         let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
         allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
@@ -812,16 +819,18 @@
     // Directory.
 
     /// The directory is there: it is asked for all that is new.
-    pub fn directory_open(&mut self, port: &mut dyn Port) {
+    pub fn directory_open(&mut self, port: &mut dyn Transport) {
         self.feed = LineDecoder::new(LONGEST_NEWS);
-        port.reply(&Reply::Want(Ask { office: self.office.own().0, held: self.roster.version() }).text());
+        port.send_to_directory(
+            &Reply::Want(Ask { office: self.office.own().0, held: self.roster.version() }).text(),
+        );
     }
 
     /// `Err`: what came makes no sense as a line, and the connection is to be closed. `Ok(true)`: the roster is new.
     pub fn directory_octets(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
+        port: &mut dyn Transport,
         octets: &[u8],
     ) -> Result<bool, String> {
         self.feed.push(octets);
@@ -832,9 +841,11 @@
                 Ok(Some(text)) => match FeedNote::read(text) {
                     Ok(note) => new |= self.feed_note(now, port, &note),
                     Err(error) => {
-                        port.note(&format!("directory: a line makes no sense and is passed over: {error}"));
+                        port.log_info(&format!(
+                            "directory: a line makes no sense and is passed over: {error}"
+                        ));
                         let (office, why) = (self.office.own().0, error.to_string());
-                        port.reply(&Reply::TurnedDown { office, version: 0, why }.text());
+                        port.send_to_directory(&Reply::TurnedDown { office, version: 0, why }.text());
                     }
                 },
                 Ok(None) => break Ok(new),
@@ -846,18 +857,22 @@
     }
 
     /// One note of the directory or the plant; `true`: the roster is new.
-    pub fn feed_note(&mut self, now: Duration, port: &mut dyn Port, note: &FeedNote) -> bool {
+    pub fn feed_note(&mut self, now: Duration, port: &mut dyn Transport, note: &FeedNote) -> bool {
         match note {
             FeedNote::Roster(news) => {
                 let office = self.office.own().0;
                 let (verdict, told) = self.roster.hear(now, news);
                 match verdict {
-                    RosterVerdict::Taken { version } => port.reply(&Reply::Taken { office, version }.text()),
+                    RosterVerdict::Taken { version } => {
+                        port.send_to_directory(&Reply::Taken { office, version }.text())
+                    }
                     RosterVerdict::TurnedDown { version, why } => {
-                        port.note(&format!("roster version {version} turned down: {why}"));
-                        port.reply(&Reply::TurnedDown { office, version, why: why.to_string() }.text());
+                        port.log_info(&format!("roster version {version} turned down: {why}"));
+                        port.send_to_directory(
+                            &Reply::TurnedDown { office, version, why: why.to_string() }.text(),
+                        );
                         if matches!(why, RosterRefusal::Gap { .. } | RosterRefusal::NothingHeld { .. }) {
-                            port.reply(&Reply::Want(Ask { office, held: None }).text());
+                            port.send_to_directory(&Reply::Want(Ask { office, held: None }).text());
                         }
                     }
                 }
@@ -876,10 +891,10 @@
         }
     }
 
-    fn roster_told(&mut self, now: Duration, port: &mut dyn Port, told: &Told) {
+    fn roster_told(&mut self, now: Duration, port: &mut dyn Transport, told: &Told) {
         self.with(now, port, |office, wire| match told {
-            Told::Whole(held) => office.roster(now, wire, &roster_lines(held)),
-            Told::Changes(held) => office.roster_changes(now, wire, &roster_lines(held)),
+            Told::Whole(held) => office.roster(now, wire, &exchange_entries(held)),
+            Told::Changes(held) => office.roster_changes(now, wire, &exchange_entries(held)),
         });
     }
 
@@ -888,7 +903,7 @@
         &mut self,
         now: Duration,
         wall_ms: u64,
-        port: &mut dyn Port,
+        port: &mut dyn Transport,
         text: &[u8],
     ) -> Result<(), String> {
         let (roster, told) =
--- a/crates/daemon/src/wires.rs
+++ b/crates/daemon/src/output_buffer.rs
@@ -2,7 +2,7 @@
 
 /// Octets waiting for one connection.
 #[derive(Debug)]
-pub struct Outbox {
+pub struct OutputBuffer {
     held: Vec<u8>,
     written: usize,
     most: usize,
@@ -18,18 +18,18 @@
 }
 
 /// Octets that may wait for a connection: some seconds of a link at 1,000 calls a second.
-pub const MOST_WAITING: usize = 1 << 20;
+pub const DEFAULT_OUTPUT_LIMIT: usize = 1 << 20;
 
 /// Room that is kept for what comes next; thousands of connections are idle at a time.
 const ROOM_KEPT: usize = 4 << 10;
 
-impl Default for Outbox {
+impl Default for OutputBuffer {
     fn default() -> Self {
-        Self::new(MOST_WAITING)
+        Self::new(DEFAULT_OUTPUT_LIMIT)
     }
 }
 
-impl Outbox {
+impl OutputBuffer {
     /// At most so many octets wait.
     pub fn new(most: usize) -> Self {
         Self { held: Vec::new(), written: 0, most, overrun: Overrun::Not }
@@ -87,11 +87,11 @@
 
     #[test]
     fn a_reader_too_slow_for_what_may_wait_is_told() {
-        let mut out = Outbox::default();
-        (0..MOST_WAITING / 1024).for_each(|_| out.push(&[0; 1024]));
+        let mut out = OutputBuffer::default();
+        (0..DEFAULT_OUTPUT_LIMIT / 1024).for_each(|_| out.push(&[0; 1024]));
         assert!(!out.overrun());
         out.push(&[0]);
-        assert!(out.overrun() && out.waiting() == MOST_WAITING);
+        assert!(out.overrun() && out.waiting() == DEFAULT_OUTPUT_LIMIT);
         assert!(out.write_to(&mut Vec::new()).unwrap());
         assert_eq!(
             (out.waiting(), out.held.capacity() <= ROOM_KEPT),
@@ -102,7 +102,7 @@
 
     #[test]
     fn the_last_is_written_whatever_waits_and_nothing_after_it() {
-        let mut out = Outbox::new(4);
+        let mut out = OutputBuffer::new(4);
         out.push(b"abcd");
         out.push(b"e");
         assert!(out.overrun());
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/server.rs
@@ -24,11 +24,14 @@
 use tracing::{debug, info, warn};
 
 use crate::config::{Config, ConfigError, read_tokens};
-use crate::exchange::{Exchange, LONGEST_TEXT, LineNo, NotOpen, Port};
-use crate::wires::Outbox;
+use crate::exchange::{Exchange, LineId, LineOpenError, MAX_MESSAGE_OCTETS, Transport};
+use crate::output_buffer::OutputBuffer;
+
+/// Log target of this module. Operators filter by it, so it does not follow the module path.
+const LOG_TARGET: &str = "mintstall_daemon::shell";
 
 #[derive(Debug, Error)]
-pub enum ShellError {
+pub enum ServerError {
     #[error("{what} {addr}: {error}")]
     Listen { what: &'static str, addr: SocketAddr, error: io::Error },
     #[error("no event loop: {0}")]
@@ -73,12 +76,12 @@
         deframer: Deframer,
         octets: Vec<u8>,
     },
-    Line(LineNo),
+    Line(LineId),
     /// Came in for calls, its handshake not whole yet.
     Knocking(ServerHandshake),
     /// A line over WebSocket.
     Calls {
-        line: LineNo,
+        line: LineId,
         end: Box<WebSocketConnection>,
     },
     /// Told why it is closed; it goes once that is written.
@@ -96,7 +99,7 @@
 struct Connection {
     stream: TcpStream,
     purpose: Purpose,
-    out: Outbox,
+    out: OutputBuffer,
     /// Whether it is registered for writing too.
     writing: Writing,
     /// It goes once what waits is written.
@@ -117,11 +120,11 @@
 }
 
 /// All connections; what the exchange acts through.
-struct Wires {
+struct Connections {
     poll: Poll,
     connections: BTreeMap<Token, Connection>,
     links: BTreeMap<OfficeNo, Token>,
-    lines: BTreeMap<LineNo, Token>,
+    lines: BTreeMap<LineId, Token>,
     directory: Option<Token>,
     /// Who has not said which exchange it is; clients over WebSocket.
     strangers: ConnectionMonitor<Token>,
@@ -135,7 +138,7 @@
     next: usize,
 }
 
-impl Wires {
+impl Connections {
     fn now(&self) -> Duration {
         CLOCK_START + self.started.elapsed()
     }
@@ -197,8 +200,8 @@
         self.poll.registry().register(&mut stream, token, interest)?;
         let writing = Writing::Idle;
         let out = match purpose {
-            Purpose::Knocking(_) => Outbox::new(self.most_unread),
-            _ => Outbox::default(),
+            Purpose::Knocking(_) => OutputBuffer::new(self.most_unread),
+            _ => OutputBuffer::default(),
         };
         self.admins += usize::from(matches!(purpose, Purpose::Admin(_)));
         self.connections.insert(token, Connection { stream, purpose, out, writing, leaving: false });
@@ -243,14 +246,14 @@
     }
 }
 
-impl Port for Wires {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+impl Transport for Connections {
+    fn send_to_link(&mut self, to: OfficeNo, octets: &[u8]) {
         self.push(self.links.get(&to).copied(), &[octets]);
     }
     fn close_link(&mut self, to: OfficeNo, why: &str) {
         self.close(self.links.get(&to).copied(), why);
     }
-    fn say(&mut self, line: LineNo, text: &str) {
+    fn send_to_line(&mut self, line: LineId, text: &str) {
         let Some(token) = self.lines.get(&line).copied() else { return };
         match self.connections.get_mut(&token).map(|connection| &mut connection.purpose) {
             Some(Purpose::Calls { end, .. }) => {
@@ -260,7 +263,7 @@
             _ => self.push(Some(token), &[text.as_bytes(), b"\n"]),
         }
     }
-    fn close_line(&mut self, line: LineNo, why: &str) {
+    fn close_line(&mut self, line: LineId, why: &str) {
         let Some(token) = self.lines.get(&line).copied() else { return };
         match self.connections.get_mut(&token).map(|connection| &mut connection.purpose) {
             Some(Purpose::Calls { end, .. }) => {
@@ -270,22 +273,22 @@
             _ => self.close(Some(token), why),
         }
     }
-    fn has_room(&self, line: LineNo) -> bool {
+    fn has_room(&self, line: LineId) -> bool {
         const ROOM: usize = 64 << 10;
         let connection = self.lines.get(&line).and_then(|token| self.connections.get(token));
         connection.is_some_and(|connection| connection.out.waiting() < ROOM)
     }
-    fn reply(&mut self, text: &str) {
+    fn send_to_directory(&mut self, text: &str) {
         self.push(self.directory, &[text.as_bytes(), b"\n"]);
     }
-    fn note(&mut self, line: &str) {
+    fn log_info(&mut self, line: &str) {
         info!(target: "mintstall::mode", "{line}");
     }
 }
 
 /// Where a controller is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Addresses {
+pub struct ListenAddresses {
     pub signalling: Option<SocketAddr>,
     pub subscribers: Option<SocketAddr>,
     pub calls: Option<SocketAddr>,
@@ -293,9 +296,9 @@
 }
 
 /// A controller with its sockets.
-pub struct Shell {
+pub struct Server {
     exchange: Exchange,
-    wires: Wires,
+    wires: Connections,
     signals: Signals,
     links_in: Option<TcpListener>,
     lines_in: Option<TcpListener>,
@@ -320,9 +323,9 @@
     what: &'static str,
     addr: Option<SocketAddr>,
     token: Token,
-) -> Result<Option<TcpListener>, ShellError> {
+) -> Result<Option<TcpListener>, ServerError> {
     let Some(addr) = addr else { return Ok(None) };
-    let fail = |error| ShellError::Listen { what, addr, error };
+    let fail = |error| ServerError::Listen { what, addr, error };
     let mut listener = TcpListener::bind(addr).map_err(fail)?;
     poll.registry().register(&mut listener, token, Interest::READABLE).map_err(fail)?;
     Ok(Some(listener))
@@ -332,12 +335,12 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_millis() as u64)
 }
 
-impl Shell {
+impl Server {
     /// Opens all that the configuration names. The configuration has no faults.
-    pub fn open(config: &Config) -> Result<Self, ShellError> {
-        let poll = Poll::new().map_err(ShellError::Poll)?;
-        let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(ShellError::Poll)?;
-        poll.registry().register(&mut signals, SIGNALS, Interest::READABLE).map_err(ShellError::Poll)?;
+    pub fn open(config: &Config) -> Result<Self, ServerError> {
+        let poll = Poll::new().map_err(ServerError::Poll)?;
+        let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(ServerError::Poll)?;
+        poll.registry().register(&mut signals, SIGNALS, Interest::READABLE).map_err(ServerError::Poll)?;
         let links_in = listener(&poll, "signalling.listen", config.signalling.listen, LINKS_IN)?;
         let lines_in = listener(&poll, "subscribers.listen", config.subscribers.listen, LINES_IN)?;
         let admins_in =
@@ -357,9 +360,9 @@
         // Milliseconds since 2020 as the number of this start: it grows, and fits for a century.
         let incarnation = wall_ms().saturating_sub(1_577_836_800_000);
         let seed = config.seed.unwrap_or_else(|| rand::rng().random());
-        let mut shell = Self {
+        let mut server = Self {
             exchange: Exchange::new(CLOCK_START, config, incarnation, seed),
-            wires: Wires {
+            wires: Connections {
                 poll,
                 connections: BTreeMap::new(),
                 links: BTreeMap::new(),
@@ -389,18 +392,18 @@
             buffer: vec![0; 64 << 10],
         };
         if let Some(path) = &config.tokens {
-            shell.exchange.set_tokens(read_tokens(path)?);
+            server.exchange.set_tokens(read_tokens(path)?);
         }
-        shell.first_roster(config);
-        Ok(shell)
+        server.first_roster(config);
+        Ok(server)
     }
 
     /// Where the subscriber lines and the admin port ended up, where they were left to the machine.
-    pub fn addresses(&self) -> Addresses {
+    pub fn addresses(&self) -> ListenAddresses {
         let [signalling, subscribers, calls, admin] =
             [&self.links_in, &self.lines_in, &self.calls_in, &self.admins_in]
                 .map(|listener| listener.as_ref().and_then(|listener| listener.local_addr().ok()));
-        Addresses { signalling, subscribers, calls, admin }
+        ListenAddresses { signalling, subscribers, calls, admin }
     }
 
     fn now(&self) -> Duration {
@@ -425,23 +428,27 @@
         let Some(path) = &self.keep else { return };
         match std::fs::read(path) {
             Ok(text) => match self.exchange.come_back(now, wall_ms(), &mut self.wires, &text) {
-                Ok(()) => info!(path = %path.display(), "roster of before taken"),
-                Err(error) => warn!(path = %path.display(), "{error}; waiting for the directory"),
+                Ok(()) => info!(target: LOG_TARGET, path = %path.display(), "roster of before taken"),
+                Err(error) => {
+                    warn!(target: LOG_TARGET, path = %path.display(), "{error}; waiting for the directory")
+                }
             },
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-            Err(error) => warn!(path = %path.display(), "{error}; waiting for the directory"),
+            Err(error) => {
+                warn!(target: LOG_TARGET, path = %path.display(), "{error}; waiting for the directory")
+            }
         }
     }
 
     /// Runs until it is told to stop and has answered all it took.
-    pub fn run(mut self) -> Result<(), ShellError> {
+    pub fn run(mut self) -> Result<(), ServerError> {
         let mut events = Events::with_capacity(1024);
         loop {
             let wait = self.wait();
             match self.wires.poll.poll(&mut events, wait) {
                 Ok(()) => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) => return Err(ShellError::Poll(error)),
+                Err(error) => return Err(ServerError::Poll(error)),
             }
             for event in &events {
                 match event.token() {
@@ -492,7 +499,7 @@
             self.read_tokens();
         }
         if signals.iter().any(|signal| *signal != SIGHUP) && self.stopping.is_none() {
-            info!("stopping: no new calls, {} in hand", self.exchange.office.state().calls);
+            info!(target: LOG_TARGET, "stopping: no new calls, {} in hand", self.exchange.office.state().calls);
             self.exchange.stop(&mut self.wires);
             self.stopping = Some(Instant::now());
             (self.links_in, self.lines_in, self.calls_in) = (None, None, None);
@@ -504,10 +511,10 @@
         let Some(path) = &self.tokens else { return };
         match read_tokens(path) {
             Ok(tokens) => {
-                info!(path = %path.display(), "tokens read");
+                info!(target: LOG_TARGET, path = %path.display(), "tokens read");
                 self.exchange.set_tokens(tokens);
             }
-            Err(error) => warn!("{error}; the tokens of before stay in force"),
+            Err(error) => warn!(target: LOG_TARGET, "{error}; the tokens of before stay in force"),
         }
     }
 
@@ -525,7 +532,7 @@
         if !(written && released) && let_go.elapsed() < LET_GO_WITHIN {
             return false;
         }
-        info!(written, released, "stopped");
+        info!(target: LOG_TARGET, written, released, "stopped");
         true
     }
 
@@ -560,14 +567,14 @@
                 LINES_IN => match self.exchange.line_open(self.now()) {
                     Ok(line) => Purpose::Line(line),
                     Err(why) => {
-                        debug!(%from, "line turned away: {why}");
+                        debug!(target: LOG_TARGET, %from, "line turned away: {why}");
                         // Best effort: whoever does not read it sees the close.
                         let _ = (&stream).write_all(format!("{}\n", why.text()).as_bytes());
                         continue;
                     }
                 },
                 _ if self.wires.admins >= MOST_ADMINS => {
-                    warn!(%from, "connection turned away: {MOST_ADMINS} there already");
+                    warn!(target: LOG_TARGET, %from, "connection turned away: {MOST_ADMINS} there already");
                     continue;
                 }
                 _ => Purpose::Admin(LineDecoder::new(LONGEST_ADMIN_TEXT)),
@@ -579,13 +586,13 @@
             let token = match self.wires.add(stream, purpose) {
                 Ok(token) => token,
                 Err(error) => {
-                    warn!(%from, "connection can't be watched: {error}");
+                    warn!(target: LOG_TARGET, %from, "connection can't be watched: {error}");
                     continue;
                 }
             };
             if let Some(line) = line {
                 self.wires.lines.insert(line, token);
-                debug!(%from, line = line.0, "line open");
+                debug!(target: LOG_TARGET, %from, line = line.0, "line open");
             }
             let now = self.now();
             let came = match on {
@@ -594,7 +601,7 @@
                 _ => Ok(()),
             };
             if let Err(why) = came {
-                debug!(%from, "connection turned away: {why}");
+                debug!(target: LOG_TARGET, %from, "connection turned away: {why}");
                 if on == CALLS_IN {
                     let busy = HandshakeRejection {
                         retry_after_s: Some(1),
@@ -638,7 +645,7 @@
             let tried =
                 TcpStream::connect(to).and_then(|stream| self.wires.add(stream, Purpose::Dialling(dialled)));
             if let Err(error) = tried {
-                debug!(?dialled, %to, "can't connect: {error}");
+                debug!(target: LOG_TARGET, ?dialled, %to, "can't connect: {error}");
                 self.redial_later(dialled);
             }
         }
@@ -688,7 +695,7 @@
             Dialled::Link(to) => self.link_open(token, to),
             Dialled::Directory => {
                 self.wires.directory = Some(token);
-                info!("directory connected");
+                info!(target: LOG_TARGET, "directory connected");
                 self.exchange.directory_open(&mut self.wires);
             }
         }
@@ -760,17 +767,17 @@
                 ServerHandshakeState::Rejected(why) => self.turn_away(token, &why),
                 ServerHandshakeState::Valid(wish) => match self.exchange.line_open(now) {
                     Ok(line) => {
-                        debug!(line = line.0, "line open");
+                        debug!(target: LOG_TARGET, line = line.0, "line open");
                         connection.purpose =
-                            Purpose::Calls { line, end: Box::new(wish.accept(LONGEST_TEXT)) };
+                            Purpose::Calls { line, end: Box::new(wish.accept(MAX_MESSAGE_OCTETS)) };
                         self.wires.lines.insert(line, token);
                         self.wires.clients.opened(now, token);
                         self.client_octets(now, token, &[]);
                     }
                     Err(why) => {
                         let wait = match why {
-                            NotOpen::Later(wait) => wait.as_secs() + 1,
-                            NotOpen::Full(_) => 2,
+                            LineOpenError::Later(wait) => wait.as_secs() + 1,
+                            LineOpenError::Full(_) => 2,
                         };
                         let busy = HandshakeRejection {
                             retry_after_s: Some(wait),
@@ -841,7 +848,7 @@
     }
 
     fn turn_away(&mut self, token: Token, why: &HandshakeRejection) {
-        debug!(status = why.status, "client turned away: {}", why.why);
+        debug!(target: LOG_TARGET, status = why.status, "client turned away: {}", why.why);
         if let Some(connection) = self.wires.connections.get_mut(&token) {
             connection.purpose = Purpose::Leaving;
             connection.out.push_last(&why.octets());
@@ -854,7 +861,7 @@
         let (Some(path), Some(text)) = (&self.keep, self.exchange.keep(now, wall_ms())) else { return };
         let beside = path.with_extension("new");
         if let Err(error) = std::fs::write(&beside, text).and_then(|()| std::fs::rename(&beside, path)) {
-            warn!(path = %path.display(), "the roster can't be kept: {error}");
+            warn!(target: LOG_TARGET, path = %path.display(), "the roster can't be kept: {error}");
         }
     }
 
@@ -870,7 +877,7 @@
             Purpose::Link(to) => {
                 if self.wires.links.get(&to) == Some(&token) {
                     self.wires.links.remove(&to);
-                    info!(exchange = to.0, "link closed: {why}");
+                    info!(target: LOG_TARGET, exchange = to.0, "link closed: {why}");
                     self.exchange.link_down(now, &mut self.wires, to);
                     self.redials.entry(Dialled::Link(to)).and_modify(|redial| redial.failures = 0);
                     self.redial_later(Dialled::Link(to));
@@ -879,7 +886,7 @@
             Purpose::Calls { line, end } => {
                 self.wires.lines.remove(&line);
                 let why = end.ended().map_or(why, |ended| ended.reason.as_str());
-                debug!(line = line.0, code = end.ended().map(|ended| ended.code), "line closed: {why}");
+                debug!(target: LOG_TARGET, line = line.0, code = end.ended().map(|ended| ended.code), "line closed: {why}");
                 match end.ended() {
                     Some(ended) if ended.by_far_end && ended.code == close::NORMAL => {
                         self.exchange.line_over(now, &mut self.wires, line);
@@ -887,19 +894,21 @@
                     _ => self.exchange.line_closed(now, &mut self.wires, line),
                 }
             }
-            Purpose::Knocking(_) => debug!("client closed in its handshake: {why}"),
+            Purpose::Knocking(_) => debug!(target: LOG_TARGET, "client closed in its handshake: {why}"),
             Purpose::Leaving => {}
             Purpose::Line(line) => {
                 self.wires.lines.remove(&line);
-                debug!(line = line.0, "line closed: {why}");
+                debug!(target: LOG_TARGET, line = line.0, "line closed: {why}");
                 self.exchange.line_closed(now, &mut self.wires, line);
             }
             Purpose::Directory => {
                 self.wires.directory = None;
-                warn!("directory gone: {why}; the last roster stays in force");
+                warn!(target: LOG_TARGET, "directory gone: {why}; the last roster stays in force");
                 self.redial_later(Dialled::Directory);
             }
-            Purpose::Stranger { .. } => warn!("connection on the signalling port closed: {why}"),
+            Purpose::Stranger { .. } => {
+                warn!(target: LOG_TARGET, "connection on the signalling port closed: {why}")
+            }
             Purpose::Admin(_) => self.wires.admins -= 1,
         }
     }
--- a/crates/daemon/tests/admission.rs
+++ b/crates/daemon/tests/admission.rs
@@ -7,38 +7,38 @@
 
 use mintstall::host::OfficeNo;
 use mintstall_callapi::{FinalAnswer, Hangup, Offer, Request, RequestMessage, ServerMessage};
-use mintstall_daemon::config::LimitsPlan;
-use mintstall_daemon::exchange::{Exchange, LineNo, Port, own_seed};
+use mintstall_daemon::config::LimitsConfig;
+use mintstall_daemon::exchange::{Exchange, LineId, Transport, own_seed};
 use serde_json::json;
 
 use common::{FAR, Far};
 
 #[derive(Default)]
 struct Wires {
-    said: BTreeMap<LineNo, Vec<ServerMessage>>,
+    said: BTreeMap<LineId, Vec<ServerMessage>>,
     sent: Vec<Vec<u8>>,
     notes: Vec<String>,
-    closed: Vec<LineNo>,
+    closed: Vec<LineId>,
 }
 
-impl Port for Wires {
-    fn send(&mut self, _: OfficeNo, octets: &[u8]) {
+impl Transport for Wires {
+    fn send_to_link(&mut self, _: OfficeNo, octets: &[u8]) {
         self.sent.push(octets.to_vec());
     }
     fn close_link(&mut self, _: OfficeNo, why: &str) {
         panic!("{why}");
     }
-    fn say(&mut self, line: LineNo, text: &str) {
+    fn send_to_line(&mut self, line: LineId, text: &str) {
         self.said.entry(line).or_default().push(ServerMessage::read(text.as_bytes()).unwrap());
     }
-    fn close_line(&mut self, line: LineNo, _: &str) {
+    fn close_line(&mut self, line: LineId, _: &str) {
         self.closed.push(line);
     }
-    fn has_room(&self, _: LineNo) -> bool {
+    fn has_room(&self, _: LineId) -> bool {
         true
     }
-    fn reply(&mut self, _: &str) {}
-    fn note(&mut self, line: &str) {
+    fn send_to_directory(&mut self, _: &str) {}
+    fn log_info(&mut self, line: &str) {
         self.notes.push(line.to_string());
     }
 }
@@ -51,7 +51,7 @@
 }
 
 impl Room {
-    fn new(limits: LimitsPlan) -> Self {
+    fn new(limits: LimitsConfig) -> Self {
         let config = common::config(limits);
         let now = Duration::from_secs(3600);
         let exchange = Exchange::new(now, &config, 2, 1);
@@ -79,17 +79,17 @@
         self.far();
     }
 
-    fn line(&mut self) -> LineNo {
+    fn line(&mut self) -> LineId {
         self.exchange.line_open(self.now).unwrap()
     }
 
-    fn ask(&mut self, line: LineNo, request: Request) {
+    fn ask(&mut self, line: LineId, request: Request) {
         let text = RequestMessage { id: Some(json!(1)), request }.text() + "\n";
         self.exchange.line_octets(self.now, &mut self.wires, line, text.as_bytes());
         self.far();
     }
 
-    fn offer(&mut self, line: LineNo, call: u64, customer: u16) {
+    fn offer(&mut self, line: LineId, call: u64, customer: u16) {
         let offer = Offer {
             call,
             call_type: 0,
@@ -105,7 +105,7 @@
     }
 
     /// The answers given on a line since last asked: call and answer.
-    fn answers(&mut self, line: LineNo) -> Vec<(u64, FinalAnswer)> {
+    fn answers(&mut self, line: LineId) -> Vec<(u64, FinalAnswer)> {
         let said = self.wires.said.remove(&line).unwrap_or_default();
         let answer = |heard| match heard {
             ServerMessage::Answered(answered) => Some((answered.call, answered.answer)),
@@ -131,8 +131,8 @@
     }
 }
 
-fn unanswered(count: usize) -> LimitsPlan {
-    LimitsPlan { unanswered: count, ..LimitsPlan::default() }
+fn unanswered(count: usize) -> LimitsConfig {
+    LimitsConfig { unanswered: count, ..LimitsConfig::default() }
 }
 
 #[test]
@@ -207,7 +207,7 @@
 
 #[test]
 fn a_line_that_offers_too_fast_is_refused_and_its_calls_in_hand_are_not() {
-    let limits = LimitsPlan { offers_per_s: 10.0, offers_at_once: 3.0, ..LimitsPlan::default() };
+    let limits = LimitsConfig { offers_per_s: 10.0, offers_at_once: 3.0, ..LimitsConfig::default() };
     let mut room = Room::new(limits);
     let line = room.line();
     (1..=5).for_each(|call| room.offer(line, call, 0));
@@ -219,7 +219,8 @@
 
 #[test]
 fn an_accept_storm_is_told_when_to_come_back() {
-    let limits = LimitsPlan { opens_per_s: 10.0, opens_at_once: 2.0, sessions: 3, ..LimitsPlan::default() };
+    let limits =
+        LimitsConfig { opens_per_s: 10.0, opens_at_once: 2.0, sessions: 3, ..LimitsConfig::default() };
     let mut room = Room::new(limits);
     assert!(room.exchange.line_open(room.now).is_ok() && room.exchange.line_open(room.now).is_ok());
     assert!(room.exchange.line_open(room.now).unwrap_err().text().contains("come back in"));
@@ -245,7 +246,7 @@
 
 impl Room {
     /// Says hello and returns the whole result.
-    fn hello(&mut self, line: LineNo, hello: serde_json::Value) -> serde_json::Value {
+    fn hello(&mut self, line: LineId, hello: serde_json::Value) -> serde_json::Value {
         let text = json!({ "jsonrpc": "2.0", "id": 0, "method": "session.hello", "params": hello })
             .to_string()
             + "\n";
@@ -255,18 +256,18 @@
         let mut texts = texts.into_iter();
         let welcome: serde_json::Value = serde_json::from_str(&texts.next().unwrap()).unwrap();
         for text in texts {
-            self.wires.say(line, &text);
+            self.wires.send_to_line(line, &text);
         }
         welcome
     }
 
-    fn opened(&mut self) -> (LineNo, String) {
+    fn opened(&mut self) -> (LineId, String) {
         let line = self.line();
         let welcome = self.hello(line, json!({ "client": "test", "resumable": true }));
         (line, welcome["result"]["session"].as_str().unwrap().to_string())
     }
 
-    fn cut(&mut self, line: LineNo) {
+    fn cut(&mut self, line: LineId) {
         self.exchange.line_closed(self.now, &mut self.wires, line);
         self.far();
     }
@@ -278,25 +279,25 @@
     texts: Vec<String>,
 }
 
-impl Port for Ear<'_> {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
-        self.wires.send(to, octets);
+impl Transport for Ear<'_> {
+    fn send_to_link(&mut self, to: OfficeNo, octets: &[u8]) {
+        self.wires.send_to_link(to, octets);
     }
     fn close_link(&mut self, _: OfficeNo, why: &str) {
         panic!("{why}");
     }
-    fn say(&mut self, _: LineNo, text: &str) {
+    fn send_to_line(&mut self, _: LineId, text: &str) {
         self.texts.push(text.to_string());
     }
-    fn close_line(&mut self, line: LineNo, why: &str) {
+    fn close_line(&mut self, line: LineId, why: &str) {
         self.wires.close_line(line, why);
     }
-    fn has_room(&self, _: LineNo) -> bool {
+    fn has_room(&self, _: LineId) -> bool {
         true
     }
-    fn reply(&mut self, _: &str) {}
-    fn note(&mut self, line: &str) {
-        self.wires.note(line);
+    fn send_to_directory(&mut self, _: &str) {}
+    fn log_info(&mut self, line: &str) {
+        self.wires.log_info(line);
     }
 }
 
@@ -335,7 +336,7 @@
 
 #[test]
 fn a_session_that_nobody_takes_up_has_its_calls_hung_up_when_its_time_is_over() {
-    let mut room = Room::new(LimitsPlan { resume_ms: 2000, ..LimitsPlan::default() });
+    let mut room = Room::new(LimitsConfig { resume_ms: 2000, ..LimitsConfig::default() });
     let (line, key) = room.opened();
     room.offer(line, 1, 0);
     room.stands();
@@ -375,7 +376,7 @@
 
 #[test]
 fn a_cut_session_with_more_to_hear_than_is_kept_is_over_and_its_client_is_told_so() {
-    let mut room = Room::new(LimitsPlan { resume_texts: 3, ..LimitsPlan::default() });
+    let mut room = Room::new(LimitsConfig { resume_texts: 3, ..LimitsConfig::default() });
     let (line, key) = room.opened();
     (1..=5).for_each(|call| room.offer(line, call, 0));
     room.cut(line);
@@ -427,7 +428,7 @@
 
 #[test]
 fn requests_that_come_too_fast_are_told_when_to_come_back() {
-    let limits = LimitsPlan { requests_per_s: 10.0, requests_at_once: 2.0, ..LimitsPlan::default() };
+    let limits = LimitsConfig { requests_per_s: 10.0, requests_at_once: 2.0, ..LimitsConfig::default() };
     let mut room = Room::new(limits);
     let line = room.line();
     let get = Request::Get(mintstall_callapi::Get { call: 1 });
@@ -442,7 +443,7 @@
 
 #[test]
 fn a_trace_is_had_by_whoever_may_watch() {
-    let mut room = Room::new(LimitsPlan::default());
+    let mut room = Room::new(LimitsConfig::default());
     let line = room.line();
     room.offer(line, 1, 0);
     room.stands();
@@ -462,7 +463,7 @@
 
 #[test]
 fn an_offer_that_comes_twice_is_told_the_first_answer_and_costs_no_second_call() {
-    let mut room = Room::new(LimitsPlan::default());
+    let mut room = Room::new(LimitsConfig::default());
     let (before, key) = room.opened();
     room.offer(before, 1, 0);
     room.stands();
@@ -484,7 +485,7 @@
 
 #[test]
 fn a_watcher_is_told_what_happens_to_calls_from_its_cursor_on() {
-    let mut room = Room::new(LimitsPlan::default());
+    let mut room = Room::new(LimitsConfig::default());
     let (caller, watcher) = (room.line(), room.line());
     let subscribe = |cursor: Option<u64>| Request::Subscribe(mintstall_callapi::Subscribe { cursor });
     for call in 1..=3 {
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -2,14 +2,14 @@
 
 use mintstall::host::OfficeNo;
 use mintstall_daemon::Config;
-use mintstall_daemon::config::LimitsPlan;
+use mintstall_daemon::config::LimitsConfig;
 use mintstall_isup::{Body, Cic, Data, Deframer, Frame, Message, RangeStatus};
 use mintstall_roster::FeedNote;
 use serde_json::json;
 
 pub const FAR: OfficeNo = OfficeNo(2);
 
-pub fn config(limits: LimitsPlan) -> Config {
+pub fn config(limits: LimitsConfig) -> Config {
     let config: Config = serde_json::from_value(json!({
         "exchange": 1,
         "signalling": { "listen": "127.0.0.1:1", "links": [{ "to": 2, "circuits": 310 }] },
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -11,8 +11,8 @@
 use mintstall::host::OfficeNo;
 use mintstall_callapi::{FinalAnswer, Offer};
 use mintstall_client::{Event, Session, SessionConfig};
-use mintstall_daemon::config::LimitsPlan;
-use mintstall_daemon::exchange::{Exchange, LONGEST_TEXT, LineNo, Port};
+use mintstall_daemon::config::LimitsConfig;
+use mintstall_daemon::exchange::{Exchange, LineId, MAX_MESSAGE_OCTETS, Transport};
 use mintstall_isup::{Body, CauseIndicators, Location, Q850, Rel};
 use mintstall_websocket::{ServerHandshake, ServerHandshakeState, WebSocketConnection, WebSocketEvent};
 
@@ -21,33 +21,33 @@
 #[derive(Default)]
 struct Wires {
     sent: Vec<Vec<u8>>,
-    said: Vec<(LineNo, String)>,
-    closed: Vec<LineNo>,
+    said: Vec<(LineId, String)>,
+    closed: Vec<LineId>,
 }
 
-impl Port for Wires {
-    fn send(&mut self, _: OfficeNo, octets: &[u8]) {
+impl Transport for Wires {
+    fn send_to_link(&mut self, _: OfficeNo, octets: &[u8]) {
         self.sent.push(octets.to_vec());
     }
     fn close_link(&mut self, _: OfficeNo, why: &str) {
         panic!("{why}");
     }
-    fn say(&mut self, line: LineNo, text: &str) {
+    fn send_to_line(&mut self, line: LineId, text: &str) {
         self.said.push((line, text.to_string()));
     }
-    fn close_line(&mut self, line: LineNo, _: &str) {
+    fn close_line(&mut self, line: LineId, _: &str) {
         self.closed.push(line);
     }
-    fn has_room(&self, _: LineNo) -> bool {
+    fn has_room(&self, _: LineId) -> bool {
         true
     }
-    fn reply(&mut self, _: &str) {}
-    fn note(&mut self, _: &str) {}
+    fn send_to_directory(&mut self, _: &str) {}
+    fn log_info(&mut self, _: &str) {}
 }
 
 enum Server {
     Door(ServerHandshake),
-    Open(LineNo, Box<WebSocketConnection>),
+    Open(LineId, Box<WebSocketConnection>),
 }
 
 /// A connection, with what is on its way.
@@ -82,7 +82,8 @@
 
 impl Net {
     fn new() -> Self {
-        let limits = LimitsPlan { unanswered: 3, resume_ms: 2000, resume_texts: 4, ..LimitsPlan::default() };
+        let limits =
+            LimitsConfig { unanswered: 3, resume_ms: 2000, resume_texts: 4, ..LimitsConfig::default() };
         let config = common::config(limits);
         let now = Duration::from_secs(3600);
         let client = |seed| Client {
@@ -129,7 +130,7 @@
         }
     }
 
-    fn wire_of(&mut self, line: LineNo) -> Option<&mut Wire> {
+    fn wire_of(&mut self, line: LineId) -> Option<&mut Wire> {
         let of = |wire: &&mut Wire| matches!(wire.server, Server::Open(at, _) if at == line);
         self.clients.iter_mut().flat_map(|client| &mut client.wires).find(of)
     }
@@ -187,7 +188,7 @@
                 let ServerHandshakeState::Valid(wish) = door.push(&octets, &BTreeSet::new()) else {
                     panic!("not let in")
                 };
-                let mut end = Box::new(wish.accept(LONGEST_TEXT));
+                let mut end = Box::new(wish.accept(MAX_MESSAGE_OCTETS));
                 end.on_octets(&[], &mut hear);
                 let line = self.exchange.line_open(now).unwrap();
                 wire.to_client.push_back(std::mem::take(end.out()));
--- a/crates/lab/benches/ordinary_call.rs
+++ b/crates/lab/benches/ordinary_call.rs
@@ -9,8 +9,10 @@
 use std::time::{Duration, Instant};
 
 use mintstall_callapi::{Hangup, LineDecoder, Offer, Request, RequestMessage, ServerMessage};
-use mintstall_daemon::config::{CallType, Calls, Config, LimitsPlan, Link, Signalling, Subscribers};
-use mintstall_daemon::{Exchange, Shell, exchange::LineNo, exchange::Port};
+use mintstall_daemon::config::{
+    CallApiConfig, CallType, Config, LimitsConfig, Link, Signalling, Subscribers,
+};
+use mintstall_daemon::{Exchange, Server, exchange::LineId, exchange::Transport};
 use mintstall_isup::{Body, Data, Deframer, Frame, Message, RangeStatus};
 use mintstall_websocket::{ClientHandshake, ClientHandshakeState, WebSocketConnection, WebSocketEvent};
 use mio::net::TcpStream as MioStream;
@@ -35,14 +37,17 @@
             links: vec![Link { to: 2, circuits: 310, connect: Some(far) }],
         },
         // One line offers all: what it may is not what is measured.
-        limits: LimitsPlan {
+        limits: LimitsConfig {
             offers_per_s: 1e9,
             offers_at_once: 1e9,
             requests_per_s: 1e9,
             requests_at_once: 1e9,
-            ..LimitsPlan::default()
+            ..LimitsConfig::default()
+        },
+        calls: CallApiConfig {
+            listen: Some(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
+            ..CallApiConfig::default()
         },
-        calls: Calls { listen: Some(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))), ..Calls::default() },
         subscribers: Subscribers { listen: Some(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))) },
         call_types: vec![CallType {
             name: "call".into(),
@@ -327,9 +332,9 @@
     let config = config(listener.local_addr().expect("address"));
     let (tell, told) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let shell = Shell::open(&config).expect("a controller");
-        tell.send(shell.addresses()).expect("tell");
-        shell.run()
+        let server = Server::open(&config).expect("a controller");
+        tell.send(server.addresses()).expect("tell");
+        server.run()
     });
     let addresses = told.recv().expect("told");
     let mut far = mio(listener.accept().expect("accept").0);
@@ -430,24 +435,24 @@
         out: Vec<u8>,
         answers: usize,
     }
-    impl Port for Far {
-        fn send(&mut self, _: mintstall::host::OfficeNo, octets: &[u8]) {
+    impl Transport for Far {
+        fn send_to_link(&mut self, _: mintstall::host::OfficeNo, octets: &[u8]) {
             far_says(octets, &mut self.out);
         }
         fn close_link(&mut self, _: mintstall::host::OfficeNo, why: &str) {
             panic!("{why}");
         }
-        fn say(&mut self, _: LineNo, _: &str) {
+        fn send_to_line(&mut self, _: LineId, _: &str) {
             self.answers += 1;
         }
-        fn close_line(&mut self, _: LineNo, why: &str) {
+        fn close_line(&mut self, _: LineId, why: &str) {
             panic!("{why}");
         }
-        fn has_room(&self, _: LineNo) -> bool {
+        fn has_room(&self, _: LineId) -> bool {
             true
         }
-        fn reply(&mut self, _: &str) {}
-        fn note(&mut self, _: &str) {}
+        fn send_to_directory(&mut self, _: &str) {}
+        fn log_info(&mut self, _: &str) {}
     }
     let mut now = Duration::from_secs(3600);
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
@@ -467,7 +472,7 @@
     exchange.link_up(now, &mut far, far_no);
     let mut turn = |exchange: &mut Exchange, far: &mut Far, text: &str| {
         now += Duration::from_millis(1);
-        exchange.line_octets(now, far, LineNo(1), text.as_bytes());
+        exchange.line_octets(now, far, LineId(1), text.as_bytes());
         while !far.out.is_empty() {
             let octets = std::mem::take(&mut far.out);
             exchange.link_octets(now, far, far_no, &octets);
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -11,7 +11,7 @@
 use hdrhistogram::Histogram;
 use mintstall_callapi::{FinalAnswer, Offer, OfferResult};
 use mintstall_client::{Event, Session, SessionConfig};
-use mintstall_daemon::wires::Outbox;
+use mintstall_daemon::output_buffer::OutputBuffer;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
 use rand::{Rng, SeedableRng};
@@ -241,7 +241,7 @@
     stream: TcpStream,
     member: usize,
     connected: bool,
-    out: Outbox,
+    out: OutputBuffer,
     waits_to_write: bool,
 }
 
@@ -668,7 +668,7 @@
                     stream,
                     member: at,
                     connected: false,
-                    out: Outbox::default(),
+                    out: OutputBuffer::default(),
                     waits_to_write: true,
                 };
                 self.connections.insert(token, connection);
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use mintstall_callapi::{Hangup, LineDecoder, Request, RequestMessage, ServerMessage};
-use mintstall_daemon::wires::Outbox;
+use mintstall_daemon::output_buffer::OutputBuffer;
 use mintstall_office::Tally;
 use mintstall_roster::{FeedNote, ProcessorNote, Reply};
 use mintstall_standin::{Act, Day, Score, Wiring, Witness, World};
@@ -81,7 +81,7 @@
     stream: TcpStream,
     purpose: Purpose,
     cutter: LineDecoder,
-    out: Outbox,
+    out: OutputBuffer,
     /// A client's that has not been told that it is there.
     dialling: bool,
 }
@@ -319,7 +319,7 @@
         self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
         let cutter = LineDecoder::new(1 << 16);
         let dialling = matches!(purpose, Purpose::Client(_));
-        let connection = Connection { stream, purpose, cutter, out: Outbox::default(), dialling };
+        let connection = Connection { stream, purpose, cutter, out: OutputBuffer::default(), dialling };
         self.connections.insert(token, connection);
         if let Some(before) = self.by_purpose.insert(purpose, token) {
             self.connections.remove(&before);
--- a/crates/lab/src/setup.rs
+++ b/crates/lab/src/setup.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use mintstall_daemon::config::{
-    Admin, CallType, Calls, Config, Customer, Directory, LimitsPlan, Link, Number, Rules, Signalling,
-    Subscribers, TimersMs,
+    Admin, CallApiConfig, CallType, Config, Customer, Directory, LimitsConfig, Link, Number, Rules,
+    Signalling, Subscribers, TimersMs,
 };
 use mintstall_standin::{Day, Fault, World};
 
@@ -49,7 +49,7 @@
         exchange: office,
         signalling: Signalling { listen: None, links: links.collect() },
         subscribers: Subscribers { listen: places.lines },
-        calls: Calls { listen: places.calls, ..Calls::default() },
+        calls: CallApiConfig { listen: places.calls, ..CallApiConfig::default() },
         directory: places.directory.map(|connect| Directory { connect, keep: places.keep.clone() }),
         admin: places.admin.map(|listen| Admin { listen }),
         call_types: call_types.collect(),
@@ -60,7 +60,7 @@
             .map(|of| Customer { name: of.name.clone(), share: of.share })
             .collect(),
         // Clients that are gone for good must not hold circuits for half of a day that lasts a minute.
-        limits: LimitsPlan { resume_ms: 3000, ..LimitsPlan::default() },
+        limits: LimitsConfig { resume_ms: 3000, ..LimitsConfig::default() },
         tokens: None,
         rules: Rules {
             seizures: day.seizures,
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -7,7 +7,7 @@
 use mintstall::host::{CallId, OfficeNo};
 use mintstall_callapi::FinalAnswer;
 use mintstall_daemon::exchange::{final_answer, how_ended, order, processor_report};
-use mintstall_daemon::roster_lines;
+use mintstall_daemon::exchange_entries;
 use mintstall_office::{Answer, CallEnd, Office, Plant};
 use mintstall_roster::{Limits, Roster, Told};
 use mintstall_standin::{Act, Day, Score, Wiring, Witness, World};
@@ -56,7 +56,7 @@
     fn ended(&mut self, call: CallId, end: CallEnd) {
         self.did.push(Did::Ended(call, end));
     }
-    fn note(&mut self, line: &str) {
+    fn log_info(&mut self, line: &str) {
         self.notes += 1;
         tracing::trace!(target: "mintstall::mode", "{line}");
     }
@@ -246,9 +246,9 @@
                 self.with(now, office, w, |seat, now, plant| {
                     let (_, told) = seat.roster.hear(now, &news);
                     match &told {
-                        Some(Told::Whole(held)) => seat.office.roster(now, plant, &roster_lines(held)),
+                        Some(Told::Whole(held)) => seat.office.roster(now, plant, &exchange_entries(held)),
                         Some(Told::Changes(held)) => {
-                            seat.office.roster_changes(now, plant, &roster_lines(held))
+                            seat.office.roster_changes(now, plant, &exchange_entries(held))
                         }
                         None => taken = false,
                     }
--- a/crates/lab/tests/model/offices.rs
+++ b/crates/lab/tests/model/offices.rs
@@ -68,7 +68,7 @@
         self.answers.push((call, answer));
     }
     fn ended(&mut self, _: CallId, _: CallEnd) {}
-    fn note(&mut self, _: &str) {}
+    fn log_info(&mut self, _: &str) {}
 }
 
 /// What one end of a circuit carries, as its octets tell.
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -8,7 +8,7 @@
 use mintstall_callapi::{FinalAnswer, Offer, Request, RequestMessage, ServerMessage};
 use mintstall_client::{RedialBudget, RedialPolicy};
 use mintstall_daemon::Config;
-use mintstall_daemon::exchange::{Exchange, LineNo, Port};
+use mintstall_daemon::exchange::{Exchange, LineId, Transport};
 use mintstall_isup::{Body, CauseIndicators, Cic, Data, Deframer, Frame, Location, Message, Q850, Rel};
 use mintstall_office::{Answer, CallEnd, Office, Plant};
 use serde_json::json;
@@ -25,24 +25,24 @@
     said: Vec<ServerMessage>,
 }
 
-impl Port for Wires {
-    fn send(&mut self, to: OfficeNo, octets: &[u8]) {
+impl Transport for Wires {
+    fn send_to_link(&mut self, to: OfficeNo, octets: &[u8]) {
         self.sent.push_back((1, to.0, octets.to_vec()));
     }
     fn close_link(&mut self, _: OfficeNo, why: &str) {
         panic!("{why}");
     }
-    fn say(&mut self, _: LineNo, text: &str) {
+    fn send_to_line(&mut self, _: LineId, text: &str) {
         self.said.push(ServerMessage::read(text.as_bytes()).unwrap());
     }
-    fn close_line(&mut self, _: LineNo, why: &str) {
+    fn close_line(&mut self, _: LineId, why: &str) {
         panic!("{why}");
     }
-    fn has_room(&self, _: LineNo) -> bool {
+    fn has_room(&self, _: LineId) -> bool {
         true
     }
-    fn reply(&mut self, _: &str) {}
-    fn note(&mut self, _: &str) {}
+    fn send_to_directory(&mut self, _: &str) {}
+    fn log_info(&mut self, _: &str) {}
 }
 
 impl Plant for Wires {
@@ -54,7 +54,7 @@
     }
     fn answer(&mut self, _: CallId, _: Answer) {}
     fn ended(&mut self, _: CallId, _: CallEnd) {}
-    fn note(&mut self, _: &str) {}
+    fn log_info(&mut self, _: &str) {}
 }
 
 /// How the destination treats set-ups.
@@ -71,7 +71,7 @@
     tandems: BTreeMap<u16, Office>,
     wires: Wires,
     far: Far,
-    line: LineNo,
+    line: LineId,
     /// Set-ups by the first exchange, and onward ones, by its number of the call.
     set_ups: BTreeMap<u64, (u32, u32)>,
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use mintstall_daemon::wires::Outbox;
+use mintstall_daemon::output_buffer::OutputBuffer;
 use mintstall_platform::{CallerNo, Config, Core, Disconnect, LinkNo, Port};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -74,7 +74,7 @@
     stream: TcpStream,
     purpose: Purpose,
     phase: Phase,
-    out: Outbox,
+    out: OutputBuffer,
 }
 
 struct Wires {
@@ -102,7 +102,8 @@
         let _ = stream.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, token, interest)?;
-        self.connections.insert(token, Connection { stream, purpose, phase, out: Outbox::new(MOST_WAITING) });
+        self.connections
+            .insert(token, Connection { stream, purpose, phase, out: OutputBuffer::new(MOST_WAITING) });
         Ok(token)
     }
 
--- a/crates/office/src/desk.rs
+++ b/crates/office/src/desk.rs
@@ -347,7 +347,7 @@
     fn subscribe(&mut self) {}
 
     fn log(&mut self, line: &str) {
-        self.plant.note(line);
+        self.plant.log_info(line);
     }
 }
 
--- a/crates/office/src/office.rs
+++ b/crates/office/src/office.rs
@@ -268,7 +268,7 @@
                 if places.is_empty() {
                     continue;
                 }
-                w.plant.note(&format!(
+                w.plant.log_info(&format!(
                     "exchange {}: {} circuits {name}, {in_service} in service",
                     to.0,
                     places.len()
@@ -499,7 +499,7 @@
         let held = Held { to, places: group.together(place) };
         match used {
             Use::Releasing { since, .. } if now >= since + t.t5 => {
-                self.plant.note(&format!(
+                self.plant.log_info(&format!(
                     "exchange {}: circuit {} not released in {:?}, reset",
                     to.0,
                     Cic::at(place).0,
@@ -605,7 +605,7 @@
         let before = [link.timer.replace(set), link.grace.take()];
         let (waiting, cleared) = (link.waiting.take(), std::mem::replace(&mut link.cleared, Cleared::Asked));
         before.into_iter().flatten().for_each(|before| self.desk.timers.stop(before));
-        self.plant.note(&format!("link to exchange {} is open", to.0));
+        self.plant.log_info(&format!("link to exchange {} is open", to.0));
         let Some(group) = self.desk.groups.get(&to) else { return };
         let blocked: Vec<_> = group.all().filter(|(_, c)| c.blocked.here()).map(|(place, _)| place).collect();
         match cleared {
--- a/crates/office/src/plant.rs
+++ b/crates/office/src/plant.rs
@@ -16,7 +16,7 @@
     /// A call that stood has ended.
     fn ended(&mut self, call: CallId, end: CallEnd);
     /// A change of mode, with the figures that caused it.
-    fn note(&mut self, line: &str);
+    fn log_info(&mut self, line: &str);
 }
 
 /// The final answer of a call.
--- a/crates/office/src/queries.rs
+++ b/crates/office/src/queries.rs
@@ -94,7 +94,7 @@
             }
             let used = group.get(place).map(|circuit| circuit.used);
             self.desk.tally.stuck_found += 1;
-            self.plant.note(&format!(
+            self.plant.log_info(&format!(
                 "exchange {}: circuit {} is {used:?} here, {far:?} there: reset",
                 from.0, cic.0
             ));
--- a/crates/office/src/signalling.rs
+++ b/crates/office/src/signalling.rs
@@ -396,7 +396,7 @@
         link.timer.take().into_iter().for_each(|set| self.desk.timers.stop(set));
         let set = self.desk.timers.set(grace, Timer::LinkGrace(to));
         link.grace.replace(set).into_iter().for_each(|set| self.desk.timers.stop(set));
-        self.plant.note(&format!("link to exchange {} is gone", to.0));
+        self.plant.log_info(&format!("link to exchange {} is gone", to.0));
         self.drop_calls(controller, to, |used| matches!(used, Use::SeizedOut(_) | Use::SeizedIn(_)));
     }
 
--- a/crates/office/tests/common/mod.rs
+++ b/crates/office/tests/common/mod.rs
@@ -31,7 +31,7 @@
     fn ended(&mut self, call: CallId, end: CallEnd) {
         self.ended.push((call, end));
     }
-    fn note(&mut self, _: &str) {}
+    fn log_info(&mut self, _: &str) {}
 }
 
 pub struct Table {
