--- a/crates/callcontrol/src/audit.rs
+++ b/crates/callcontrol/src/audit.rs
@@ -96,7 +96,7 @@
             }
             let used = group.get(index).map(|circuit| circuit.used);
             self.desk.tally.stuck_found += 1;
-            self.plant.note(&format!(
+            self.plant.log_info(&format!(
                 "exchange {}: circuit {} is {used:?} here, {far:?} there: reset",
                 from.0, cic.0
             ));
--- a/crates/callcontrol/src/callcontrol.rs
+++ b/crates/callcontrol/src/callcontrol.rs
@@ -290,7 +290,7 @@
                 if indices.is_empty() {
                     continue;
                 }
-                w.plant.note(&format!(
+                w.plant.log_info(&format!(
                     "exchange {}: {} circuits {name}, {in_service} in service",
                     to.0,
                     indices.len()
@@ -526,7 +526,7 @@
         let held = HeldCircuits { to, indices: group.together(index) };
         match used {
             CircuitUse::Releasing { since, .. } if now >= since + t.t5 => {
-                self.plant.note(&format!(
+                self.plant.log_info(&format!(
                     "exchange {}: circuit {} not released in {:?}, reset",
                     to.0,
                     Cic::from_index(index).0,
@@ -641,7 +641,7 @@
         let before = [link.timer.replace(set), link.grace.take()];
         let (waiting, cleared) = (link.waiting.take(), std::mem::replace(&mut link.cleared, Cleared::Asked));
         before.into_iter().flatten().for_each(|before| self.desk.timers.stop(before));
-        self.plant.note(&format!("link to exchange {} is open", to.0));
+        self.plant.log_info(&format!("link to exchange {} is open", to.0));
         let Some(group) = self.desk.groups.get(&to) else { return };
         let blocked: Vec<_> = group.all().filter(|(_, c)| c.blocked.here()).map(|(index, _)| index).collect();
         match cleared {
--- a/crates/callcontrol/src/context.rs
+++ b/crates/callcontrol/src/context.rs
@@ -361,7 +361,7 @@
     fn subscribe(&mut self) {}
 
     fn log(&mut self, line: &str) {
-        self.plant.note(line);
+        self.plant.log_info(line);
     }
 }
 
--- a/crates/callcontrol/src/signalling.rs
+++ b/crates/callcontrol/src/signalling.rs
@@ -291,7 +291,12 @@
         }
     }
 
-    fn reported(&mut self, controller: &mut Controller, from: ExchangeNumber, report: &Option<ProcessorReport>) {
+    fn reported(
+        &mut self,
+        controller: &mut Controller,
+        from: ExchangeNumber,
+        report: &Option<ProcessorReport>,
+    ) {
         let Some(report) = report else { return };
         let far = CapacityReport {
             rate: report.rate_milli.map(|milli| f64::from(milli) / 1e3),
@@ -448,7 +453,7 @@
         link.timer.take().into_iter().for_each(|set| self.desk.timers.stop(set));
         let set = self.desk.timers.set(grace, Timer::LinkGrace(to));
         link.grace.replace(set).into_iter().for_each(|set| self.desk.timers.stop(set));
-        self.plant.note(&format!("link to exchange {} is gone", to.0));
+        self.plant.log_info(&format!("link to exchange {} is gone", to.0));
         self.drop_calls(controller, to, |used| {
             matches!(used, CircuitUse::SeizedOut(_) | CircuitUse::SeizedIn(_))
         });
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -143,7 +143,7 @@
 
 #[cfg(test)]
 mod tests {
-    use mintstall_callapi::Final;
+    use mintstall_callapi::FinalAnswer;
 
     use super::*;
 
@@ -152,7 +152,8 @@
         let day = Day::default();
         let report = |broken: bool| {
             let mut rule_checker = RuleChecker::new(&day.rules, Duration::ZERO, Duration::ZERO);
-            let answer = Observation::Answered { office: 1, call: 1, exchange_call: 1, answer: Final::Fails };
+            let answer =
+                Observation::Answered { office: 1, call: 1, exchange_call: 1, answer: FinalAnswer::Fails };
             if broken {
                 rule_checker.observe(Duration::ZERO, answer);
             }
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -5,40 +5,49 @@
 use std::time::Duration;
 
 use mintstall_callapi::{
-    Answered, Asked, CallState, Cancel, EndedNote, Final, Hangup, Heard, Hello, How, MissedNote, NewsNote,
-    Offer, Request, State as CallIs, Subscribe, Subscribed, Welcome, code,
+    CallEndedNotification, CallNewsNotification, CallState, CallStatus, Cancel, EndReason, FinalAnswer,
+    Hangup, Hello, HelloResult, NewsMissedNotification, Offer, OfferResult, Request, RequestMessage,
+    ServerMessage, Subscribe, Subscribed, code,
+};
+use mintstall_limits::{
+    CallNumberInUse, CallTable, ConnectionMonitor, ConnectionTimeouts, MonitorAction, ReconciledCalls,
+    ReconnectBackoff, ReconnectPolicy, ServerCallState,
+};
+use mintstall_websocket::{
+    ClientHandshake, ClientHandshakeState, WebSocketConnection, WebSocketEvent, close,
 };
-use mintstall_limits::{Book, ComeBack, ComeBackPlan, Due, InUse, Patience, Settled, ThereIs, Vigil};
-use mintstall_websocket::{Dialled, End, Event as Heard1, Progress, close};
 use serde_json::{Value, json};
 use thiserror::Error;
 
 /// How a session is kept.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct SessionConfig {
     /// What the client calls itself, for the server's log.
     pub client: String,
     pub token: Option<String>,
     /// Whether a session that was cut is taken up again; otherwise each connection is a session of its own.
     pub resumes: bool,
-    pub come_back: ComeBackPlan,
+    pub reconnect: ReconnectPolicy,
     /// When a server that says nothing is pinged, and given up.
-    pub patience: Patience,
+    pub timeouts: ConnectionTimeouts,
     /// Calls in hand at a time.
     pub most_calls: usize,
     /// How long after its caller's time an answer may still be on its way, before the call counts as lost.
     pub grace: Duration,
 }
 
-impl Plan {
+impl SessionConfig {
     pub fn named(client: impl Into<String>) -> Self {
         Self {
             client: client.into(),
             token: None,
             resumes: true,
-            come_back: ComeBackPlan::default(),
+            reconnect: ReconnectPolicy::default(),
             // The server pings sooner: only one that is gone is silent for so long.
-            patience: Patience { quiet: Duration::from_secs(45), ..Patience::default() },
+            timeouts: ConnectionTimeouts {
+                idle_timeout: Duration::from_secs(45),
+                ..ConnectionTimeouts::default()
+            },
             most_calls: 10_000,
             grace: Duration::from_secs(1),
         }
@@ -48,13 +57,13 @@
 /// What happens on a session.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// It is open; `taken_up`: it is the session of before.
-    Up {
-        taken_up: bool,
-        welcome: Box<Welcome>,
+    /// It is open; `resumed`: it is the session of before.
+    Connected {
+        resumed: bool,
+        welcome: Box<HelloResult>,
     },
     /// The connection is gone, or was not to be had; it is dialled again by itself.
-    Down {
+    Disconnected {
         why: String,
     },
     /// The server wants nothing of this client: its token is no good. Not dialled again.
@@ -62,11 +71,11 @@
         why: String,
     },
     /// A call's one final answer.
-    Answered(Answered),
+    Answered(OfferResult),
     /// A standing call ended; `None`: while the connection was gone, how is not known.
     Ended {
         call: u64,
-        how: Option<How>,
+        how: Option<EndReason>,
     },
     /// What became of a call can't be told any more: its session is over, or no answer came in time.
     Lost {
@@ -78,8 +87,8 @@
         code: i64,
         why: String,
     },
-    News(NewsNote),
-    Missed(MissedNote),
+    News(CallNewsNotification),
+    Missed(NewsMissedNotification),
     /// What [`Session::ask`] asked for.
     Reply {
         ask: u64,
@@ -89,9 +98,9 @@
 
 /// An offer or request that can't be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum AskError {
+pub enum RequestError {
     #[error(transparent)]
-    InUse(#[from] InUse),
+    InUse(#[from] CallNumberInUse),
     #[error("{0} calls are in hand already")]
     TooMany(usize),
     #[error("the session is not open")]
@@ -107,10 +116,10 @@
     },
     /// Being dialled by the owner.
     Dialling,
-    Shaking(Dialled),
+    Shaking(ClientHandshake),
     /// Hello was said.
-    Greeting(Box<End>),
-    Open(Box<End>),
+    Greeting(Box<WebSocketConnection>),
+    Open(Box<WebSocketConnection>),
     /// For good.
     Closed,
 }
@@ -121,11 +130,11 @@
 const MOST_ASKED: usize = 1_000;
 
 pub struct Session {
-    plan: Plan,
+    plan: SessionConfig,
     link: Link,
-    back: ComeBack,
-    book: Book<Offer>,
-    vigil: Vigil<()>,
+    back: ReconnectBackoff,
+    book: CallTable<Offer>,
+    vigil: ConnectionMonitor<()>,
     key: Option<String>,
     /// How long the server keeps it after a cut.
     kept: Duration,
@@ -155,12 +164,12 @@
 
 impl Session {
     /// Dials at once. `seed` sets the jitter apart from that of other clients.
-    pub fn new(now: Duration, plan: Plan, seed: u64) -> Self {
+    pub fn new(now: Duration, plan: SessionConfig, seed: u64) -> Self {
         Self {
             link: Link::Down { dial_at: now },
-            back: ComeBack::new(plan.come_back, seed),
-            book: Book::new(plan.most_calls, plan.grace),
-            vigil: Vigil::new(Patience { most_opening: 1, ..plan.patience }),
+            back: ReconnectBackoff::new(plan.reconnect, seed),
+            book: CallTable::new(plan.most_calls, plan.grace),
+            vigil: ConnectionMonitor::new(ConnectionTimeouts { max_handshakes: 1, ..plan.timeouts }),
             plan,
             key: None,
             kept: Duration::ZERO,
@@ -189,7 +198,7 @@
 
     /// The connection is there.
     pub fn dialled(&mut self, now: Duration, to: SocketAddr) {
-        match Dialled::new(to, LONGEST_TEXT) {
+        match ClientHandshake::new(to, LONGEST_TEXT) {
             Ok((dialled, request)) => {
                 self.out.extend_from_slice(&request);
                 self.link = Link::Shaking(dialled);
@@ -237,29 +246,29 @@
         self.book.unanswered()
     }
 
-    /// When [`Session::ring`] is next to be called.
-    pub fn next_alarm(&self) -> Option<Duration> {
+    /// When [`Session::on_timer`] is next to be called.
+    pub fn next_timer(&self) -> Option<Duration> {
         let dial = match self.link {
             Link::Down { dial_at } => Some(dial_at),
             _ => None,
         };
-        [dial, self.book.next_alarm(), self.vigil.next_alarm()].into_iter().flatten().min()
+        [dial, self.book.next_timer(), self.vigil.next_timer()].into_iter().flatten().min()
     }
 
-    pub fn ring(&mut self, now: Duration) {
-        for call in self.book.ring(now) {
+    pub fn on_timer(&mut self, now: Duration) {
+        for call in self.book.on_timer(now) {
             // Were it to stand all the same, nobody would know of it.
             self.give_up(call);
             self.events.push_back(Event::Lost { call });
         }
-        for due in self.vigil.ring(now) {
+        for due in self.vigil.on_timer(now) {
             match due {
-                Due::AskForLife(()) => {
+                MonitorAction::Ping(()) => {
                     if let Link::Open(end) | Link::Greeting(end) = &mut self.link {
                         end.ping();
                     }
                 }
-                Due::Drop((), lapse) => self.lost(now, &format!("the server {lapse}")),
+                MonitorAction::Drop((), lapse) => self.lost(now, &format!("the server {lapse}")),
             }
         }
         self.pump();
@@ -286,7 +295,7 @@
         }
         let kept = if self.key.is_some() { self.kept } else { Duration::ZERO };
         self.link = Link::Down { dial_at: self.back.failed(now, told, kept) };
-        self.events.push_back(Event::Down { why: why.to_string() });
+        self.events.push_back(Event::Disconnected { why: why.to_string() });
     }
 
     /// Octets that came on the connection.
@@ -294,21 +303,23 @@
         let mut heard = Vec::new();
         match &mut self.link {
             Link::Shaking(dialled) => match dialled.push(octets) {
-                Progress::More => return,
-                Progress::Turned(why) => return self.down(now, &why.to_string(), why.come_back()),
-                Progress::Open(mut end) => {
-                    end.octets(&[], &mut |event| heard.push(event));
+                ClientHandshakeState::Incomplete => return,
+                ClientHandshakeState::Rejected(why) => {
+                    return self.down(now, &why.to_string(), why.retry_after());
+                }
+                ClientHandshakeState::Open(mut end) => {
+                    end.on_octets(&[], &mut |event| heard.push(event));
                     self.vigil.opened(now, ());
                     self.link = Link::Greeting(end);
                     self.greet();
                 }
             },
-            Link::Greeting(end) | Link::Open(end) => end.octets(octets, &mut |event| heard.push(event)),
+            Link::Greeting(end) | Link::Open(end) => end.on_octets(octets, &mut |event| heard.push(event)),
             Link::Down { .. } | Link::Dialling | Link::Closed => return,
         }
         self.vigil.heard(now, ());
         for event in heard {
-            if let Heard1::Text(text) = event {
+            if let WebSocketEvent::Text(text) = event {
                 self.text(now, &text);
             }
         }
@@ -338,7 +349,7 @@
     }
 
     fn text(&mut self, now: Duration, text: &str) {
-        let heard = match Heard::read(text.as_bytes()) {
+        let heard = match ServerMessage::read(text.as_bytes()) {
             Ok(heard) => heard,
             Err(error) => {
                 if let Link::Greeting(end) | Link::Open(end) = &mut self.link {
@@ -348,20 +359,20 @@
             }
         };
         match heard {
-            Heard::Answered(answered) => self.answered(answered),
-            Heard::Ended(EndedNote { call, how }) => {
+            ServerMessage::Answered(answered) => self.answered(answered),
+            ServerMessage::Ended(CallEndedNotification { call, how }) => {
                 if self.book.over(call) {
                     self.events.push_back(Event::Ended { call, how: Some(how) });
                 }
             }
-            Heard::News(note) => {
+            ServerMessage::News(note) => {
                 self.cursor = Some(note.number + 1);
                 self.events.push_back(Event::News(note));
             }
-            Heard::Missed(note) => self.events.push_back(Event::Missed(note)),
-            Heard::Other(_) => {}
-            Heard::Result { id, result } => self.replied(now, &id, Ok(result)),
-            Heard::Fault { id, code, message, come_back_ms } => match id.as_u64() {
+            ServerMessage::Missed(note) => self.events.push_back(Event::Missed(note)),
+            ServerMessage::Other(_) => {}
+            ServerMessage::Result { id, result } => self.replied(now, &id, Ok(result)),
+            ServerMessage::Fault { id, code, message, come_back_ms } => match id.as_u64() {
                 Some(call) => self.offer_fault(call, code, message, come_back_ms),
                 None => self.replied(now, &id, Err((code, message))),
             },
@@ -374,8 +385,8 @@
         }
     }
 
-    fn answered(&mut self, answered: Answered) {
-        if self.book.answered(answered.call, answered.answer == Final::Stands) {
+    fn answered(&mut self, answered: OfferResult) {
+        if self.book.answered(answered.call, answered.answer == FinalAnswer::Stands) {
             self.events.push_back(Event::Answered(answered));
         }
     }
@@ -383,8 +394,8 @@
     fn offer_fault(&mut self, call: u64, code: i64, why: String, come_back_ms: Option<u64>) {
         if code == i64::from(code::TOO_FAST) {
             let come_back_ms = come_back_ms.map_or(0, |ms| u32::try_from(ms).unwrap_or(u32::MAX));
-            let answer = Final::Refused { come_back_ms };
-            return self.answered(Answered { call, exchange_call: 0, answer });
+            let answer = FinalAnswer::Refused { come_back_ms };
+            return self.answered(OfferResult { call, exchange_call: 0, answer });
         }
         if self.book.over(call) {
             self.events.push_back(Event::Fault { call, code, why });
@@ -412,7 +423,7 @@
             (Asking::Subscribe, Err((code, why))) => match self.cursor.take() {
                 // Too old, or another server's: from now on, and the gap is told.
                 Some(_) if code == i64::from(code::INVALID_PARAMS) => {
-                    self.events.push_back(Event::Missed(MissedNote { count: 0 }));
+                    self.events.push_back(Event::Missed(NewsMissedNotification { count: 0 }));
                     self.say(Asking::Subscribe, Request::Subscribe(Subscribe { cursor: None }));
                 }
                 _ => {
@@ -426,20 +437,20 @@
     }
 
     fn welcome(&mut self, now: Duration, welcome: Value) {
-        let welcome: Welcome = match serde_json::from_value(welcome) {
+        let welcome: HelloResult = match serde_json::from_value(welcome) {
             Ok(welcome) => welcome,
             Err(error) => return self.down(now, &format!("its welcome makes no sense: {error}"), None),
         };
         let Link::Greeting(end) = std::mem::replace(&mut self.link, Link::Dialling) else { return };
         self.link = Link::Open(end);
         self.back.opened(now);
-        let taken_up = self.key.is_some() && self.key == welcome.session;
+        let resumed = self.key.is_some() && self.key == welcome.session;
         self.key = welcome.session.clone();
         self.kept = Duration::from_millis(welcome.limits.kept_ms);
         let there = welcome.calls.iter().map(|call| (call.call, *call)).collect();
         let owed = welcome.owed;
-        self.events.push_back(Event::Up { taken_up, welcome: Box::new(welcome) });
-        match taken_up {
+        self.events.push_back(Event::Connected { resumed, welcome: Box::new(welcome) });
+        match resumed {
             true => self.settling = Some((owed, there)),
             false => {
                 let settled = self.book.begun_anew(now);
@@ -455,8 +466,8 @@
     fn settle(&mut self, now: Duration) {
         let Some((_, there)) = self.settling.take() else { return };
         let in_hand = |state: &CallState| match state.state {
-            CallIs::Stands => ThereIs::Standing,
-            _ => ThereIs::Unanswered,
+            CallStatus::Stands => ServerCallState::Standing,
+            _ => ServerCallState::Unanswered,
         };
         let states = there.iter().map(|(call, state)| (*call, in_hand(state))).collect();
         let settled = self.book.taken_up(now, &states);
@@ -470,11 +481,15 @@
         self.carry_out(now, settled, &there);
     }
 
-    fn carry_out(&mut self, now: Duration, settled: Settled, there: &BTreeMap<u64, CallState>) {
-        let Settled { send, stand, over, lost } = settled;
+    fn carry_out(&mut self, now: Duration, settled: ReconciledCalls, there: &BTreeMap<u64, CallState>) {
+        let ReconciledCalls { send, stand, over, lost } = settled;
         for call in stand {
             let exchange_call = there.get(&call).map_or(0, |state| state.exchange_call);
-            self.events.push_back(Event::Answered(Answered { call, exchange_call, answer: Final::Stands }));
+            self.events.push_back(Event::Answered(OfferResult {
+                call,
+                exchange_call,
+                answer: FinalAnswer::Stands,
+            }));
         }
         self.events.extend(over.into_iter().map(|call| Event::Ended { call, how: None }));
         self.events.extend(lost.into_iter().map(|call| Event::Lost { call }));
@@ -490,12 +505,12 @@
 
     /// Asks for a call, under a number that is not in hand; `offer.time_left_ms` counts from now. While there is no
     /// connection it is kept, and sent with the time that is left then.
-    pub fn offer(&mut self, now: Duration, offer: Offer) -> Result<(), AskError> {
+    pub fn offer(&mut self, now: Duration, offer: Offer) -> Result<(), RequestError> {
         if self.is_closed() {
-            return Err(AskError::Closed);
+            return Err(RequestError::Closed);
         }
         if self.book.is_full() {
-            return Err(AskError::TooMany(self.book.len()));
+            return Err(RequestError::TooMany(self.book.len()));
         }
         let (call, until) = (offer.call, now + Duration::from_millis(offer.time_left_ms.into()));
         self.book.offer(call, offer, until)?;
@@ -510,7 +525,7 @@
         let Some((offer, left)) = self.book.asked(now, call) else { return };
         let offer = Offer { time_left_ms: left.as_millis() as u32, ..offer.clone() };
         let Link::Open(end) = &mut self.link else { return };
-        end.say(&Asked { id: Some(json!(call)), request: Request::Offer(offer) }.text());
+        end.send_text(&RequestMessage { id: Some(json!(call)), request: Request::Offer(offer) }.text());
         self.book.sent(call);
     }
 
@@ -546,12 +561,12 @@
     }
 
     /// Any other request; its reply comes as an event under the number returned.
-    pub fn ask(&mut self, request: Request) -> Result<u64, AskError> {
+    pub fn ask(&mut self, request: Request) -> Result<u64, RequestError> {
         if !self.is_open() {
-            return Err(AskError::NotOpen);
+            return Err(RequestError::NotOpen);
         }
         if self.asked.len() >= MOST_ASKED {
-            return Err(AskError::TooMany(MOST_ASKED));
+            return Err(RequestError::TooMany(MOST_ASKED));
         }
         let ask = self.say(Asking::Other, request);
         self.pump();
@@ -566,7 +581,7 @@
         if self.asked.len() < MOST_ASKED {
             self.asked.insert(ask, asking);
         }
-        end.say(&Asked { id: Some(json!(format!("a{ask}"))), request }.text());
+        end.send_text(&RequestMessage { id: Some(json!(format!("a{ask}"))), request }.text());
         ask
     }
 
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -8,9 +8,10 @@
     Zone,
 };
 use mintstall_callapi::{
-    Answered, Asked, CallEvent, CallState, CallTrace, Done, EndedNote, Fault, Final, Happened, Hello, How,
-    LineCutter, MissedNote, NewsNote, Offer, Request, SessionLimits, State, Subscribed, TraceGet, Traced,
-    Welcome, code, ended_text, fault_text, notice_text, result_text,
+    CallAck, CallEndedNotification, CallEvent, CallEventKind, CallNewsNotification, CallState, CallStatus,
+    CallTrace, EndReason, FinalAnswer, Hello, HelloResult, LineDecoder, NewsMissedNotification, Offer,
+    OfferResult, Request, RequestMessage, RpcError, SessionLimits, Subscribed, TraceGet, Traced, code,
+    ended_text, error_text, notification_text, result_text,
 };
 use mintstall_callcontrol::{
     Answer, CallControl, CallControlActions, CallControlStatus, CallEnd, CallRequest, LinkStatus, Trace,
@@ -18,8 +19,9 @@
 };
 use mintstall_isup::ProcessorReport;
 use mintstall_limits::{
-    Admission, Backlog, Denied, Fate, Grant, News, Opening, Refusal, Repeat, Repeats, Resumable, Scope, Sees,
-    SessionKey, SessionNo, Tokens, Verdict,
+    Admission, AdmissionDecision, AdmissionError, AnswerCache, AuthError, Backlog, CachedAnswer,
+    CustomerFilter, DisconnectOutcome, EventLog, Grant, OpenOutcome, ResumableSessions, Scope, SessionId,
+    SessionKey, Tokens,
 };
 use mintstall_membership::{
     ControllerNotification, DirectoryNotification, FullListRequest, MemberStatus, Membership,
@@ -35,31 +37,31 @@
 
 /// One connection on which calls are asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LineNo(pub u64);
+pub struct LineId(pub u64);
 
 /// What an exchange acts through.
-pub trait Port {
-    fn send(&mut self, to: ExchangeNumber, octets: &[u8]);
+pub trait Transport {
+    fn send_to_link(&mut self, to: ExchangeNumber, octets: &[u8]);
     fn close_link(&mut self, to: ExchangeNumber, why: &str);
     /// A text for a subscriber line, its end not included.
-    fn say(&mut self, line: LineNo, text: &str);
-    fn close_line(&mut self, line: LineNo, why: &str);
+    fn send_to_line(&mut self, line: LineId, text: &str);
+    fn close_line(&mut self, line: LineId, why: &str);
     /// Whether what waits for a line is little enough to add what can wait.
-    fn has_room(&self, line: LineNo) -> bool;
+    fn has_room(&self, line: LineId) -> bool;
     /// A text for the directory.
-    fn reply(&mut self, text: &str);
-    fn note(&mut self, line: &str);
+    fn send_to_directory(&mut self, text: &str);
+    fn log_info(&mut self, line: &str);
 }
 
 /// Octets of the longest text that a line may carry: an offer has some 200.
-pub const LONGEST_TEXT: usize = 16 << 10;
+pub const MAX_MESSAGE_OCTETS: usize = 16 << 10;
 /// And of the directory: 2,048 entries of some 100 octets.
 const LONGEST_NEWS: usize = 1 << 20;
 
 struct Line {
-    cutter: LineCutter,
+    cutter: LineDecoder,
     /// The session whose it is: that of the connection, or one taken up.
-    session: SessionNo,
+    session: SessionId,
     /// The name of the token that it presented.
     token: Option<String>,
     /// What waits to be said once its session is taken up again; none while it has a connection.
@@ -78,16 +80,16 @@
 
 /// An offer on its way in.
 struct Pending {
-    line: LineNo,
-    session: SessionNo,
+    line: LineId,
+    session: SessionId,
     id: Option<Value>,
     offer: Offer,
     since: Duration,
 }
 
 struct Asker {
-    line: LineNo,
-    session: SessionNo,
+    line: LineId,
+    session: SessionId,
     customer: CustomerId,
     progress: Progress,
     call: u64,
@@ -98,21 +100,21 @@
 
 /// Why a connection is not taken as a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum NotOpen {
+pub enum LineOpenError {
     #[error("too many lines open at once, come back in {} ms", .0.as_millis() + 1)]
     Later(Duration),
     #[error("{0} lines are open")]
     Full(usize),
 }
 
-impl NotOpen {
+impl LineOpenError {
     /// What is said to it before it is closed.
     pub fn text(&self) -> String {
-        let mut fault = Fault::new(code::TOO_MANY, self.to_string());
+        let mut fault = RpcError::new(code::TOO_MANY, self.to_string());
         if let Self::Later(wait) = self {
             fault.come_back_ms = Some(wait.as_millis() as u64 + 1);
         }
-        fault_text(&Value::Null, &fault)
+        error_text(&Value::Null, &fault)
     }
 }
 
@@ -126,9 +128,9 @@
     pub office: CallControl,
     admission: Admission<Pending>,
     tokens: Tokens,
-    resumable: Resumable,
-    repeats: Repeats<Answered>,
-    news: News<CallEvent>,
+    resumable: ResumableSessions,
+    repeats: AnswerCache<OfferResult>,
+    news: EventLog<CallEvent>,
     /// Draws the keys of sessions.
     keys: StdRng,
     resume_texts: usize,
@@ -136,14 +138,14 @@
     /// Offers whose turn has come. Emptied before anything returns.
     ready: VecDeque<Pending>,
     /// Cut sessions with more to hear than is kept. Emptied likewise.
-    overflown: Vec<LineNo>,
+    overflown: Vec<LineId>,
     /// What a session that is taken up is told after its welcome. Emptied with it.
     owed_texts: Vec<String>,
     roster: Membership,
-    feed: LineCutter,
-    lines: BTreeMap<LineNo, Line>,
+    feed: LineDecoder,
+    lines: BTreeMap<LineId, Line>,
     /// Which line each session has, or had when it was cut. Emptied with the lines.
-    sessions: BTreeMap<SessionNo, LineNo>,
+    sessions: BTreeMap<SessionId, LineId>,
     /// Who asked for each call. Emptied as calls end.
     askers: BTreeMap<CallId, Asker>,
 }
@@ -155,7 +157,7 @@
 }
 
 /// A roster's lines as the decisions read them.
-pub fn roster_lines(held: &[mintstall_membership::Member]) -> Vec<ExchangeEntry> {
+pub fn exchange_entries(held: &[mintstall_membership::Member]) -> Vec<ExchangeEntry> {
     let line = |held: &mintstall_membership::Member| ExchangeEntry {
         id: ExchangeId(held.entry.exchange),
         number: ExchangeNumber(held.entry.office),
@@ -172,14 +174,14 @@
 
 /// What the office does, written down until it has returned: answers need its callers' names.
 struct Wire<'a> {
-    port: &'a mut dyn Port,
+    port: &'a mut dyn Transport,
     answers: Vec<(CallId, Answer)>,
     ends: Vec<(CallId, CallEnd)>,
 }
 
 impl CallControlActions for Wire<'_> {
     fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
-        self.port.send(to, octets);
+        self.port.send_to_link(to, octets);
     }
     fn close_link(&mut self, to: ExchangeNumber, why: &str) {
         self.port.close_link(to, why);
@@ -190,8 +192,8 @@
     fn ended(&mut self, call: CallId, end: CallEnd) {
         self.ends.push((call, end));
     }
-    fn note(&mut self, line: &str) {
-        self.port.note(line);
+    fn log_info(&mut self, line: &str) {
+        self.port.log_info(line);
     }
 }
 
@@ -204,13 +206,13 @@
             office: CallControl::new(now, &config.plan(), incarnation, seed),
             admission: Admission::new(now, config.limits.limits(), shares.collect(), seed),
             tokens: Tokens::open(),
-            resumable: Resumable::new(
+            resumable: ResumableSessions::new(
                 Duration::from_millis(config.limits.resume_ms),
                 config.limits.resume_sessions,
             ),
             keys: StdRng::from_os_rng(),
-            repeats: Repeats::new(Duration::from_millis(config.limits.repeat_ms), config.limits.repeats),
-            news: News::new(config.limits.news),
+            repeats: AnswerCache::new(Duration::from_millis(config.limits.repeat_ms), config.limits.repeats),
+            news: EventLog::new(config.limits.news),
             resume_texts: config.limits.resume_texts,
             repeat_ms: config.limits.repeat_ms,
             ready: VecDeque::new(),
@@ -218,7 +220,7 @@
             sessions: BTreeMap::new(),
             owed_texts: Vec::new(),
             roster: Membership::new(MembershipLimits::default()),
-            feed: LineCutter::new(LONGEST_NEWS),
+            feed: LineDecoder::new(LONGEST_NEWS),
             lines: BTreeMap::new(),
             askers: BTreeMap::new(),
         }
@@ -228,7 +230,7 @@
     fn with<R>(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
+        port: &mut dyn Transport,
         f: impl FnOnce(&mut CallControl, &mut Wire) -> R,
     ) -> R {
         let mut wire = Wire { port, answers: Vec::new(), ends: Vec::new() };
@@ -240,17 +242,20 @@
             asker.progress = if stands { Progress::Stands } else { Progress::Unanswered };
             let answer = final_answer(answer);
             asker.span.in_scope(|| debug!(?answer, "answered"));
-            let answered = Answered { call: asker.call, exchange_call: call.0, answer };
+            let answered = OfferResult { call: asker.call, exchange_call: call.0, answer };
             let (session, customer, line) = (asker.session, asker.customer, asker.line);
             if let Some(id) = &asker.id {
                 let text = result_text(id, answered);
                 self.say(port, line, None, text);
             }
             self.repeats.answered(now, session, answered.call, answered);
-            let event =
-                CallEvent { exchange_call: call.0, customer: customer.0, what: Happened::Answered(answer) };
+            let event = CallEvent {
+                exchange_call: call.0,
+                customer: customer.0,
+                what: CallEventKind::Answered(answer),
+            };
             self.news.push(customer, event);
-            let log = &mut |line: &str| port.note(line);
+            let log = &mut |line: &str| port.log_info(line);
             self.ready.extend(self.admission.answered(now, session, customer, stands, log));
             if !stands {
                 self.forget(call);
@@ -260,10 +265,10 @@
             if let Some(asker) = self.forget(call) {
                 let how = how_ended(end);
                 asker.span.in_scope(|| debug!(?how, "ended"));
-                let what = Happened::Ended { ended: how };
+                let what = CallEventKind::Ended { ended: how };
                 let event = CallEvent { exchange_call: call.0, customer: asker.customer.0, what };
                 self.news.push(asker.customer, event);
-                let text = ended_text(&EndedNote { call: asker.call, how });
+                let text = ended_text(&CallEndedNotification { call: asker.call, how });
                 self.say(port, asker.line, Some(asker.call), text);
             }
         }
@@ -271,15 +276,15 @@
     }
 
     /// Says something on a line, or keeps it for when its session is taken up; `about`: a notification about that call.
-    fn say(&mut self, port: &mut dyn Port, line: LineNo, about: Option<u64>, text: String) {
+    fn say(&mut self, port: &mut dyn Transport, line: LineId, about: Option<u64>, text: String) {
         let Some(held) = self.lines.get_mut(&line) else { return };
-        let Some(backlog) = &mut held.backlog else { return port.say(line, &text) };
+        let Some(backlog) = &mut held.backlog else { return port.send_to_line(line, &text) };
         let kept = match about {
             Some(call) => backlog.note(call, text),
             None => backlog.answer(text),
         };
         if let Err(overflow) = kept {
-            port.note(&format!("session {} is over: {overflow}", held.session.0));
+            port.log_info(&format!("session {} is over: {overflow}", held.session.0));
             self.overflown.push(line);
         }
     }
@@ -295,22 +300,28 @@
         Some(asker)
     }
 
-    pub fn link_up(&mut self, now: Duration, port: &mut dyn Port, to: ExchangeNumber) {
+    pub fn link_up(&mut self, now: Duration, port: &mut dyn Transport, to: ExchangeNumber) {
         self.with(now, port, |office, wire| office.link_up(now, wire, to));
     }
 
-    pub fn link_down(&mut self, now: Duration, port: &mut dyn Port, to: ExchangeNumber) {
+    pub fn link_down(&mut self, now: Duration, port: &mut dyn Transport, to: ExchangeNumber) {
         self.with(now, port, |office, wire| office.link_down(now, wire, to));
         self.take_ready(now, port);
     }
 
-    pub fn link_octets(&mut self, now: Duration, port: &mut dyn Port, from: ExchangeNumber, octets: &[u8]) {
+    pub fn link_octets(
+        &mut self,
+        now: Duration,
+        port: &mut dyn Transport,
+        from: ExchangeNumber,
+        octets: &[u8],
+    ) {
         self.with(now, port, |office, wire| office.on_octets(now, wire, from, octets));
         self.take_ready(now, port);
     }
 
-    pub fn ring(&mut self, now: Duration, port: &mut dyn Port) {
-        for (pending, refusal) in self.admission.ring(now, &mut |text| port.note(text)) {
+    pub fn on_timer(&mut self, now: Duration, port: &mut dyn Transport) {
+        for (pending, refusal) in self.admission.on_timer(now, &mut |text| port.log_info(text)) {
             self.refuse(port, &pending, refusal);
         }
         let over = self.resumable.expired(now);
@@ -321,21 +332,21 @@
         self.take_ready(now, port);
     }
 
-    /// When [`Exchange::ring`] is next to be called.
-    pub fn next_alarm(&self) -> Option<Duration> {
-        let all = [self.office.next_timer(), self.admission.next_alarm(), self.resumable.next_alarm()];
+    /// When [`Exchange::on_timer`] is next to be called.
+    pub fn next_timer(&self) -> Option<Duration> {
+        let all = [self.office.next_timer(), self.admission.next_timer(), self.resumable.next_timer()];
         all.into_iter().flatten().min()
     }
 
     /// No new calls from now on; those that wait for their turn are refused.
-    pub fn stop(&mut self, port: &mut dyn Port) {
+    pub fn stop(&mut self, port: &mut dyn Transport) {
         self.office.stop();
         let waiting = self.admission.drain();
         waiting.iter().for_each(|(pending, refusal)| self.refuse(port, pending, *refusal));
     }
 
     /// All calls that are left are let go.
-    pub fn release_all(&mut self, now: Duration, port: &mut dyn Port) {
+    pub fn release_all(&mut self, now: Duration, port: &mut dyn Transport) {
         self.with(now, port, |office, wire| office.release_all(now, wire));
         // Their answers gave others their turn, which are refused: nobody is let in any more.
         self.take_ready(now, port);
@@ -344,34 +355,34 @@
     // Subscriber lines.
 
     /// A connection for calls, if there is room for one more.
-    pub fn line_open(&mut self, now: Duration) -> Result<LineNo, NotOpen> {
+    pub fn line_open(&mut self, now: Duration) -> Result<LineId, LineOpenError> {
         match self.admission.open(now) {
-            Opening::Open(SessionNo(no)) => {
+            OpenOutcome::Open(SessionId(no)) => {
                 let line = Line {
-                    cutter: LineCutter::new(LONGEST_TEXT),
-                    session: SessionNo(no),
+                    cutter: LineDecoder::new(MAX_MESSAGE_OCTETS),
+                    session: SessionId(no),
                     token: None,
                     backlog: None,
                     calls: BTreeMap::new(),
                 };
-                self.lines.insert(LineNo(no), line);
-                self.sessions.insert(SessionNo(no), LineNo(no));
-                Ok(LineNo(no))
+                self.lines.insert(LineId(no), line);
+                self.sessions.insert(SessionId(no), LineId(no));
+                Ok(LineId(no))
             }
-            Opening::Later(wait) => Err(NotOpen::Later(wait)),
-            Opening::Full => Err(NotOpen::Full(self.lines.len())),
+            OpenOutcome::RateLimited(wait) => Err(LineOpenError::Later(wait)),
+            OpenOutcome::Full => Err(LineOpenError::Full(self.lines.len())),
         }
     }
 
     /// The connection is gone. A resumable session is kept for a while; of any other what is in hand is hung up, and
     /// nobody is told.
-    pub fn line_closed(&mut self, now: Duration, port: &mut dyn Port, line: LineNo) {
+    pub fn line_closed(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
         let Some(held) = self.lines.get_mut(&line) else { return };
         match self.resumable.cut(now, held.session) {
-            Fate::Over => self.end_line(now, port, line),
-            Fate::Kept { displaced, .. } => {
+            DisconnectOutcome::Over => self.end_line(now, port, line),
+            DisconnectOutcome::Kept { displaced, .. } => {
                 held.backlog = Some(Backlog::new(self.resume_texts));
-                held.cutter = LineCutter::new(LONGEST_TEXT);
+                held.cutter = LineDecoder::new(MAX_MESSAGE_OCTETS);
                 self.end_sessions(now, port, &displaced);
             }
         }
@@ -379,12 +390,12 @@
     }
 
     /// Its client has closed it for good: what is in hand is hung up, resumable or not.
-    pub fn line_over(&mut self, now: Duration, port: &mut dyn Port, line: LineNo) {
+    pub fn line_over(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
         self.end_line(now, port, line);
         self.take_ready(now, port);
     }
 
-    fn end_sessions(&mut self, now: Duration, port: &mut dyn Port, sessions: &[SessionNo]) {
+    fn end_sessions(&mut self, now: Duration, port: &mut dyn Transport, sessions: &[SessionId]) {
         for session in sessions {
             if let Some(line) = self.sessions.get(session).copied() {
                 self.end_line(now, port, line);
@@ -392,19 +403,19 @@
         }
     }
 
-    fn end_line(&mut self, now: Duration, port: &mut dyn Port, line: LineNo) {
+    fn end_line(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
         let Some(Line { calls, session, .. }) = self.lines.remove(&line) else { return };
         self.sessions.remove(&session);
         self.resumable.forget(session);
         self.repeats.over(session);
         self.news.leave(session);
-        self.admission.close(now, session, &mut |text| port.note(text));
+        self.admission.close(now, session, &mut |text| port.log_info(text));
         for held in calls.into_values() {
             let Held::With(call) = held else { continue };
             let asker = self.askers.remove(&call);
             self.with(now, port, |office, wire| office.hang_up(now, wire, call));
             if let Some(asker) = asker.filter(|asker| asker.progress == Progress::Unanswered) {
-                let log = &mut |text: &str| port.note(text);
+                let log = &mut |text: &str| port.log_info(text);
                 let next = self.admission.answered(now, session, asker.customer, false, log);
                 self.ready.extend(next);
             }
@@ -415,18 +426,18 @@
     fn take_up(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
-        line: LineNo,
+        port: &mut dyn Transport,
+        line: LineId,
         key: &str,
-    ) -> Result<Vec<CallState>, Fault> {
-        let invalid = |text: &str| Fault::new(code::INVALID_PARAMS, text);
+    ) -> Result<Vec<CallState>, RpcError> {
+        let invalid = |text: &str| RpcError::new(code::INVALID_PARAMS, text);
         let key = u128::from_str_radix(key, 16).map_err(|_| invalid("resume is no session's key"))?;
         let here = self.lines.get(&line).ok_or_else(|| invalid("the line is closed"))?;
         if !here.calls.is_empty() {
             return Err(invalid("a session is taken up before anything else is asked for"));
         }
         let resumed = self.resumable.resume(now, SessionKey(key), here.token.as_deref());
-        let session = resumed.map_err(|error| Fault::new(code::DENIED, error.to_string()))?;
+        let session = resumed.map_err(|error| RpcError::new(code::DENIED, error.to_string()))?;
         if here.session == session {
             return Err(invalid("the session is this connection's own"));
         }
@@ -454,7 +465,7 @@
             }
         });
         self.sessions.remove(&fresh);
-        self.admission.close(now, fresh, &mut |text| port.note(text));
+        self.admission.close(now, fresh, &mut |text| port.log_info(text));
         let calls = calls.into_iter().map(|(call, held)| self.call_state(call, held)).collect();
         // Said after the welcome: the client must know whose they are.
         let mut backlog = before.backlog;
@@ -465,7 +476,7 @@
     }
 
     /// Offers whose turn has come go to the decisions, and what that answers may bring others their turn.
-    fn take_ready(&mut self, now: Duration, port: &mut dyn Port) {
+    fn take_ready(&mut self, now: Duration, port: &mut dyn Transport) {
         loop {
             if let Some(line) = self.overflown.pop() {
                 self.end_line(now, port, line);
@@ -484,26 +495,27 @@
     }
 
     /// Whether a token allows something on the admin port.
-    pub fn admin_may(&self, token: Option<&str>) -> Result<(), Denied> {
+    pub fn admin_may(&self, token: Option<&str>) -> Result<(), AuthError> {
         if !self.tokens.asks() {
             return Ok(());
         }
-        let grant = self.tokens.present(token.ok_or(Denied::NoToken)?)?;
-        if grant.may(Scope::Admin) { Ok(()) } else { Err(Denied::Scope) }
+        let grant = self.tokens.present(token.ok_or(AuthError::NoToken)?)?;
+        if grant.may(Scope::Admin) { Ok(()) } else { Err(AuthError::Scope) }
     }
 
     fn hello(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
-        line: LineNo,
+        port: &mut dyn Transport,
+        line: LineId,
         hello: &Hello,
-    ) -> Result<Welcome, Fault> {
-        let held = self.lines.get_mut(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
+    ) -> Result<HelloResult, RpcError> {
+        let held =
+            self.lines.get_mut(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         if self.tokens.asks() {
-            let token = hello.token.as_deref().ok_or(Denied::NoToken);
+            let token = hello.token.as_deref().ok_or(AuthError::NoToken);
             let grant = token.and_then(|token| self.tokens.present(token));
-            let grant = grant.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
+            let grant = grant.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
             held.token = Some(grant.name.clone());
         }
         debug!(line = line.0, client = hello.client, token = held.token, "hello");
@@ -511,7 +523,7 @@
             Some(key) => self.take_up(now, port, line, key)?,
             None => Vec::new(),
         };
-        let held = self.lines.get(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
+        let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let mut session = hello.resume.clone();
         if hello.resumable && session.is_none() {
             let key = SessionKey(self.keys.random());
@@ -519,7 +531,7 @@
             session = Some(format!("{:032x}", key.0));
         }
         let limits = self.admission.gate.limits();
-        Ok(Welcome {
+        Ok(HelloResult {
             server: "mintstall".into(),
             version: env!("CARGO_PKG_VERSION").into(),
             exchange: self.office.own().0,
@@ -529,7 +541,7 @@
                 calls_a_customer: limits.calls_a_customer,
                 offers_per_s: limits.offers_per_s,
                 requests_per_s: limits.requests_per_s,
-                text_octets: LONGEST_TEXT,
+                text_octets: MAX_MESSAGE_OCTETS,
                 kept_ms: self.resumable.span().as_millis() as u64,
                 repeat_ms: self.repeat_ms,
             },
@@ -540,7 +552,7 @@
     }
 
     /// What was not let in: a call answered as refused where a later try may do better, else a fault of the client.
-    fn refuse(&mut self, port: &mut dyn Port, pending: &Pending, refusal: Refusal) {
+    fn refuse(&mut self, port: &mut dyn Transport, pending: &Pending, refusal: AdmissionError) {
         let (line, call) = (pending.line, pending.offer.call);
         if let Some(held) = self.lines.get_mut(&line)
             && held.calls.get(&call) == Some(&Held::Waiting)
@@ -550,54 +562,60 @@
         debug!(line = line.0, call, "not let in: {refusal}");
         let Some(id) = &pending.id else { return };
         match refusal {
-            Refusal::TooFast { come_back } | Refusal::Pressed { come_back } => {
-                let answer = Final::Refused { come_back_ms: come_back.as_millis() as u32 };
-                let text = result_text(id, Answered { call, exchange_call: 0, answer });
+            AdmissionError::RateLimited { retry_after } | AdmissionError::Overloaded { retry_after } => {
+                let answer = FinalAnswer::Refused { come_back_ms: retry_after.as_millis() as u32 };
+                let text = result_text(id, OfferResult { call, exchange_call: 0, answer });
                 self.say(port, line, None, text);
             }
             other => {
-                let text = fault_text(id, &Fault::new(code::TOO_MANY, other.to_string()));
+                let text = error_text(id, &RpcError::new(code::TOO_MANY, other.to_string()));
                 self.say(port, line, None, text);
             }
         }
     }
 
-    fn subscribe(&mut self, line: LineNo, cursor: Option<u64>) -> Result<u64, Fault> {
-        let held = self.lines.get(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
+    fn subscribe(&mut self, line: LineId, cursor: Option<u64>) -> Result<u64, RpcError> {
+        let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
-        allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
-        let sees = self.tokens.named(held.token.as_deref()).map_or(Sees::All, Grant::sees);
+        allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
+        let sees = self.tokens.named(held.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
         let cursor = self.news.watch(held.session, cursor, sees);
-        cursor.map_err(|error| Fault::new(code::INVALID_PARAMS, error.to_string()))
+        cursor.map_err(|error| RpcError::new(code::INVALID_PARAMS, error.to_string()))
     }
 
     /// Tells those who watch what is new, as far as their connections have room.
-    fn tell_watchers(&mut self, port: &mut dyn Port) {
+    fn tell_watchers(&mut self, port: &mut dyn Transport) {
         const AT_ONCE: usize = 256;
         if self.news.watchers() == 0 {
             return;
         }
         for session in self.news.behind() {
-            let there = |line: &LineNo| self.lines.get(line).is_some_and(|line| line.backlog.is_none());
+            let there = |line: &LineId| self.lines.get(line).is_some_and(|line| line.backlog.is_none());
             let line = self.sessions.get(&session).copied().filter(there);
             let Some(line) = line.filter(|line| port.has_room(*line)) else { continue };
             let told = self.news.tell(session, AT_ONCE);
             if told.missed > 0 {
-                port.say(line, &notice_text("call.news.missed", MissedNote { count: told.missed }));
+                port.send_to_line(
+                    line,
+                    &notification_text("call.news.missed", NewsMissedNotification { count: told.missed }),
+                );
             }
             for (number, event) in told.events {
-                port.say(line, &notice_text("call.news", NewsNote { number, event }));
+                port.send_to_line(
+                    line,
+                    &notification_text("call.news", CallNewsNotification { number, event }),
+                );
             }
         }
     }
 
     /// An offer goes to the decisions, with the time that its caller has left.
-    fn take(&mut self, now: Duration, port: &mut dyn Port, pending: Pending) {
+    fn take(&mut self, now: Duration, port: &mut dyn Transport, pending: Pending) {
         let Pending { line, session, id, offer, since } = pending;
         let customer = CustomerId(offer.customer);
         let Some(held) = self.lines.get_mut(&line) else {
             // Its line closed as its turn came: its place goes on.
-            let log = &mut |text: &str| port.note(text);
+            let log = &mut |text: &str| port.log_info(text);
             let next = self.admission.answered(now, session, customer, false, log);
             return self.ready.extend(next);
         };
@@ -612,18 +630,18 @@
         self.with(now, port, |office, wire| office.offer(now, wire, call, order));
     }
 
-    pub fn line_octets(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, octets: &[u8]) {
+    pub fn line_octets(&mut self, now: Duration, port: &mut dyn Transport, line: LineId, octets: &[u8]) {
         let Some(held) = self.lines.get_mut(&line) else { return };
         // Taken out while its texts are acted on.
-        let mut cutter = std::mem::replace(&mut held.cutter, LineCutter::new(LONGEST_TEXT));
+        let mut cutter = std::mem::replace(&mut held.cutter, LineDecoder::new(MAX_MESSAGE_OCTETS));
         cutter.push(octets);
         loop {
             match cutter.next() {
                 Ok(Some(text)) => self.text(now, port, line, text),
                 Ok(None) => break,
                 Err(error) => {
-                    let fault = Fault::new(code::PARSE, error.to_string());
-                    port.say(line, &fault_text(&Value::Null, &fault));
+                    let fault = RpcError::new(code::PARSE, error.to_string());
+                    port.send_to_line(line, &error_text(&Value::Null, &fault));
                     port.close_line(line, &error.to_string());
                     break;
                 }
@@ -636,98 +654,112 @@
     }
 
     /// One whole text of a line whose connection carries texts.
-    pub fn line_text(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, text: &[u8]) {
+    pub fn line_text(&mut self, now: Duration, port: &mut dyn Transport, line: LineId, text: &[u8]) {
         self.text(now, port, line, text);
         self.take_ready(now, port);
     }
 
-    fn text(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, text: &[u8]) {
+    fn text(&mut self, now: Duration, port: &mut dyn Transport, line: LineId, text: &[u8]) {
         let Some(session) = self.lines.get(&line).map(|line| line.session) else { return };
         let allowed = self.admission.gate.request(now, session);
-        let Asked { id, request } = match Asked::read(text) {
+        let RequestMessage { id, request } = match RequestMessage::read(text) {
             Ok(asked) => asked,
-            Err((id, fault)) => return port.say(line, &fault_text(&id, &fault)),
+            Err((id, fault)) => return port.send_to_line(line, &error_text(&id, &fault)),
         };
         if let Err(refusal) = allowed {
-            let mut fault = Fault::new(code::TOO_FAST, refusal.to_string());
-            if let Refusal::TooFast { come_back } = refusal {
-                fault.come_back_ms = Some(come_back.as_millis() as u64 + 1);
+            let mut fault = RpcError::new(code::TOO_FAST, refusal.to_string());
+            if let AdmissionError::RateLimited { retry_after } = refusal {
+                fault.come_back_ms = Some(retry_after.as_millis() as u64 + 1);
             }
-            return id.iter().for_each(|id| port.say(line, &fault_text(id, &fault)));
+            return id.iter().for_each(|id| port.send_to_line(line, &error_text(id, &fault)));
         }
         let done = match request {
             Request::Hello(hello) => self.hello(now, port, line, &hello).map(|welcome| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, &welcome)));
-                self.owed_texts.drain(..).for_each(|text| port.say(line, &text));
+                id.iter().for_each(|id| port.send_to_line(line, &result_text(id, &welcome)));
+                self.owed_texts.drain(..).for_each(|text| port.send_to_line(line, &text));
             }),
             Request::Subscribe(subscribe) => self.subscribe(line, subscribe.cursor).map(|cursor| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, Subscribed { cursor })));
+                id.iter().for_each(|id| port.send_to_line(line, &result_text(id, Subscribed { cursor })));
             }),
             Request::Offer(offer) => self.offer(now, port, line, &id, &offer),
             Request::Hangup(hangup) => self.hang_up(now, port, line, hangup.call).map(|()| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, Done { call: hangup.call })));
+                id.iter()
+                    .for_each(|id| port.send_to_line(line, &result_text(id, CallAck { call: hangup.call })));
             }),
             Request::Cancel(cancel) => self.cancel(now, port, line, cancel.call).map(|()| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, Done { call: cancel.call })));
+                id.iter()
+                    .for_each(|id| port.send_to_line(line, &result_text(id, CallAck { call: cancel.call })));
             }),
             Request::Get(get) => self.get(now, line, get.call).map(|state| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, state)));
+                id.iter().for_each(|id| port.send_to_line(line, &result_text(id, state)));
             }),
             Request::TraceGet(get) => self.trace_get(line, get).map(|traces| {
-                id.iter().for_each(|id| port.say(line, &result_text(id, Traced { traces: traces.clone() })));
+                id.iter().for_each(|id| {
+                    port.send_to_line(line, &result_text(id, Traced { traces: traces.clone() }))
+                });
             }),
         };
         if let (Err(fault), Some(id)) = (done, id) {
-            port.say(line, &fault_text(&id, &fault));
+            port.send_to_line(line, &error_text(&id, &fault));
         }
     }
 
     fn offer(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
-        line: LineNo,
+        port: &mut dyn Transport,
+        line: LineId,
         id: &Option<Value>,
         offer: &Offer,
-    ) -> Result<(), Fault> {
-        let held = self.lines.get_mut(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
+    ) -> Result<(), RpcError> {
+        let held =
+            self.lines.get_mut(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed =
             self.tokens.check(held.token.as_deref(), Scope::Offer, Some(CustomerId(offer.customer)));
-        allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
-        if let Repeat::Answered(answered) = self.repeats.offer(now, held.session, offer.call) {
-            id.iter().for_each(|id| port.say(line, &result_text(id, answered)));
+        allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
+        if let CachedAnswer::Answered(answered) = self.repeats.offer(now, held.session, offer.call) {
+            id.iter().for_each(|id| port.send_to_line(line, &result_text(id, answered)));
             return Ok(());
         }
         if held.calls.contains_key(&offer.call) {
-            return Err(Fault::new(code::NUMBER_IN_USE, format!("call {} is in hand already", offer.call)));
+            return Err(RpcError::new(
+                code::NUMBER_IN_USE,
+                format!("call {} is in hand already", offer.call),
+            ));
         }
         let session = held.session;
         let pending = Pending { line, session, id: id.clone(), offer: offer.clone(), since: now };
         let (customer, left) = (CustomerId(offer.customer), Duration::from_millis(offer.time_left_ms.into()));
-        let log = &mut |text: &str| port.note(text);
+        let log = &mut |text: &str| port.log_info(text);
         let (verdict, displaced) = self.admission.offer(now, session, customer, left, pending, log);
         match verdict {
-            Verdict::Take(pending) => self.take(now, port, pending),
-            Verdict::Waits => _ = held.calls.insert(offer.call, Held::Waiting),
-            Verdict::Refused(pending, refusal) => self.refuse(port, &pending, refusal),
+            AdmissionDecision::Admit(pending) => self.take(now, port, pending),
+            AdmissionDecision::Queued => _ = held.calls.insert(offer.call, Held::Waiting),
+            AdmissionDecision::Refused(pending, refusal) => self.refuse(port, &pending, refusal),
         }
         displaced.iter().for_each(|(pending, refusal)| self.refuse(port, pending, *refusal));
         Ok(())
     }
 
-    fn hang_up(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, call: u64) -> Result<(), Fault> {
+    fn hang_up(
+        &mut self,
+        now: Duration,
+        port: &mut dyn Transport,
+        line: LineId,
+        call: u64,
+    ) -> Result<(), RpcError> {
         let known = self.lines.get(&line).and_then(|line| line.calls.get(&call)).copied();
-        let unknown = || Fault::new(code::UNKNOWN_CALL, format!("no call {call} is in hand"));
+        let unknown = || RpcError::new(code::UNKNOWN_CALL, format!("no call {call} is in hand"));
         let id = match known.ok_or_else(unknown)? {
             Held::With(id) => id,
             Held::Waiting => {
                 let which = |pending: &Pending| pending.line == line && pending.offer.call == call;
-                let pending = self.admission.withdraw(now, which, &mut |text| port.note(text));
+                let pending = self.admission.withdraw(now, which, &mut |text| port.log_info(text));
                 self.lines.get_mut(&line).into_iter().for_each(|line| _ = line.calls.remove(&call));
                 if let Some(id) = pending.and_then(|pending| pending.id) {
-                    port.say(
+                    port.send_to_line(
                         line,
-                        &result_text(&id, Answered { call, exchange_call: 0, answer: Final::Fails }),
+                        &result_text(&id, OfferResult { call, exchange_call: 0, answer: FinalAnswer::Fails }),
                     );
                 }
                 return Ok(());
@@ -742,49 +774,55 @@
     }
 
     /// Gives up a call that has no answer yet.
-    fn cancel(&mut self, now: Duration, port: &mut dyn Port, line: LineNo, call: u64) -> Result<(), Fault> {
+    fn cancel(
+        &mut self,
+        now: Duration,
+        port: &mut dyn Transport,
+        line: LineId,
+        call: u64,
+    ) -> Result<(), RpcError> {
         let held = self.lines.get(&line).and_then(|line| line.calls.get(&call)).copied();
         if let Some(Held::With(id)) = held
             && self.askers.get(&id).is_some_and(|asker| asker.progress == Progress::Stands)
         {
-            return Err(Fault::new(code::STANDS, format!("call {call} stands: hang it up")));
+            return Err(RpcError::new(code::STANDS, format!("call {call} stands: hang it up")));
         }
         self.hang_up(now, port, line, call)
     }
 
     fn call_state(&self, call: u64, held: Held) -> CallState {
         match held {
-            Held::Waiting => CallState { call, exchange_call: 0, state: State::Waits },
+            Held::Waiting => CallState { call, exchange_call: 0, state: CallStatus::Waits },
             Held::With(id) => {
                 let stands = self.askers.get(&id).is_some_and(|asker| asker.progress == Progress::Stands);
-                let state = if stands { State::Stands } else { State::Offered };
+                let state = if stands { CallStatus::Stands } else { CallStatus::Offered };
                 CallState { call, exchange_call: id.0, state }
             }
         }
     }
 
-    fn get(&mut self, now: Duration, line: LineNo, call: u64) -> Result<CallState, Fault> {
-        let unknown = || Fault::new(code::UNKNOWN_CALL, format!("no call {call} is known"));
+    fn get(&mut self, now: Duration, line: LineId, call: u64) -> Result<CallState, RpcError> {
+        let unknown = || RpcError::new(code::UNKNOWN_CALL, format!("no call {call} is known"));
         let held = self.lines.get(&line).ok_or_else(unknown)?;
         if let Some(held) = held.calls.get(&call) {
             return Ok(self.call_state(call, *held));
         }
-        let Answered { exchange_call, answer, .. } =
+        let OfferResult { exchange_call, answer, .. } =
             self.repeats.get(now, held.session, call).ok_or_else(unknown)?;
-        Ok(CallState { call, exchange_call, state: State::Over { answer } })
+        Ok(CallState { call, exchange_call, state: CallStatus::Over { answer } })
     }
 
     /// Whoever may watch sees the traces of the customers that its token sees.
-    fn trace_get(&self, line: LineNo, get: TraceGet) -> Result<Vec<CallTrace>, Fault> {
-        let held = self.lines.get(&line).ok_or(Fault::new(code::UNKNOWN_CALL, "the line is closed"))?;
+    fn trace_get(&self, line: LineId, get: TraceGet) -> Result<Vec<CallTrace>, RpcError> {
+        let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
-        allowed.map_err(|denied| Fault::new(code::DENIED, denied.to_string()))?;
-        let sees = self.tokens.named(held.token.as_deref()).map_or(Sees::All, Grant::sees);
+        allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
+        let sees = self.tokens.named(held.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
         let mut traces = self.traces(get.origin, get.exchange_call);
         traces.retain(|trace| sees.includes(CustomerId(trace.customer)));
         if traces.is_empty() {
             let why = format!("call {} is not among the last calls", get.exchange_call);
-            return Err(Fault::new(code::UNKNOWN_CALL, why));
+            return Err(RpcError::new(code::UNKNOWN_CALL, why));
         }
         Ok(traces)
     }
@@ -792,9 +830,9 @@
     // Directory.
 
     /// The directory is there: it is asked for all that is new.
-    pub fn directory_open(&mut self, port: &mut dyn Port) {
-        self.feed = LineCutter::new(LONGEST_NEWS);
-        port.reply(
+    pub fn directory_open(&mut self, port: &mut dyn Transport) {
+        self.feed = LineDecoder::new(LONGEST_NEWS);
+        port.send_to_directory(
             &ControllerNotification::RequestFullList(FullListRequest {
                 office: self.office.own().0,
                 held_version: self.roster.version(),
@@ -807,20 +845,24 @@
     pub fn directory_octets(
         &mut self,
         now: Duration,
-        port: &mut dyn Port,
+        port: &mut dyn Transport,
         octets: &[u8],
     ) -> Result<bool, String> {
         self.feed.push(octets);
-        let mut feed = std::mem::replace(&mut self.feed, LineCutter::new(LONGEST_NEWS));
+        let mut feed = std::mem::replace(&mut self.feed, LineDecoder::new(LONGEST_NEWS));
         let mut new = false;
         let result = loop {
             match feed.next() {
                 Ok(Some(text)) => match DirectoryNotification::read(text) {
                     Ok(note) => new |= self.feed_note(now, port, &note),
                     Err(error) => {
-                        port.note(&format!("directory: a line makes no sense and is passed over: {error}"));
+                        port.log_info(&format!(
+                            "directory: a line makes no sense and is passed over: {error}"
+                        ));
                         let (office, why) = (self.office.own().0, error.to_string());
-                        port.reply(&ControllerNotification::Rejected { office, version: 0, why }.text());
+                        port.send_to_directory(
+                            &ControllerNotification::Rejected { office, version: 0, why }.text(),
+                        );
                     }
                 },
                 Ok(None) => break Ok(new),
@@ -832,23 +874,28 @@
     }
 
     /// One note of the directory or the plant; `true`: the roster is new.
-    pub fn feed_note(&mut self, now: Duration, port: &mut dyn Port, note: &DirectoryNotification) -> bool {
+    pub fn feed_note(
+        &mut self,
+        now: Duration,
+        port: &mut dyn Transport,
+        note: &DirectoryNotification,
+    ) -> bool {
         match note {
             DirectoryNotification::Membership(news) => {
                 let office = self.office.own().0;
                 let (verdict, told) = self.roster.apply(now, news);
                 match verdict {
                     UpdateOutcome::Accepted { version } => {
-                        port.reply(&ControllerNotification::Accepted { office, version }.text())
+                        port.send_to_directory(&ControllerNotification::Accepted { office, version }.text())
                     }
                     UpdateOutcome::Rejected { version, why } => {
-                        port.note(&format!("roster version {version} turned down: {why}"));
-                        port.reply(
+                        port.log_info(&format!("roster version {version} turned down: {why}"));
+                        port.send_to_directory(
                             &ControllerNotification::Rejected { office, version, why: why.to_string() }
                                 .text(),
                         );
                         if matches!(why, RejectReason::Gap { .. } | RejectReason::NoBaseVersion { .. }) {
-                            port.reply(
+                            port.send_to_directory(
                                 &ControllerNotification::RequestFullList(FullListRequest {
                                     office,
                                     held_version: None,
@@ -875,10 +922,10 @@
         }
     }
 
-    fn roster_told(&mut self, now: Duration, port: &mut dyn Port, told: &MembershipChange) {
+    fn roster_told(&mut self, now: Duration, port: &mut dyn Transport, told: &MembershipChange) {
         self.with(now, port, |office, wire| match told {
-            MembershipChange::Full(held) => office.roster(now, wire, &roster_lines(held)),
-            MembershipChange::Delta(held) => office.roster_changes(now, wire, &roster_lines(held)),
+            MembershipChange::Full(held) => office.roster(now, wire, &exchange_entries(held)),
+            MembershipChange::Delta(held) => office.roster_changes(now, wire, &exchange_entries(held)),
         });
     }
 
@@ -887,7 +934,7 @@
         &mut self,
         now: Duration,
         wall_ms: u64,
-        port: &mut dyn Port,
+        port: &mut dyn Transport,
         text: &[u8],
     ) -> Result<(), String> {
         let (roster, told) = Membership::restore(MembershipLimits::default(), now, wall_ms, text)
@@ -1007,19 +1054,21 @@
     }
 }
 
-pub fn final_answer(answer: Answer) -> Final {
+pub fn final_answer(answer: Answer) -> FinalAnswer {
     match answer {
-        Answer::Stands => Final::Stands,
-        Answer::Refused { retry_after } => Final::Refused { come_back_ms: retry_after.as_millis() as u32 },
-        Answer::Fails => Final::Fails,
+        Answer::Stands => FinalAnswer::Stands,
+        Answer::Refused { retry_after } => {
+            FinalAnswer::Refused { come_back_ms: retry_after.as_millis() as u32 }
+        }
+        Answer::Fails => FinalAnswer::Fails,
     }
 }
 
-pub fn how_ended(end: CallEnd) -> How {
+pub fn how_ended(end: CallEnd) -> EndReason {
     match end {
-        CallEnd::HungUp => How::HungUp,
-        CallEnd::Released => How::Released,
-        CallEnd::Cut => How::Cut,
+        CallEnd::HungUp => EndReason::HungUp,
+        CallEnd::Released => EndReason::Released,
+        CallEnd::Cut => EndReason::Cut,
     }
 }
 
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/server.rs
@@ -7,10 +7,12 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use mintstall::interface::ExchangeNumber;
-use mintstall_callapi::{Fault, LineCutter, code, fault_text, result_text};
+use mintstall_callapi::{LineDecoder, RpcError, code, error_text, result_text};
 use mintstall_isup::{Deframer, Frame};
-use mintstall_limits::{Due, Patience, Vigil};
-use mintstall_websocket::{Door, End, Event, Knock, NotLetIn, close};
+use mintstall_limits::{ConnectionMonitor, ConnectionTimeouts, MonitorAction};
+use mintstall_websocket::{
+    HandshakeRejection, ServerHandshake, ServerHandshakeState, WebSocketConnection, WebSocketEvent, close,
+};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use rand::Rng;
@@ -22,11 +24,14 @@
 use tracing::{debug, info, warn};
 
 use crate::config::{Config, ConfigError, read_tokens};
-use crate::exchange::{Exchange, LONGEST_TEXT, LineNo, NotOpen, Port};
-use crate::wires::Outbox;
+use crate::exchange::{Exchange, LineId, LineOpenError, MAX_MESSAGE_OCTETS, Transport};
+use crate::output_buffer::OutputBuffer;
+
+/// Log target of this module. Operators filter by it, so it does not follow the module path.
+const LOG_TARGET: &str = "mintstall_daemon::shell";
 
 #[derive(Debug, Error)]
-pub enum ShellError {
+pub enum ServerError {
     #[error("{what} {addr}: {error}")]
     Listen { what: &'static str, addr: SocketAddr, error: io::Error },
     #[error("no event loop: {0}")]
@@ -71,18 +76,18 @@
         deframer: Deframer,
         octets: Vec<u8>,
     },
-    Line(LineNo),
+    Line(LineId),
     /// Came in for calls, its handshake not whole yet.
-    Knocking(Door),
+    Knocking(ServerHandshake),
     /// A line over WebSocket.
     Calls {
-        line: LineNo,
-        end: Box<End>,
+        line: LineId,
+        end: Box<WebSocketConnection>,
     },
     /// Told why it is closed; it goes once that is written.
     Leaving,
     Directory,
-    Admin(LineCutter),
+    Admin(LineDecoder),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -94,7 +99,7 @@
 struct Connection {
     stream: TcpStream,
     purpose: Purpose,
-    out: Outbox,
+    out: OutputBuffer,
     /// Whether it is registered for writing too.
     writing: Writing,
     /// It goes once what waits is written.
@@ -115,15 +120,15 @@
 }
 
 /// All connections; what the exchange acts through.
-struct Wires {
+struct Connections {
     poll: Poll,
     connections: BTreeMap<Token, Connection>,
     links: BTreeMap<ExchangeNumber, Token>,
-    lines: BTreeMap<LineNo, Token>,
+    lines: BTreeMap<LineId, Token>,
     directory: Option<Token>,
     /// Who has not said which exchange it is; clients over WebSocket.
-    strangers: Vigil<Token>,
-    clients: Vigil<Token>,
+    strangers: ConnectionMonitor<Token>,
+    clients: ConnectionMonitor<Token>,
     admins: usize,
     most_unread: usize,
     started: Instant,
@@ -133,7 +138,7 @@
     next: usize,
 }
 
-impl Wires {
+impl Connections {
     fn now(&self) -> Duration {
         CLOCK_START + self.started.elapsed()
     }
@@ -195,8 +200,8 @@
         self.poll.registry().register(&mut stream, token, interest)?;
         let writing = Writing::Idle;
         let out = match purpose {
-            Purpose::Knocking(_) => Outbox::new(self.most_unread),
-            _ => Outbox::default(),
+            Purpose::Knocking(_) => OutputBuffer::new(self.most_unread),
+            _ => OutputBuffer::default(),
         };
         self.admins += usize::from(matches!(purpose, Purpose::Admin(_)));
         self.connections.insert(token, Connection { stream, purpose, out, writing, leaving: false });
@@ -241,24 +246,24 @@
     }
 }
 
-impl Port for Wires {
-    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
+impl Transport for Connections {
+    fn send_to_link(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.push(self.links.get(&to).copied(), &[octets]);
     }
     fn close_link(&mut self, to: ExchangeNumber, why: &str) {
         self.close(self.links.get(&to).copied(), why);
     }
-    fn say(&mut self, line: LineNo, text: &str) {
+    fn send_to_line(&mut self, line: LineId, text: &str) {
         let Some(token) = self.lines.get(&line).copied() else { return };
         match self.connections.get_mut(&token).map(|connection| &mut connection.purpose) {
             Some(Purpose::Calls { end, .. }) => {
-                end.say(text);
+                end.send_text(text);
                 self.pump(token);
             }
             _ => self.push(Some(token), &[text.as_bytes(), b"\n"]),
         }
     }
-    fn close_line(&mut self, line: LineNo, why: &str) {
+    fn close_line(&mut self, line: LineId, why: &str) {
         let Some(token) = self.lines.get(&line).copied() else { return };
         match self.connections.get_mut(&token).map(|connection| &mut connection.purpose) {
             Some(Purpose::Calls { end, .. }) => {
@@ -268,22 +273,22 @@
             _ => self.close(Some(token), why),
         }
     }
-    fn has_room(&self, line: LineNo) -> bool {
+    fn has_room(&self, line: LineId) -> bool {
         const ROOM: usize = 64 << 10;
         let connection = self.lines.get(&line).and_then(|token| self.connections.get(token));
         connection.is_some_and(|connection| connection.out.waiting() < ROOM)
     }
-    fn reply(&mut self, text: &str) {
+    fn send_to_directory(&mut self, text: &str) {
         self.push(self.directory, &[text.as_bytes(), b"\n"]);
     }
-    fn note(&mut self, line: &str) {
+    fn log_info(&mut self, line: &str) {
         info!(target: "mintstall::mode", "{line}");
     }
 }
 
 /// Where a controller is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Addresses {
+pub struct ListenAddresses {
     pub signalling: Option<SocketAddr>,
     pub subscribers: Option<SocketAddr>,
     pub calls: Option<SocketAddr>,
@@ -291,9 +296,9 @@
 }
 
 /// A controller with its sockets.
-pub struct Shell {
+pub struct Server {
     exchange: Exchange,
-    wires: Wires,
+    wires: Connections,
     signals: Signals,
     links_in: Option<TcpListener>,
     lines_in: Option<TcpListener>,
@@ -318,9 +323,9 @@
     what: &'static str,
     addr: Option<SocketAddr>,
     token: Token,
-) -> Result<Option<TcpListener>, ShellError> {
+) -> Result<Option<TcpListener>, ServerError> {
     let Some(addr) = addr else { return Ok(None) };
-    let fail = |error| ShellError::Listen { what, addr, error };
+    let fail = |error| ServerError::Listen { what, addr, error };
     let mut listener = TcpListener::bind(addr).map_err(fail)?;
     poll.registry().register(&mut listener, token, Interest::READABLE).map_err(fail)?;
     Ok(Some(listener))
@@ -330,19 +335,22 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_millis() as u64)
 }
 
-impl Shell {
+impl Server {
     /// Opens all that the configuration names. The configuration has no faults.
-    pub fn open(config: &Config) -> Result<Self, ShellError> {
-        let poll = Poll::new().map_err(ShellError::Poll)?;
-        let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(ShellError::Poll)?;
-        poll.registry().register(&mut signals, SIGNALS, Interest::READABLE).map_err(ShellError::Poll)?;
+    pub fn open(config: &Config) -> Result<Self, ServerError> {
+        let poll = Poll::new().map_err(ServerError::Poll)?;
+        let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(ServerError::Poll)?;
+        poll.registry().register(&mut signals, SIGNALS, Interest::READABLE).map_err(ServerError::Poll)?;
         let links_in = listener(&poll, "signalling.listen", config.signalling.listen, LINKS_IN)?;
         let lines_in = listener(&poll, "subscribers.listen", config.subscribers.listen, LINES_IN)?;
         let admins_in =
             listener(&poll, "admin.listen", config.admin.as_ref().map(|admin| admin.listen), ADMINS_IN)?;
         let calls_in = listener(&poll, "calls.listen", config.calls.listen, CALLS_IN)?;
-        let strangers =
-            Patience { opening: STRANGER_FOR, most_opening: MOST_STRANGERS, ..Patience::default() };
+        let strangers = ConnectionTimeouts {
+            handshake_timeout: STRANGER_FOR,
+            max_handshakes: MOST_STRANGERS,
+            ..ConnectionTimeouts::default()
+        };
         let now = Instant::now();
         let redial = |to| Redial { to, failures: 0, due: Some(now) };
         let links = config.signalling.links.iter();
@@ -353,16 +361,16 @@
         // Milliseconds since 2020 as the number of this start: it grows, and fits for a century.
         let incarnation = wall_ms().saturating_sub(1_577_836_800_000);
         let seed = config.seed.unwrap_or_else(|| rand::rng().random());
-        let mut shell = Self {
+        let mut server = Self {
             exchange: Exchange::new(CLOCK_START, config, incarnation, seed),
-            wires: Wires {
+            wires: Connections {
                 poll,
                 connections: BTreeMap::new(),
                 links: BTreeMap::new(),
                 lines: BTreeMap::new(),
                 directory: None,
-                strangers: Vigil::new(strangers),
-                clients: Vigil::new(config.calls.patience()),
+                strangers: ConnectionMonitor::new(strangers),
+                clients: ConnectionMonitor::new(config.calls.patience()),
                 admins: 0,
                 most_unread: config.calls.most_unread,
                 started: now,
@@ -385,18 +393,18 @@
             buffer: vec![0; 64 << 10],
         };
         if let Some(path) = &config.tokens {
-            shell.exchange.set_tokens(read_tokens(path)?);
+            server.exchange.set_tokens(read_tokens(path)?);
         }
-        shell.first_roster(config);
-        Ok(shell)
+        server.first_roster(config);
+        Ok(server)
     }
 
     /// Where the subscriber lines and the admin port ended up, where they were left to the machine.
-    pub fn addresses(&self) -> Addresses {
+    pub fn addresses(&self) -> ListenAddresses {
         let [signalling, subscribers, calls, admin] =
             [&self.links_in, &self.lines_in, &self.calls_in, &self.admins_in]
                 .map(|listener| listener.as_ref().and_then(|listener| listener.local_addr().ok()));
-        Addresses { signalling, subscribers, calls, admin }
+        ListenAddresses { signalling, subscribers, calls, admin }
     }
 
     fn now(&self) -> Duration {
@@ -429,23 +437,27 @@
         let Some(path) = &self.keep else { return };
         match std::fs::read(path) {
             Ok(text) => match self.exchange.come_back(now, wall_ms(), &mut self.wires, &text) {
-                Ok(()) => info!(path = %path.display(), "roster of before taken"),
-                Err(error) => warn!(path = %path.display(), "{error}; waiting for the directory"),
+                Ok(()) => info!(target: LOG_TARGET, path = %path.display(), "roster of before taken"),
+                Err(error) => {
+                    warn!(target: LOG_TARGET, path = %path.display(), "{error}; waiting for the directory")
+                }
             },
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-            Err(error) => warn!(path = %path.display(), "{error}; waiting for the directory"),
+            Err(error) => {
+                warn!(target: LOG_TARGET, path = %path.display(), "{error}; waiting for the directory")
+            }
         }
     }
 
     /// Runs until it is told to stop and has answered all it took.
-    pub fn run(mut self) -> Result<(), ShellError> {
+    pub fn run(mut self) -> Result<(), ServerError> {
         let mut events = Events::with_capacity(1024);
         loop {
             let wait = self.wait();
             match self.wires.poll.poll(&mut events, wait) {
                 Ok(()) => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) => return Err(ShellError::Poll(error)),
+                Err(error) => return Err(ServerError::Poll(error)),
             }
             for event in &events {
                 match event.token() {
@@ -457,7 +469,7 @@
             let accepting = std::mem::take(&mut self.accepting);
             accepting.into_iter().for_each(|on| self.accept(on));
             let now = self.now();
-            self.exchange.ring(now, &mut self.wires);
+            self.exchange.on_timer(now, &mut self.wires);
             self.redial();
             self.look_after_clients(now);
             self.settle();
@@ -469,10 +481,10 @@
 
     fn wait(&self) -> Option<Duration> {
         let now = self.now();
-        let alarm = self.exchange.next_alarm().map(|at| at.saturating_sub(now));
+        let alarm = self.exchange.next_timer().map(|at| at.saturating_sub(now));
         let dial = self.redials.values().filter_map(|redial| redial.due).min();
         let dial = dial.map(|due| due.saturating_duration_since(Instant::now()));
-        let vigils = [self.wires.strangers.next_alarm(), self.wires.clients.next_alarm()];
+        let vigils = [self.wires.strangers.next_timer(), self.wires.clients.next_timer()];
         let vigil = vigils.into_iter().flatten().min().map(|at| at.saturating_sub(now));
         let stopping = self.stopping.map(|_| Duration::from_millis(20));
         let accepting = (!self.accepting.is_empty()).then_some(Duration::ZERO);
@@ -496,7 +508,7 @@
             self.read_tokens();
         }
         if signals.iter().any(|signal| *signal != SIGHUP) && self.stopping.is_none() {
-            info!("stopping: no new calls, {} in hand", self.exchange.office.state().calls);
+            info!(target: LOG_TARGET, "stopping: no new calls, {} in hand", self.exchange.office.state().calls);
             self.exchange.stop(&mut self.wires);
             self.stopping = Some(Instant::now());
             (self.links_in, self.lines_in, self.calls_in) = (None, None, None);
@@ -508,10 +520,10 @@
         let Some(path) = &self.tokens else { return };
         match read_tokens(path) {
             Ok(tokens) => {
-                info!(path = %path.display(), "tokens read");
+                info!(target: LOG_TARGET, path = %path.display(), "tokens read");
                 self.exchange.set_tokens(tokens);
             }
-            Err(error) => warn!("{error}; the tokens of before stay in force"),
+            Err(error) => warn!(target: LOG_TARGET, "{error}; the tokens of before stay in force"),
         }
     }
 
@@ -529,7 +541,7 @@
         if !(written && released) && let_go.elapsed() < LET_GO_WITHIN {
             return false;
         }
-        info!(written, released, "stopped");
+        info!(target: LOG_TARGET, written, released, "stopped");
         true
     }
 
@@ -560,21 +572,21 @@
             let Some(Ok((stream, from))) = listener.as_ref().map(TcpListener::accept) else { return };
             let purpose = match on {
                 LINKS_IN => Purpose::Stranger { deframer: Deframer::default(), octets: Vec::new() },
-                CALLS_IN => Purpose::Knocking(Door::default()),
+                CALLS_IN => Purpose::Knocking(ServerHandshake::default()),
                 LINES_IN => match self.exchange.line_open(self.now()) {
                     Ok(line) => Purpose::Line(line),
                     Err(why) => {
-                        debug!(%from, "line turned away: {why}");
+                        debug!(target: LOG_TARGET, %from, "line turned away: {why}");
                         // Best effort: whoever does not read it sees the close.
                         let _ = (&stream).write_all(format!("{}\n", why.text()).as_bytes());
                         continue;
                     }
                 },
                 _ if self.wires.admins >= MOST_ADMINS => {
-                    warn!(%from, "connection turned away: {MOST_ADMINS} there already");
+                    warn!(target: LOG_TARGET, %from, "connection turned away: {MOST_ADMINS} there already");
                     continue;
                 }
-                _ => Purpose::Admin(LineCutter::new(LONGEST_ADMIN_TEXT)),
+                _ => Purpose::Admin(LineDecoder::new(LONGEST_ADMIN_TEXT)),
             };
             let line = match purpose {
                 Purpose::Line(line) => Some(line),
@@ -583,13 +595,13 @@
             let token = match self.wires.add(stream, purpose) {
                 Ok(token) => token,
                 Err(error) => {
-                    warn!(%from, "connection can't be watched: {error}");
+                    warn!(target: LOG_TARGET, %from, "connection can't be watched: {error}");
                     continue;
                 }
             };
             if let Some(line) = line {
                 self.wires.lines.insert(line, token);
-                debug!(%from, line = line.0, "line open");
+                debug!(target: LOG_TARGET, %from, line = line.0, "line open");
             }
             let now = self.now();
             let came = match on {
@@ -598,9 +610,12 @@
                 _ => Ok(()),
             };
             if let Err(why) = came {
-                debug!(%from, "connection turned away: {why}");
+                debug!(target: LOG_TARGET, %from, "connection turned away: {why}");
                 if on == CALLS_IN {
-                    let busy = NotLetIn { retry_after_s: Some(1), ..NotLetIn::new(503, why.to_string()) };
+                    let busy = HandshakeRejection {
+                        retry_after_s: Some(1),
+                        ..HandshakeRejection::new(503, why.to_string())
+                    };
                     self.wires.push(Some(token), &[&busy.octets()]);
                     self.wires.flush(token);
                 }
@@ -612,12 +627,12 @@
 
     /// Connections that never say who they are, clients that fall silent or do not close.
     fn look_after_clients(&mut self, now: Duration) {
-        let mut due = self.wires.strangers.ring(now);
-        due.extend(self.wires.clients.ring(now));
+        let mut due = self.wires.strangers.on_timer(now);
+        due.extend(self.wires.clients.on_timer(now));
         for due in due {
             match due {
-                Due::Drop(token, lapse) => self.wires.close(Some(token), &lapse.to_string()),
-                Due::AskForLife(token) => {
+                MonitorAction::Drop(token, lapse) => self.wires.close(Some(token), &lapse.to_string()),
+                MonitorAction::Ping(token) => {
                     if let Some(Purpose::Calls { end, .. }) =
                         self.wires.connections.get_mut(&token).map(|connection| &mut connection.purpose)
                     {
@@ -639,7 +654,7 @@
             let tried =
                 TcpStream::connect(to).and_then(|stream| self.wires.add(stream, Purpose::Dialling(dialled)));
             if let Err(error) = tried {
-                debug!(?dialled, %to, "can't connect: {error}");
+                debug!(target: LOG_TARGET, ?dialled, %to, "can't connect: {error}");
                 self.redial_later(dialled);
             }
         }
@@ -689,7 +704,7 @@
             Dialled::Link(to) => self.link_open(token, to),
             Dialled::Directory => {
                 self.wires.directory = Some(token);
-                info!("directory connected");
+                info!(target: LOG_TARGET, "directory connected");
                 self.exchange.directory_open(&mut self.wires);
             }
         }
@@ -757,24 +772,26 @@
                 Err(why) => self.wires.close(Some(token), &why),
             },
             Purpose::Knocking(door) => match door.push(octets, &self.origins) {
-                Knock::More => {}
-                Knock::Turned(why) => self.turn_away(token, &why),
-                Knock::Wants(wish) => match self.exchange.line_open(now) {
+                ServerHandshakeState::Incomplete => {}
+                ServerHandshakeState::Rejected(why) => self.turn_away(token, &why),
+                ServerHandshakeState::Valid(wish) => match self.exchange.line_open(now) {
                     Ok(line) => {
-                        debug!(line = line.0, "line open");
+                        debug!(target: LOG_TARGET, line = line.0, "line open");
                         connection.purpose =
-                            Purpose::Calls { line, end: Box::new(wish.let_in(LONGEST_TEXT)) };
+                            Purpose::Calls { line, end: Box::new(wish.accept(MAX_MESSAGE_OCTETS)) };
                         self.wires.lines.insert(line, token);
                         self.wires.clients.opened(now, token);
                         self.client_octets(now, token, &[]);
                     }
                     Err(why) => {
                         let wait = match why {
-                            NotOpen::Later(wait) => wait.as_secs() + 1,
-                            NotOpen::Full(_) => 2,
+                            LineOpenError::Later(wait) => wait.as_secs() + 1,
+                            LineOpenError::Full(_) => 2,
+                        };
+                        let busy = HandshakeRejection {
+                            retry_after_s: Some(wait),
+                            ..HandshakeRejection::new(503, why.to_string())
                         };
-                        let busy =
-                            NotLetIn { retry_after_s: Some(wait), ..NotLetIn::new(503, why.to_string()) };
                         self.turn_away(token, &busy);
                     }
                 },
@@ -831,9 +848,9 @@
         let line = *line;
         // At most what was read in one go: what is asked is acted on once this connection is not held any more.
         let mut texts = Vec::new();
-        end.octets(octets, &mut |event| match event {
-            Event::Text(text) => texts.push(text),
-            Event::Alive => {}
+        end.on_octets(octets, &mut |event| match event {
+            WebSocketEvent::Text(text) => texts.push(text),
+            WebSocketEvent::PingOrPong => {}
         });
         for text in texts {
             self.exchange.line_text(now, &mut self.wires, line, text.as_bytes());
@@ -841,8 +858,8 @@
         self.wires.pump(token);
     }
 
-    fn turn_away(&mut self, token: Token, why: &NotLetIn) {
-        debug!(status = why.status, "client turned away: {}", why.why);
+    fn turn_away(&mut self, token: Token, why: &HandshakeRejection) {
+        debug!(target: LOG_TARGET, status = why.status, "client turned away: {}", why.why);
         if let Some(connection) = self.wires.connections.get_mut(&token) {
             connection.purpose = Purpose::Leaving;
             connection.out.push_last(&why.octets());
@@ -855,7 +872,7 @@
         let (Some(path), Some(text)) = (&self.keep, self.exchange.keep(now, wall_ms())) else { return };
         let beside = path.with_extension("new");
         if let Err(error) = std::fs::write(&beside, text).and_then(|()| std::fs::rename(&beside, path)) {
-            warn!(path = %path.display(), "the roster can't be kept: {error}");
+            warn!(target: LOG_TARGET, path = %path.display(), "the roster can't be kept: {error}");
         }
     }
 
@@ -871,7 +888,7 @@
             Purpose::Link(to) => {
                 if self.wires.links.get(&to) == Some(&token) {
                     self.wires.links.remove(&to);
-                    info!(exchange = to.0, "link closed: {why}");
+                    info!(target: LOG_TARGET, exchange = to.0, "link closed: {why}");
                     self.exchange.link_down(now, &mut self.wires, to);
                     self.redials.entry(Dialled::Link(to)).and_modify(|redial| redial.failures = 0);
                     self.redial_later(Dialled::Link(to));
@@ -880,7 +897,7 @@
             Purpose::Calls { line, end } => {
                 self.wires.lines.remove(&line);
                 let why = end.ended().map_or(why, |ended| ended.reason.as_str());
-                debug!(line = line.0, code = end.ended().map(|ended| ended.code), "line closed: {why}");
+                debug!(target: LOG_TARGET, line = line.0, code = end.ended().map(|ended| ended.code), "line closed: {why}");
                 match end.ended() {
                     Some(ended) if ended.by_far_end && ended.code == close::NORMAL => {
                         self.exchange.line_over(now, &mut self.wires, line);
@@ -888,19 +905,21 @@
                     _ => self.exchange.line_closed(now, &mut self.wires, line),
                 }
             }
-            Purpose::Knocking(_) => debug!("client closed in its handshake: {why}"),
+            Purpose::Knocking(_) => debug!(target: LOG_TARGET, "client closed in its handshake: {why}"),
             Purpose::Leaving => {}
             Purpose::Line(line) => {
                 self.wires.lines.remove(&line);
-                debug!(line = line.0, "line closed: {why}");
+                debug!(target: LOG_TARGET, line = line.0, "line closed: {why}");
                 self.exchange.line_closed(now, &mut self.wires, line);
             }
             Purpose::Directory => {
                 self.wires.directory = None;
-                warn!("directory gone: {why}; the last roster stays in force");
+                warn!(target: LOG_TARGET, "directory gone: {why}; the last roster stays in force");
                 self.redial_later(Dialled::Directory);
             }
-            Purpose::Stranger { .. } => warn!("connection on the signalling port closed: {why}"),
+            Purpose::Stranger { .. } => {
+                warn!(target: LOG_TARGET, "connection on the signalling port closed: {why}")
+            }
             Purpose::Admin(_) => self.wires.admins -= 1,
         }
     }
@@ -910,11 +929,11 @@
     let asked: Result<Value, _> = serde_json::from_slice(text);
     let asked = match asked {
         Ok(asked) => asked,
-        Err(error) => return fault_text(&Value::Null, &Fault::new(code::PARSE, error.to_string())),
+        Err(error) => return error_text(&Value::Null, &RpcError::new(code::PARSE, error.to_string())),
     };
     let id = asked.get("id").cloned().unwrap_or(Value::Null);
     if let Err(denied) = exchange.admin_may(asked["token"].as_str()) {
-        return fault_text(&id, &Fault::new(code::DENIED, denied.to_string()));
+        return error_text(&id, &RpcError::new(code::DENIED, denied.to_string()));
     }
     match asked["method"].as_str() {
         Some("status") => {
@@ -927,10 +946,12 @@
             let origin = params["origin"].as_u64().map(|origin| u16::try_from(origin).unwrap_or(u16::MAX));
             match params["call"].as_u64() {
                 Some(call) => result_text(&id, exchange.traces(origin, call)),
-                None => fault_text(&id, &Fault::new(code::INVALID_PARAMS, "params.call is no number")),
+                None => error_text(&id, &RpcError::new(code::INVALID_PARAMS, "params.call is no number")),
             }
         }
-        Some(method) => fault_text(&id, &Fault::new(code::NO_SUCH_METHOD, format!("no method {method:?}"))),
-        None => fault_text(&id, &Fault::new(code::INVALID_REQUEST, "method is missing")),
+        Some(method) => {
+            error_text(&id, &RpcError::new(code::NO_SUCH_METHOD, format!("no method {method:?}")))
+        }
+        None => error_text(&id, &RpcError::new(code::INVALID_REQUEST, "method is missing")),
     }
 }
--- a/crates/daemon/tests/admission.rs
+++ b/crates/daemon/tests/admission.rs
@@ -6,39 +6,39 @@
 use std::time::Duration;
 
 use mintstall::interface::ExchangeNumber;
-use mintstall_callapi::{Asked, Final, Hangup, Heard, Offer, Request};
-use mintstall_daemon::config::LimitsPlan;
-use mintstall_daemon::exchange::{Exchange, LineNo, Port, own_seed};
+use mintstall_callapi::{FinalAnswer, Hangup, Offer, Request, RequestMessage, ServerMessage};
+use mintstall_daemon::config::LimitsConfig;
+use mintstall_daemon::exchange::{Exchange, LineId, Transport, own_seed};
 use serde_json::json;
 
 use common::{FAR, Far};
 
 #[derive(Default)]
 struct Wires {
-    said: BTreeMap<LineNo, Vec<Heard>>,
+    said: BTreeMap<LineId, Vec<ServerMessage>>,
     sent: Vec<Vec<u8>>,
     notes: Vec<String>,
-    closed: Vec<LineNo>,
+    closed: Vec<LineId>,
 }
 
-impl Port for Wires {
-    fn send(&mut self, _: ExchangeNumber, octets: &[u8]) {
+impl Transport for Wires {
+    fn send_to_link(&mut self, _: ExchangeNumber, octets: &[u8]) {
         self.sent.push(octets.to_vec());
     }
     fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
-    fn say(&mut self, line: LineNo, text: &str) {
-        self.said.entry(line).or_default().push(Heard::read(text.as_bytes()).unwrap());
+    fn send_to_line(&mut self, line: LineId, text: &str) {
+        self.said.entry(line).or_default().push(ServerMessage::read(text.as_bytes()).unwrap());
     }
-    fn close_line(&mut self, line: LineNo, _: &str) {
+    fn close_line(&mut self, line: LineId, _: &str) {
         self.closed.push(line);
     }
-    fn has_room(&self, _: LineNo) -> bool {
+    fn has_room(&self, _: LineId) -> bool {
         true
     }
-    fn reply(&mut self, _: &str) {}
-    fn note(&mut self, line: &str) {
+    fn send_to_directory(&mut self, _: &str) {}
+    fn log_info(&mut self, line: &str) {
         self.notes.push(line.to_string());
     }
 }
@@ -51,7 +51,7 @@
 }
 
 impl Room {
-    fn new(limits: LimitsPlan) -> Self {
+    fn new(limits: LimitsConfig) -> Self {
         let config = common::config(limits);
         let now = Duration::from_secs(3600);
         let exchange = Exchange::new(now, &config, 2, 1);
@@ -79,17 +79,17 @@
         self.far();
     }
 
-    fn line(&mut self) -> LineNo {
+    fn line(&mut self) -> LineId {
         self.exchange.line_open(self.now).unwrap()
     }
 
-    fn ask(&mut self, line: LineNo, request: Request) {
-        let text = Asked { id: Some(json!(1)), request }.text() + "\n";
+    fn ask(&mut self, line: LineId, request: Request) {
+        let text = RequestMessage { id: Some(json!(1)), request }.text() + "\n";
         self.exchange.line_octets(self.now, &mut self.wires, line, text.as_bytes());
         self.far();
     }
 
-    fn offer(&mut self, line: LineNo, call: u64, customer: u16) {
+    fn offer(&mut self, line: LineId, call: u64, customer: u16) {
         let offer = Offer {
             call,
             call_type: 0,
@@ -105,10 +105,10 @@
     }
 
     /// The answers given on a line since last asked: call and answer.
-    fn answers(&mut self, line: LineNo) -> Vec<(u64, Final)> {
+    fn answers(&mut self, line: LineId) -> Vec<(u64, FinalAnswer)> {
         let said = self.wires.said.remove(&line).unwrap_or_default();
         let answer = |heard| match heard {
-            Heard::Answered(answered) => Some((answered.call, answered.answer)),
+            ServerMessage::Answered(answered) => Some((answered.call, answered.answer)),
             _ => None,
         };
         said.into_iter().filter_map(answer).collect()
@@ -116,9 +116,9 @@
 
     fn pass(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(at) = self.exchange.next_alarm().filter(|at| *at <= end) {
+        while let Some(at) = self.exchange.next_timer().filter(|at| *at <= end) {
             self.now = at;
-            self.exchange.ring(at, &mut self.wires);
+            self.exchange.on_timer(at, &mut self.wires);
             self.far();
         }
         self.now = end;
@@ -131,8 +131,8 @@
     }
 }
 
-fn unanswered(count: usize) -> LimitsPlan {
-    LimitsPlan { unanswered: count, ..LimitsPlan::default() }
+fn unanswered(count: usize) -> LimitsConfig {
+    LimitsConfig { unanswered: count, ..LimitsConfig::default() }
 }
 
 #[test]
@@ -156,7 +156,7 @@
     (1..=50).for_each(|call| room.offer(greedy, call, 1));
     room.offer(quiet, 1, 2);
     (0..3).for_each(|_| room.stands());
-    assert_eq!(room.answers(quiet), [(1, Final::Stands)]);
+    assert_eq!(room.answers(quiet), [(1, FinalAnswer::Stands)]);
 }
 
 #[test]
@@ -168,11 +168,11 @@
     room.pass(Duration::from_millis(760));
     let answers = room.answers(line);
     assert!(
-        matches!(answers[..], [(2, Final::Refused { come_back_ms })] if come_back_ms >= 500),
+        matches!(answers[..], [(2, FinalAnswer::Refused { come_back_ms })] if come_back_ms >= 500),
         "{answers:?}"
     );
     room.stands();
-    assert_eq!(room.answers(line), [(1, Final::Stands)]);
+    assert_eq!(room.answers(line), [(1, FinalAnswer::Stands)]);
     room.pass(Duration::from_secs(5));
     assert_eq!((room.answers(line), room.figures()), (vec![], (0, 0)));
 }
@@ -187,7 +187,7 @@
     room.far();
     assert_eq!((room.far.set_ups.len(), room.figures()), (1, (1, 0)), "the other line's call is out");
     room.stands();
-    assert_eq!(room.answers(stays), [(1, Final::Stands)]);
+    assert_eq!(room.answers(stays), [(1, FinalAnswer::Stands)]);
     room.ask(stays, Request::Hangup(Hangup { call: 1 }));
     let status = room.exchange.status();
     assert_eq!((&status["calls"], room.figures()), (&json!(0), (0, 0)));
@@ -200,14 +200,14 @@
     room.offer(line, 1, 0);
     room.offer(line, 2, 0);
     room.ask(line, Request::Hangup(Hangup { call: 2 }));
-    assert_eq!(room.answers(line), [(2, Final::Fails)]);
+    assert_eq!(room.answers(line), [(2, FinalAnswer::Fails)]);
     room.stands();
     assert_eq!((room.far.set_ups.len(), room.figures()), (0, (0, 0)));
 }
 
 #[test]
 fn a_line_that_offers_too_fast_is_refused_and_its_calls_in_hand_are_not() {
-    let limits = LimitsPlan { offers_per_s: 10.0, offers_at_once: 3.0, ..LimitsPlan::default() };
+    let limits = LimitsConfig { offers_per_s: 10.0, offers_at_once: 3.0, ..LimitsConfig::default() };
     let mut room = Room::new(limits);
     let line = room.line();
     (1..=5).for_each(|call| room.offer(line, call, 0));
@@ -219,7 +219,8 @@
 
 #[test]
 fn an_accept_storm_is_told_when_to_come_back() {
-    let limits = LimitsPlan { opens_per_s: 10.0, opens_at_once: 2.0, sessions: 3, ..LimitsPlan::default() };
+    let limits =
+        LimitsConfig { opens_per_s: 10.0, opens_at_once: 2.0, sessions: 3, ..LimitsConfig::default() };
     let mut room = Room::new(limits);
     assert!(room.exchange.line_open(room.now).is_ok() && room.exchange.line_open(room.now).is_ok());
     assert!(room.exchange.line_open(room.now).unwrap_err().text().contains("come back in"));
@@ -235,17 +236,17 @@
     room.offer(line, 1, 0);
     room.offer(line, 2, 0);
     room.exchange.stop(&mut room.wires);
-    assert!(matches!(room.answers(line)[..], [(2, Final::Refused { .. })]));
+    assert!(matches!(room.answers(line)[..], [(2, FinalAnswer::Refused { .. })]));
     room.offer(line, 3, 0);
     room.stands();
     let answers: BTreeMap<_, _> = room.answers(line).into_iter().collect();
-    assert_eq!(answers.get(&1), Some(&Final::Stands));
-    assert!(matches!(answers.get(&3), Some(Final::Refused { .. })), "{answers:?}");
+    assert_eq!(answers.get(&1), Some(&FinalAnswer::Stands));
+    assert!(matches!(answers.get(&3), Some(FinalAnswer::Refused { .. })), "{answers:?}");
 }
 
 impl Room {
     /// Says hello and returns the whole result.
-    fn hello(&mut self, line: LineNo, hello: serde_json::Value) -> serde_json::Value {
+    fn hello(&mut self, line: LineId, hello: serde_json::Value) -> serde_json::Value {
         let text = json!({ "jsonrpc": "2.0", "id": 0, "method": "session.hello", "params": hello })
             .to_string()
             + "\n";
@@ -255,18 +256,18 @@
         let mut texts = texts.into_iter();
         let welcome: serde_json::Value = serde_json::from_str(&texts.next().unwrap()).unwrap();
         for text in texts {
-            self.wires.say(line, &text);
+            self.wires.send_to_line(line, &text);
         }
         welcome
     }
 
-    fn opened(&mut self) -> (LineNo, String) {
+    fn opened(&mut self) -> (LineId, String) {
         let line = self.line();
         let welcome = self.hello(line, json!({ "client": "test", "resumable": true }));
         (line, welcome["result"]["session"].as_str().unwrap().to_string())
     }
 
-    fn cut(&mut self, line: LineNo) {
+    fn cut(&mut self, line: LineId) {
         self.exchange.line_closed(self.now, &mut self.wires, line);
         self.far();
     }
@@ -278,25 +279,25 @@
     texts: Vec<String>,
 }
 
-impl Port for Ear<'_> {
-    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
-        self.wires.send(to, octets);
+impl Transport for Ear<'_> {
+    fn send_to_link(&mut self, to: ExchangeNumber, octets: &[u8]) {
+        self.wires.send_to_link(to, octets);
     }
     fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
-    fn say(&mut self, _: LineNo, text: &str) {
+    fn send_to_line(&mut self, _: LineId, text: &str) {
         self.texts.push(text.to_string());
     }
-    fn close_line(&mut self, line: LineNo, why: &str) {
+    fn close_line(&mut self, line: LineId, why: &str) {
         self.wires.close_line(line, why);
     }
-    fn has_room(&self, _: LineNo) -> bool {
+    fn has_room(&self, _: LineId) -> bool {
         true
     }
-    fn reply(&mut self, _: &str) {}
-    fn note(&mut self, line: &str) {
-        self.wires.note(line);
+    fn send_to_directory(&mut self, _: &str) {}
+    fn log_info(&mut self, line: &str) {
+        self.wires.log_info(line);
     }
 }
 
@@ -316,7 +317,7 @@
     let calls: Vec<_> = calls.iter().map(|call| (&call["call"], &call["state"])).collect();
     assert_eq!(calls, [(&json!(1), &json!("stands")), (&json!(2), &json!("stands"))]);
     assert_eq!(welcome["result"]["owed"], json!(2));
-    assert_eq!(room.answers(after), [(1, Final::Stands), (2, Final::Stands)]);
+    assert_eq!(room.answers(after), [(1, FinalAnswer::Stands), (2, FinalAnswer::Stands)]);
     assert_eq!((room.answers(after), room.figures()), (vec![], (0, 0)));
     // The calls are the new line's: it ends them.
     room.ask(after, Request::Hangup(Hangup { call: 1 }));
@@ -329,13 +330,13 @@
     room.cut(after);
     room.offer(third, 3, 0);
     room.stands();
-    assert_eq!((room.answers(after), room.answers(third)), (vec![], vec![(3, Final::Stands)]));
+    assert_eq!((room.answers(after), room.answers(third)), (vec![], vec![(3, FinalAnswer::Stands)]));
     assert_eq!(room.hello(third, json!({ "client": "test", "resume": key }))["error"]["code"], -32602);
 }
 
 #[test]
 fn a_session_that_nobody_takes_up_has_its_calls_hung_up_when_its_time_is_over() {
-    let mut room = Room::new(LimitsPlan { resume_ms: 2000, ..LimitsPlan::default() });
+    let mut room = Room::new(LimitsConfig { resume_ms: 2000, ..LimitsConfig::default() });
     let (line, key) = room.opened();
     room.offer(line, 1, 0);
     room.stands();
@@ -368,14 +369,14 @@
     room.stands();
     assert_eq!(
         (room.answers(other), room.answers(after)),
-        (vec![(1, Final::Stands)], vec![(2, Final::Stands)])
+        (vec![(1, FinalAnswer::Stands)], vec![(2, FinalAnswer::Stands)])
     );
     assert_eq!(room.figures(), (0, 0));
 }
 
 #[test]
 fn a_cut_session_with_more_to_hear_than_is_kept_is_over_and_its_client_is_told_so() {
-    let mut room = Room::new(LimitsPlan { resume_texts: 3, ..LimitsPlan::default() });
+    let mut room = Room::new(LimitsConfig { resume_texts: 3, ..LimitsConfig::default() });
     let (line, key) = room.opened();
     (1..=5).for_each(|call| room.offer(line, call, 0));
     room.cut(line);
@@ -402,9 +403,9 @@
         room.ask(line, Request::Get(mintstall_callapi::Get { call }));
         room.wires.said.remove(&line).unwrap_or_default().pop().unwrap()
     };
-    let state = |heard: Heard| match heard {
-        Heard::Result { result, .. } => result["state"].as_str().unwrap().to_string(),
-        Heard::Fault { code, .. } => code.to_string(),
+    let state = |heard: ServerMessage| match heard {
+        ServerMessage::Result { result, .. } => result["state"].as_str().unwrap().to_string(),
+        ServerMessage::Fault { code, .. } => code.to_string(),
         other => panic!("{other:?}"),
     };
     (1..=2).for_each(|call| room.offer(line, call, 0));
@@ -416,10 +417,10 @@
         room.ask(line, Request::Cancel(mintstall_callapi::Cancel { call }));
         room.wires.said.remove(&line).unwrap_or_default()
     };
-    assert!(matches!(cancel(&mut room, 1)[..], [Heard::Fault { code: -32006, .. }]));
+    assert!(matches!(cancel(&mut room, 1)[..], [ServerMessage::Fault { code: -32006, .. }]));
     let said = cancel(&mut room, 2);
     assert!(
-        matches!(&said[..], [Heard::Answered(a), Heard::Result { .. }] if a.answer == Final::Fails),
+        matches!(&said[..], [ServerMessage::Answered(a), ServerMessage::Result { .. }] if a.answer == FinalAnswer::Fails),
         "{said:?}"
     );
     assert_eq!((state(get(&mut room, 2)), state(get(&mut room, 9))), ("over".into(), "-32001".into()));
@@ -427,14 +428,14 @@
 
 #[test]
 fn requests_that_come_too_fast_are_told_when_to_come_back() {
-    let limits = LimitsPlan { requests_per_s: 10.0, requests_at_once: 2.0, ..LimitsPlan::default() };
+    let limits = LimitsConfig { requests_per_s: 10.0, requests_at_once: 2.0, ..LimitsConfig::default() };
     let mut room = Room::new(limits);
     let line = room.line();
     let get = Request::Get(mintstall_callapi::Get { call: 1 });
     (0..3).for_each(|_| room.ask(line, get.clone()));
     let said = room.wires.said.remove(&line).unwrap();
     let codes = said.iter().map(|heard| match heard {
-        Heard::Fault { code, come_back_ms, .. } => (*code, come_back_ms.is_some()),
+        ServerMessage::Fault { code, come_back_ms, .. } => (*code, come_back_ms.is_some()),
         other => panic!("{other:?}"),
     });
     assert_eq!(codes.collect::<Vec<_>>(), [(-32001, false), (-32001, false), (-32005, true)]);
@@ -442,17 +443,17 @@
 
 #[test]
 fn a_trace_is_had_by_whoever_may_watch() {
-    let mut room = Room::new(LimitsPlan::default());
+    let mut room = Room::new(LimitsConfig::default());
     let line = room.line();
     room.offer(line, 1, 0);
     room.stands();
     let said = room.wires.said.remove(&line).unwrap();
-    let [Heard::Answered(answered)] = said[..] else { panic!("{said:?}") };
+    let [ServerMessage::Answered(answered)] = said[..] else { panic!("{said:?}") };
     let get = |exchange_call| Request::TraceGet(mintstall_callapi::TraceGet { exchange_call, origin: None });
     room.ask(line, get(answered.exchange_call));
     room.ask(line, get(77));
     let said = room.wires.said.remove(&line).unwrap();
-    let [Heard::Result { result, .. }, Heard::Fault { code: -32001, .. }] = &said[..] else {
+    let [ServerMessage::Result { result, .. }, ServerMessage::Fault { code: -32001, .. }] = &said[..] else {
         panic!("{said:?}")
     };
     let steps = result["traces"][0]["steps"].as_array().unwrap();
@@ -462,19 +463,19 @@
 
 #[test]
 fn an_offer_that_comes_twice_is_told_the_first_answer_and_costs_no_second_call() {
-    let mut room = Room::new(LimitsPlan::default());
+    let mut room = Room::new(LimitsConfig::default());
     let (before, key) = room.opened();
     room.offer(before, 1, 0);
     room.stands();
-    assert_eq!(room.answers(before), [(1, Final::Stands)]);
+    assert_eq!(room.answers(before), [(1, FinalAnswer::Stands)]);
     room.offer(before, 1, 0);
-    assert_eq!((room.answers(before), room.far.set_ups.len()), (vec![(1, Final::Stands)], 0));
+    assert_eq!((room.answers(before), room.far.set_ups.len()), (vec![(1, FinalAnswer::Stands)], 0));
     // On the connection after a cut too: it is the same session.
     room.cut(before);
     let after = room.line();
     room.hello(after, json!({ "client": "test", "resume": key }));
     room.offer(after, 1, 0);
-    assert_eq!((room.answers(after), room.far.set_ups.len()), (vec![(1, Final::Stands)], 0));
+    assert_eq!((room.answers(after), room.far.set_ups.len()), (vec![(1, FinalAnswer::Stands)], 0));
     assert_eq!(room.exchange.status()["counts"]["offered"], json!(1));
     room.ask(after, Request::Hangup(Hangup { call: 1 }));
     room.pass(Duration::from_secs(31));
@@ -484,7 +485,7 @@
 
 #[test]
 fn a_watcher_is_told_what_happens_to_calls_from_its_cursor_on() {
-    let mut room = Room::new(LimitsPlan::default());
+    let mut room = Room::new(LimitsConfig::default());
     let (caller, watcher) = (room.line(), room.line());
     let subscribe = |cursor: Option<u64>| Request::Subscribe(mintstall_callapi::Subscribe { cursor });
     for call in 1..=3 {
@@ -498,7 +499,10 @@
     room.stands();
     assert_eq!(room.wires.said.remove(&watcher).unwrap_or_default().len(), 1);
     room.ask(watcher, subscribe(Some(99)));
-    assert!(matches!(room.wires.said.remove(&watcher).unwrap()[..], [Heard::Fault { code: -32602, .. }]));
+    assert!(matches!(
+        room.wires.said.remove(&watcher).unwrap()[..],
+        [ServerMessage::Fault { code: -32602, .. }]
+    ));
 }
 
 #[test]
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -9,45 +9,45 @@
 use std::time::Duration;
 
 use mintstall::interface::ExchangeNumber;
-use mintstall_callapi::{Final, Offer};
-use mintstall_client::{Event, Plan, Session};
-use mintstall_daemon::config::LimitsPlan;
-use mintstall_daemon::exchange::{Exchange, LONGEST_TEXT, LineNo, Port};
+use mintstall_callapi::{FinalAnswer, Offer};
+use mintstall_client::{Event, Session, SessionConfig};
+use mintstall_daemon::config::LimitsConfig;
+use mintstall_daemon::exchange::{Exchange, LineId, MAX_MESSAGE_OCTETS, Transport};
 use mintstall_isup::{Body, CauseIndicators, Location, Q850, Rel};
-use mintstall_websocket::{Door, End, Event as Heard, Knock};
+use mintstall_websocket::{ServerHandshake, ServerHandshakeState, WebSocketConnection, WebSocketEvent};
 
 use common::{FAR, Far};
 
 #[derive(Default)]
 struct Wires {
     sent: Vec<Vec<u8>>,
-    said: Vec<(LineNo, String)>,
-    closed: Vec<LineNo>,
+    said: Vec<(LineId, String)>,
+    closed: Vec<LineId>,
 }
 
-impl Port for Wires {
-    fn send(&mut self, _: ExchangeNumber, octets: &[u8]) {
+impl Transport for Wires {
+    fn send_to_link(&mut self, _: ExchangeNumber, octets: &[u8]) {
         self.sent.push(octets.to_vec());
     }
     fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
-    fn say(&mut self, line: LineNo, text: &str) {
+    fn send_to_line(&mut self, line: LineId, text: &str) {
         self.said.push((line, text.to_string()));
     }
-    fn close_line(&mut self, line: LineNo, _: &str) {
+    fn close_line(&mut self, line: LineId, _: &str) {
         self.closed.push(line);
     }
-    fn has_room(&self, _: LineNo) -> bool {
+    fn has_room(&self, _: LineId) -> bool {
         true
     }
-    fn reply(&mut self, _: &str) {}
-    fn note(&mut self, _: &str) {}
+    fn send_to_directory(&mut self, _: &str) {}
+    fn log_info(&mut self, _: &str) {}
 }
 
 enum Server {
-    Door(Door),
-    Open(LineNo, Box<End>),
+    Door(ServerHandshake),
+    Open(LineId, Box<WebSocketConnection>),
 }
 
 /// A connection, with what is on its way.
@@ -82,11 +82,12 @@
 
 impl Net {
     fn new() -> Self {
-        let limits = LimitsPlan { unanswered: 3, resume_ms: 2000, resume_texts: 4, ..LimitsPlan::default() };
+        let limits =
+            LimitsConfig { unanswered: 3, resume_ms: 2000, resume_texts: 4, ..LimitsConfig::default() };
         let config = common::config(limits);
         let now = Duration::from_secs(3600);
         let client = |seed| Client {
-            session: Session::new(now, Plan::named("fuzz"), seed),
+            session: Session::new(now, SessionConfig::named("fuzz"), seed),
             wires: Vec::new(),
             last_call: 0,
             outcomes: BTreeMap::new(),
@@ -118,7 +119,7 @@
             if let Some(wire) = self.wire_of(line)
                 && let Server::Open(_, end) = &mut wire.server
             {
-                end.say(&text);
+                end.send_text(&text);
                 wire.to_client.push_back(std::mem::take(end.out()));
             }
         }
@@ -129,7 +130,7 @@
         }
     }
 
-    fn wire_of(&mut self, line: LineNo) -> Option<&mut Wire> {
+    fn wire_of(&mut self, line: LineId) -> Option<&mut Wire> {
         let of = |wire: &&mut Wire| matches!(wire.server, Server::Open(at, _) if at == line);
         self.clients.iter_mut().flat_map(|client| &mut client.wires).find(of)
     }
@@ -138,11 +139,11 @@
     fn look_after(&mut self, at: usize) {
         let now = self.now;
         let client = &mut self.clients[at];
-        client.session.ring(now);
+        client.session.on_timer(now);
         if client.session.wants_dial(now) {
             client.session.dialled(now, "127.0.0.1:9".parse().unwrap());
             client.wires.push(Wire {
-                server: Server::Door(Door::default()),
+                server: Server::Door(ServerHandshake::default()),
                 to_server: VecDeque::new(),
                 to_client: VecDeque::new(),
                 cut: false,
@@ -155,7 +156,7 @@
         while let Some(event) = client.session.next_event() {
             let (call, outcome) = match event {
                 Event::Answered(answered) => {
-                    if answered.answer == Final::Stands {
+                    if answered.answer == FinalAnswer::Stands {
                         client.standing.insert(answered.call);
                     }
                     (answered.call, "answered")
@@ -179,21 +180,23 @@
         let Some(octets) = wire.to_server.pop_front() else { return false };
         let mut texts = Vec::new();
         let mut hear = |event| match event {
-            Heard::Text(text) => texts.push(text),
-            Heard::Alive => {}
+            WebSocketEvent::Text(text) => texts.push(text),
+            WebSocketEvent::PingOrPong => {}
         };
         let line = match &mut wire.server {
             Server::Door(door) => {
-                let Knock::Wants(wish) = door.push(&octets, &BTreeSet::new()) else { panic!("not let in") };
-                let mut end = Box::new(wish.let_in(LONGEST_TEXT));
-                end.octets(&[], &mut hear);
+                let ServerHandshakeState::Valid(wish) = door.push(&octets, &BTreeSet::new()) else {
+                    panic!("not let in")
+                };
+                let mut end = Box::new(wish.accept(MAX_MESSAGE_OCTETS));
+                end.on_octets(&[], &mut hear);
                 let line = self.exchange.line_open(now).unwrap();
                 wire.to_client.push_back(std::mem::take(end.out()));
                 wire.server = Server::Open(line, end);
                 line
             }
             Server::Open(line, end) => {
-                end.octets(&octets, &mut hear);
+                end.on_octets(&octets, &mut hear);
                 *line
             }
         };
@@ -276,11 +279,11 @@
     fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
-            let sessions = self.clients.iter().filter_map(|client| client.session.next_alarm());
-            let alarm = sessions.chain(self.exchange.next_alarm()).min().filter(|at| *at <= end);
+            let sessions = self.clients.iter().filter_map(|client| client.session.next_timer());
+            let alarm = sessions.chain(self.exchange.next_timer()).min().filter(|at| *at <= end);
             let Some(at) = alarm else { break };
             self.now = self.now.max(at);
-            self.exchange.ring(self.now, &mut self.wires);
+            self.exchange.on_timer(self.now, &mut self.wires);
             self.carry();
             (0..CLIENTS).for_each(|at| self.look_after(at));
         }
--- a/crates/lab/benches/ordinary_call.rs
+++ b/crates/lab/benches/ordinary_call.rs
@@ -8,11 +8,13 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use mintstall_callapi::{Asked, Hangup, Heard, LineCutter, Offer, Request};
-use mintstall_daemon::config::{CallType, Calls, Config, LimitsPlan, Link, Signalling, Subscribers};
-use mintstall_daemon::{Exchange, Shell, exchange::LineNo, exchange::Port};
+use mintstall_callapi::{Hangup, LineDecoder, Offer, Request, RequestMessage, ServerMessage};
+use mintstall_daemon::config::{
+    CallApiConfig, CallType, Config, LimitsConfig, Link, Signalling, Subscribers,
+};
+use mintstall_daemon::{Exchange, Server, exchange::LineId, exchange::Transport};
 use mintstall_isup::{Body, Deframer, Frame, Message, ProtocolData, RangeStatus};
-use mintstall_websocket::{Dialled, End, Event, Progress};
+use mintstall_websocket::{ClientHandshake, ClientHandshakeState, WebSocketConnection, WebSocketEvent};
 use mio::net::TcpStream as MioStream;
 use mio::{Events, Interest, Poll, Token};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
@@ -35,14 +37,17 @@
             links: vec![Link { to: 2, circuits: 310, connect: Some(far) }],
         },
         // One line offers all: what it may is not what is measured.
-        limits: LimitsPlan {
+        limits: LimitsConfig {
             offers_per_s: 1e9,
             offers_at_once: 1e9,
             requests_per_s: 1e9,
             requests_at_once: 1e9,
-            ..LimitsPlan::default()
+            ..LimitsConfig::default()
+        },
+        calls: CallApiConfig {
+            listen: Some(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
+            ..CallApiConfig::default()
         },
-        calls: Calls { listen: Some(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))), ..Calls::default() },
         subscribers: Subscribers { listen: Some(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))) },
         call_types: vec![CallType {
             name: "call".into(),
@@ -112,17 +117,17 @@
         cut: false,
         redial: false,
     };
-    Asked { id: Some(call.into()), request: Request::Offer(offer) }.text()
+    RequestMessage { id: Some(call.into()), request: Request::Offer(offer) }.text()
 }
 
 fn hang_up(call: u64) -> String {
-    Asked { id: Some(call.into()), request: Request::Hangup(Hangup { call }) }.text()
+    RequestMessage { id: Some(call.into()), request: Request::Hangup(Hangup { call }) }.text()
 }
 
 /// How the subscriber's texts are carried.
 enum Carried {
-    Lines(LineCutter),
-    WebSocket(Box<End>),
+    Lines(LineDecoder),
+    WebSocket(Box<WebSocketConnection>),
 }
 
 impl Carried {
@@ -133,14 +138,14 @@
                 out.push(b'\n');
             }
             Self::WebSocket(end) => {
-                end.say(text);
+                end.send_text(text);
                 out.append(end.out());
             }
         }
     }
 
-    fn hear(&mut self, octets: &[u8]) -> Vec<Heard> {
-        let read = |text: &[u8]| Heard::read(text).expect("a text");
+    fn hear(&mut self, octets: &[u8]) -> Vec<ServerMessage> {
+        let read = |text: &[u8]| ServerMessage::read(text).expect("a text");
         let mut heard = Vec::new();
         match self {
             Self::Lines(lines) => {
@@ -149,9 +154,9 @@
                     heard.push(read(text));
                 }
             }
-            Self::WebSocket(end) => end.octets(octets, &mut |event| match event {
-                Event::Text(text) => heard.push(read(text.as_bytes())),
-                Event::Alive => {}
+            Self::WebSocket(end) => end.on_octets(octets, &mut |event| match event {
+                WebSocketEvent::Text(text) => heard.push(read(text.as_bytes())),
+                WebSocketEvent::PingOrPong => {}
             }),
         }
         heard
@@ -192,8 +197,8 @@
             octets[1] += count as u64;
             for heard in carried.hear(&buffer[..count]) {
                 match heard {
-                    Heard::Answered(answered) => carried.say(&hang_up(answered.call), &mut to_line),
-                    Heard::Result { .. } => {
+                    ServerMessage::Answered(answered) => carried.say(&hang_up(answered.call), &mut to_line),
+                    ServerMessage::Result { .. } => {
                         done += 1;
                         if offered < CALLS {
                             carried.say(&offer(first + offered), &mut to_line);
@@ -327,9 +332,9 @@
     let config = config(listener.local_addr().expect("address"));
     let (tell, told) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let shell = Shell::open(&config).expect("a controller");
-        tell.send(shell.addresses()).expect("tell");
-        shell.run()
+        let server = Server::open(&config).expect("a controller");
+        tell.send(server.addresses()).expect("tell");
+        server.run()
     });
     let addresses = told.recv().expect("told");
     let mut far = mio(listener.accept().expect("accept").0);
@@ -339,7 +344,7 @@
 
     let lines = addresses.subscribers.expect("a line's address");
     let line = mio(TcpStream::connect(lines).expect("connect"));
-    measure("lines", Carried::Lines(LineCutter::new(1 << 16)), line, &mut far, &mut poll, 1);
+    measure("lines", Carried::Lines(LineDecoder::new(1 << 16)), line, &mut far, &mut poll, 1);
     let (stream, end) = web_socket(addresses.calls.expect("the address for calls"));
     measure("WebSocket", Carried::WebSocket(end), stream, &mut far, &mut poll, 100);
     let (allocations, bytes) = allocated();
@@ -348,17 +353,17 @@
     );
 }
 
-fn web_socket(to: SocketAddr) -> (MioStream, Box<End>) {
+fn web_socket(to: SocketAddr) -> (MioStream, Box<WebSocketConnection>) {
     let mut stream = TcpStream::connect(to).expect("connect");
-    let (mut dialled, request) = Dialled::new(to, 1 << 16).expect("a request");
+    let (mut dialled, request) = ClientHandshake::new(to, 1 << 16).expect("a request");
     stream.write_all(&request).expect("write");
     let mut buffer = [0; 4096];
     loop {
         let count = stream.read(&mut buffer).expect("read");
         match dialled.push(&buffer[..count]) {
-            Progress::Open(end) => return (mio(stream), end),
-            Progress::More => {}
-            Progress::Turned(why) => panic!("{why}"),
+            ClientHandshakeState::Open(end) => return (mio(stream), end),
+            ClientHandshakeState::Incomplete => {}
+            ClientHandshakeState::Rejected(why) => panic!("{why}"),
         }
     }
 }
@@ -430,24 +435,24 @@
         out: Vec<u8>,
         answers: usize,
     }
-    impl Port for Far {
-        fn send(&mut self, _: mintstall::interface::ExchangeNumber, octets: &[u8]) {
+    impl Transport for Far {
+        fn send_to_link(&mut self, _: mintstall::interface::ExchangeNumber, octets: &[u8]) {
             far_says(octets, &mut self.out);
         }
         fn close_link(&mut self, _: mintstall::interface::ExchangeNumber, why: &str) {
             panic!("{why}");
         }
-        fn say(&mut self, _: LineNo, _: &str) {
+        fn send_to_line(&mut self, _: LineId, _: &str) {
             self.answers += 1;
         }
-        fn close_line(&mut self, _: LineNo, why: &str) {
+        fn close_line(&mut self, _: LineId, why: &str) {
             panic!("{why}");
         }
-        fn has_room(&self, _: LineNo) -> bool {
+        fn has_room(&self, _: LineId) -> bool {
             true
         }
-        fn reply(&mut self, _: &str) {}
-        fn note(&mut self, _: &str) {}
+        fn send_to_directory(&mut self, _: &str) {}
+        fn log_info(&mut self, _: &str) {}
     }
     let mut now = Duration::from_secs(3600);
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
@@ -468,7 +473,7 @@
     exchange.link_up(now, &mut far, far_no);
     let mut turn = |exchange: &mut Exchange, far: &mut Far, text: &str| {
         now += Duration::from_millis(1);
-        exchange.line_octets(now, far, LineNo(1), text.as_bytes());
+        exchange.line_octets(now, far, LineId(1), text.as_bytes());
         while !far.out.is_empty() {
             let octets = std::mem::take(&mut far.out);
             exchange.link_octets(now, far, far_no, &octets);
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mintstall_callapi::{Answered, How, Offer};
-use mintstall_client::{ComeBackPlan, Event, Plan, Session};
+use mintstall_callapi::{EndReason, Offer, OfferResult};
+use mintstall_client::{Event, ReconnectPolicy, Session, SessionConfig};
 use mintstall_emulator::{ClientPlan, Observer, Simulation};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -59,8 +59,8 @@
     fn begin(&mut self, now: Duration, no: ClientId) {
         self.seed = self.seed.wrapping_add(1);
         // Cuts are the script's and say nothing of the controller: what is judged is not how long a client stays away.
-        let come_back = ComeBackPlan { steady: Duration::from_millis(200), ..ComeBackPlan::default() };
-        let plan = Plan { come_back, ..Plan::named(format!("day {}.{}", no.0, no.1)) };
+        let reconnect = ReconnectPolicy { steady: Duration::from_millis(200), ..ReconnectPolicy::default() };
+        let plan = SessionConfig { reconnect, ..SessionConfig::named(format!("day {}.{}", no.0, no.1)) };
         self.sessions.insert(no, Session::new(now, plan, self.seed));
     }
 
@@ -144,18 +144,18 @@
         let office = no.0;
         while let Some(event) = self.sessions.get_mut(&no).and_then(Session::next_event) {
             match event {
-                Event::Answered(Answered { call, exchange_call, answer }) => {
+                Event::Answered(OfferResult { call, exchange_call, answer }) => {
                     simulation.answered(now, office, call, exchange_call, answer, observer);
                 }
                 Event::Ended { call, how } => {
-                    simulation.call_ended(now, office, call, how.unwrap_or(How::Cut), observer)
+                    simulation.call_ended(now, office, call, how.unwrap_or(EndReason::Cut), observer)
                 }
-                Event::Up { taken_up, .. } => self.tally.taken_up += u64::from(taken_up),
+                Event::Connected { resumed, .. } => self.tally.taken_up += u64::from(resumed),
                 // The auditor misses their answers, and says so.
                 Event::Lost { call } => info!(office, call, "lost"),
                 Event::Fault { call, code, why } => info!(office, call, code, "{why}"),
                 Event::Denied { why } => info!(office, "denied: {why}"),
-                Event::Down { .. } | Event::News(_) | Event::Missed(_) | Event::Reply { .. } => {}
+                Event::Disconnected { .. } | Event::News(_) | Event::Missed(_) | Event::Reply { .. } => {}
             }
         }
     }
--- a/crates/lab/src/controller_config.rs
+++ b/crates/lab/src/controller_config.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use mintstall_daemon::config::{
-    Admin, CallType, Calls, Config, Customer, Directory, LimitsPlan, Link, Number, Rules, Signalling,
-    Subscribers, TimersMs,
+    Admin, CallApiConfig, CallType, Config, Customer, Directory, LimitsConfig, Link, Number, Rules,
+    Signalling, Subscribers, TimersMs,
 };
 use mintstall_emulator::{Day, Fault, Simulation};
 
@@ -49,7 +49,7 @@
         exchange: office,
         signalling: Signalling { listen: None, links: links.collect() },
         subscribers: Subscribers { listen: endpoints.subscribers },
-        calls: Calls { listen: endpoints.calls, ..Calls::default() },
+        calls: CallApiConfig { listen: endpoints.calls, ..CallApiConfig::default() },
         directory: endpoints
             .directory
             .map(|connect| Directory { connect, keep: endpoints.membership_file.clone() }),
@@ -62,7 +62,7 @@
             .map(|of| Customer { name: of.name.clone(), share: of.share })
             .collect(),
         // Clients that are gone for good must not hold circuits for half of a day that lasts a minute.
-        limits: LimitsPlan { resume_ms: 3000, ..LimitsPlan::default() },
+        limits: LimitsConfig { resume_ms: 3000, ..LimitsConfig::default() },
         tokens: None,
         rules: Rules {
             seizures: day.seizures,
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use mintstall_callapi::{Answered, Final, Offer};
-use mintstall_client::{Event, Plan, Session};
-use mintstall_daemon::wires::Outbox;
+use mintstall_callapi::{FinalAnswer, Offer, OfferResult};
+use mintstall_client::{Event, Session, SessionConfig};
+use mintstall_daemon::output_buffer::OutputBuffer;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
 use rand::{Rng, SeedableRng};
@@ -241,7 +241,7 @@
     stream: TcpStream,
     member: usize,
     connected: bool,
-    out: Outbox,
+    out: OutputBuffer,
     waits_to_write: bool,
 }
 
@@ -279,7 +279,8 @@
 
 /// The session of the client at this place, which dials then.
 fn session(plan: &LoadPlan, group: &Group, dial_at: Duration, at: usize) -> Session {
-    let named = Plan { token: group.token.clone(), ..Plan::named(format!("load {}", group.name)) };
+    let named =
+        SessionConfig { token: group.token.clone(), ..SessionConfig::named(format!("load {}", group.name)) };
     Session::new(dial_at, named, plan.seed.wrapping_add(at as u64))
 }
 
@@ -478,7 +479,7 @@
         {
             self.alarms.remove(&(when, at));
             self.members[at].alarm = None;
-            self.members[at].session.ring(now);
+            self.members[at].session.on_timer(now);
             self.touched(at);
         }
         Ok(())
@@ -584,7 +585,7 @@
         }
         self.write(at);
         let member = &mut self.members[at];
-        let alarm = member.session.next_alarm().filter(|_| !member.gone);
+        let alarm = member.session.next_timer().filter(|_| !member.gone);
         if alarm != member.alarm {
             member.alarm.iter().for_each(|before| _ = self.alarms.remove(&(*before, at)));
             alarm.iter().for_each(|alarm| _ = self.alarms.insert((*alarm, at)));
@@ -596,22 +597,22 @@
         let now = self.now();
         let member = &mut self.members[at];
         match event {
-            Event::Up { taken_up, .. } => {
+            Event::Connected { resumed, .. } => {
                 if member.opened {
-                    self.report.taken_up += u64::from(taken_up);
-                    self.report.begun_anew += u64::from(!taken_up);
+                    self.report.taken_up += u64::from(resumed);
+                    self.report.begun_anew += u64::from(!resumed);
                 } else {
                     member.opened = true;
                     note(&mut self.opens, now.saturating_sub(self.dialled_at[at]));
                 }
             }
-            Event::Down { .. } => {
+            Event::Disconnected { .. } => {
                 self.report.downs += 1;
                 if let Some(token) = member.token.take() {
                     self.connections.remove(&token);
                 }
             }
-            Event::Answered(Answered { call, answer, .. }) => {
+            Event::Answered(OfferResult { call, answer, .. }) => {
                 let stage = member.waits.remove(&call);
                 let Some((when, tally)) = stage else {
                     if let Some(tally) = self.tallies.last_mut() {
@@ -622,7 +623,7 @@
                 let took = now.saturating_sub(when);
                 let Tally { part, stood, refused } = &mut self.tallies[tally];
                 match answer {
-                    Final::Stands => {
+                    FinalAnswer::Stands => {
                         note(stood, took);
                         match took <= Duration::from_millis(self.plan.target_ms) {
                             true => part.in_time += 1,
@@ -631,11 +632,11 @@
                         let hold = now + Duration::from_millis(self.plan.hold_ms);
                         self.at(hold, Due::HangUp(at, call));
                     }
-                    Final::Refused { .. } => {
+                    FinalAnswer::Refused { .. } => {
                         part.refused += 1;
                         note(refused, took);
                     }
-                    Final::Fails => part.failed += 1,
+                    FinalAnswer::Fails => part.failed += 1,
                 }
             }
             Event::Lost { call } => {
@@ -667,7 +668,7 @@
                     stream,
                     member: at,
                     connected: false,
-                    out: Outbox::default(),
+                    out: OutputBuffer::default(),
                     waits_to_write: true,
                 };
                 self.connections.insert(token, connection);
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -10,9 +10,9 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-use mintstall_callapi::{Asked, Hangup, Heard, LineCutter, Request};
+use mintstall_callapi::{Hangup, LineDecoder, Request, RequestMessage, ServerMessage};
 use mintstall_callcontrol::Counters;
-use mintstall_daemon::wires::Outbox;
+use mintstall_daemon::output_buffer::OutputBuffer;
 use mintstall_emulator::{Action, Day, LinkMode, Observer, Score, Simulation};
 use mintstall_membership::{ControllerNotification, DirectoryNotification, ProcessorStatus};
 use mio::net::{TcpListener, TcpStream};
@@ -80,8 +80,8 @@
 struct Connection {
     stream: TcpStream,
     purpose: Purpose,
-    cutter: LineCutter,
-    out: Outbox,
+    cutter: LineDecoder,
+    out: OutputBuffer,
     /// A client's that has not been told that it is there.
     dialling: bool,
 }
@@ -324,9 +324,9 @@
         self.next += 1;
         let token = Token(self.next);
         self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        let cutter = LineCutter::new(1 << 16);
+        let cutter = LineDecoder::new(1 << 16);
         let dialling = matches!(purpose, Purpose::Client(_));
-        let connection = Connection { stream, purpose, cutter, out: Outbox::default(), dialling };
+        let connection = Connection { stream, purpose, cutter, out: OutputBuffer::default(), dialling };
         self.connections.insert(token, connection);
         if let Some(before) = self.by_purpose.insert(purpose, token) {
             self.connections.remove(&before);
@@ -370,8 +370,8 @@
         }
         for no in self.clients.numbers() {
             let Some(session) = self.clients.session(no) else { continue };
-            if session.next_alarm().is_some_and(|at| at <= now) {
-                session.ring(now);
+            if session.next_timer().is_some_and(|at| at <= now) {
+                session.on_timer(now);
             }
             if session.wants_dial(now) {
                 let calls = self.processes.get(&no.0).and_then(|process| process.ready.as_ref()?.calls);
@@ -510,8 +510,8 @@
         let mut actions = Vec::new();
         for text in texts {
             match purpose {
-                Purpose::Line(office) => match Heard::read(&text) {
-                    Ok(Heard::Answered(a)) => {
+                Purpose::Line(office) => match ServerMessage::read(&text) {
+                    Ok(ServerMessage::Answered(a)) => {
                         self.simulation.answered(
                             now,
                             office,
@@ -521,11 +521,16 @@
                             self.observer,
                         );
                     }
-                    Ok(Heard::Ended(note)) => {
+                    Ok(ServerMessage::Ended(note)) => {
                         self.simulation.call_ended(now, office, note.call, note.how, self.observer)
                     }
-                    Ok(Heard::Result { .. } | Heard::News(_) | Heard::Missed(_) | Heard::Other(_)) => {}
-                    Ok(Heard::Fault { code, message, .. }) => info!(office, code, "{message}"),
+                    Ok(
+                        ServerMessage::Result { .. }
+                        | ServerMessage::News(_)
+                        | ServerMessage::Missed(_)
+                        | ServerMessage::Other(_),
+                    ) => {}
+                    Ok(ServerMessage::Fault { code, message, .. }) => info!(office, code, "{message}"),
                     Err(error) => warn!(office, "a line makes no sense: {error}"),
                 },
                 Purpose::Directory(office) => {
@@ -614,11 +619,13 @@
                     self.client_turn(self.clients.client_for(office, call));
                 }
                 Action::Offer { office, offer } => {
-                    let asked = Asked { id: Some(json!(offer.call)), request: Request::Offer(offer) };
+                    let asked =
+                        RequestMessage { id: Some(json!(offer.call)), request: Request::Offer(offer) };
                     self.push(Purpose::Line(office), &[asked.text().as_bytes(), b"\n"]);
                 }
                 Action::HangUp { office, call } => {
-                    let asked = Asked { id: Some(json!(call)), request: Request::Hangup(Hangup { call }) };
+                    let asked =
+                        RequestMessage { id: Some(json!(call)), request: Request::Hangup(Hangup { call }) };
                     self.push(Purpose::Line(office), &[asked.text().as_bytes(), b"\n"]);
                 }
                 Action::Membership { office, news } => {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -2,6 +2,7 @@
 
 use std::fmt::Write;
 
+use mintstall_callcontrol::Counters;
 use mintstall_emulator::{Day, Score};
 use serde::Serialize;
 
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use mintstall::interface::{CallId, ExchangeNumber};
-use mintstall_callapi::Final;
+use mintstall_callapi::FinalAnswer;
 use mintstall_callcontrol::{Answer, CallControl, CallControlActions, CallEnd};
 use mintstall_daemon::exchange::{final_answer, how_ended, order, processor_report};
-use mintstall_daemon::roster_lines;
+use mintstall_daemon::exchange_entries;
 use mintstall_emulator::{Action, Day, LinkMode, Observer, Score, Simulation};
 use mintstall_membership::{Membership, MembershipChange, MembershipLimits};
 
@@ -56,7 +56,7 @@
     fn ended(&mut self, call: CallId, end: CallEnd) {
         self.did.push(Did::Ended(call, end));
     }
-    fn note(&mut self, line: &str) {
+    fn log_info(&mut self, line: &str) {
         self.notes += 1;
         tracing::trace!(target: "mintstall::mode", "{line}");
     }
@@ -262,10 +262,10 @@
                     let (_, told) = seat.roster.apply(now, &news);
                     match &told {
                         Some(MembershipChange::Full(held)) => {
-                            seat.office.roster(now, plant, &roster_lines(held))
+                            seat.office.roster(now, plant, &exchange_entries(held))
                         }
                         Some(MembershipChange::Delta(held)) => {
-                            seat.office.roster_changes(now, plant, &roster_lines(held))
+                            seat.office.roster_changes(now, plant, &exchange_entries(held))
                         }
                         None => taken = false,
                     }
@@ -315,7 +315,7 @@
                     let Some(seat) = self.seats[usize::from(no) - 1].as_mut() else { continue };
                     let Some(name) = seat.names.get(&call).copied() else { continue };
                     let answer = final_answer(answer);
-                    if answer != Final::Stands {
+                    if answer != FinalAnswer::Stands {
                         seat.names.remove(&call);
                         seat.calls.remove(&name);
                     }
--- a/crates/lab/tests/model/offices.rs
+++ b/crates/lab/tests/model/offices.rs
@@ -69,7 +69,7 @@
         self.answers.push((call, answer));
     }
     fn ended(&mut self, _: CallId, _: CallEnd) {}
-    fn note(&mut self, _: &str) {}
+    fn log_info(&mut self, _: &str) {}
 }
 
 /// What one end of a circuit carries, as its octets tell.
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use mintstall::interface::*;
-use mintstall_callapi::{Asked, Final, Heard, Offer, Request};
+use mintstall_callapi::{FinalAnswer, Offer, Request, RequestMessage, ServerMessage};
 use mintstall_callcontrol::{Answer, CallControl, CallControlActions, CallEnd};
-use mintstall_client::{Redial, RedialPlan};
+use mintstall_client::{RedialBudget, RedialPolicy};
 use mintstall_daemon::Config;
-use mintstall_daemon::exchange::{Exchange, LineNo, Port};
+use mintstall_daemon::exchange::{Exchange, LineId, Transport};
 use mintstall_isup::{
     Body, CauseIndicators, Cic, Deframer, Frame, Location, Message, ProtocolData, Q850, Rel,
 };
@@ -24,27 +24,27 @@
 struct Wires {
     from: u16,
     sent: VecDeque<(u16, u16, Vec<u8>)>,
-    said: Vec<Heard>,
+    said: Vec<ServerMessage>,
 }
 
-impl Port for Wires {
-    fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
+impl Transport for Wires {
+    fn send_to_link(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push_back((1, to.0, octets.to_vec()));
     }
     fn close_link(&mut self, _: ExchangeNumber, why: &str) {
         panic!("{why}");
     }
-    fn say(&mut self, _: LineNo, text: &str) {
-        self.said.push(Heard::read(text.as_bytes()).unwrap());
+    fn send_to_line(&mut self, _: LineId, text: &str) {
+        self.said.push(ServerMessage::read(text.as_bytes()).unwrap());
     }
-    fn close_line(&mut self, _: LineNo, why: &str) {
+    fn close_line(&mut self, _: LineId, why: &str) {
         panic!("{why}");
     }
-    fn has_room(&self, _: LineNo) -> bool {
+    fn has_room(&self, _: LineId) -> bool {
         true
     }
-    fn reply(&mut self, _: &str) {}
-    fn note(&mut self, _: &str) {}
+    fn send_to_directory(&mut self, _: &str) {}
+    fn log_info(&mut self, _: &str) {}
 }
 
 impl CallControlActions for Wires {
@@ -56,7 +56,7 @@
     }
     fn answer(&mut self, _: CallId, _: Answer) {}
     fn ended(&mut self, _: CallId, _: CallEnd) {}
-    fn note(&mut self, _: &str) {}
+    fn log_info(&mut self, _: &str) {}
 }
 
 /// How the destination treats set-ups.
@@ -73,7 +73,7 @@
     tandems: BTreeMap<u16, CallControl>,
     wires: Wires,
     far: Far,
-    line: LineNo,
+    line: LineId,
     /// Set-ups by the first exchange, and onward ones, by its number of the call.
     set_ups: BTreeMap<u64, (u32, u32)>,
 }
@@ -206,13 +206,13 @@
     fn pass_until(&mut self, end: Duration) {
         loop {
             let tandems = self.tandems.iter().filter_map(|(no, office)| Some((office.next_timer()?, *no)));
-            let next = tandems.chain(self.first.next_alarm().map(|at| (at, 1))).min();
+            let next = tandems.chain(self.first.next_timer().map(|at| (at, 1))).min();
             let Some((at, no)) = next.filter(|(at, _)| *at <= end) else { break };
             self.now = self.now.max(at);
             let now = self.now;
             self.wires.from = no;
             match no {
-                1 => self.first.ring(now, &mut self.wires),
+                1 => self.first.on_timer(now, &mut self.wires),
                 tandem => self.tandems.get_mut(&tandem).unwrap().on_timer(now, &mut self.wires),
             }
             self.carry();
@@ -232,7 +232,7 @@
             cut: false,
             redial,
         };
-        let text = Asked { id: Some(json!(call)), request: Request::Offer(offer) }.text();
+        let text = RequestMessage { id: Some(json!(call)), request: Request::Offer(offer) }.text();
         let now = self.now;
         self.first.line_text(now, &mut self.wires, self.line, text.as_bytes());
         self.carry();
@@ -250,7 +250,7 @@
 fn all_fail(far: Far, direct: u16) -> (u32, u32, u32) {
     const CALLS: u64 = 300;
     let mut net = Net::new(far, direct);
-    let mut redial = Redial::new(RedialPlan::default(), 1);
+    let mut redial = RedialBudget::new(RedialPolicy::default(), 1);
     // By the number of the offer, ten apart; by the exchange's number, which client's call it was.
     let mut wishes: BTreeMap<u64, Wish> = BTreeMap::new();
     let mut of_call: BTreeMap<u64, (u32, u32, u32)> = BTreeMap::new();
@@ -274,16 +274,16 @@
             net.offer(name, left, again);
         }
         for heard in std::mem::take(&mut net.wires.said) {
-            let Heard::Answered(answered) = heard else { panic!("{heard:?}") };
+            let ServerMessage::Answered(answered) = heard else { panic!("{heard:?}") };
             let no = answered.call / 10 * 10;
             let (first, onward) = net.set_ups.remove(&answered.exchange_call).unwrap_or_default();
             let of = of_call.entry(no).or_default();
             (of.1, of.2) = (of.1 + first, of.2 + onward);
             let wish = wishes.get_mut(&no).unwrap();
             let told = match answered.answer {
-                Final::Stands => panic!("all fail"),
-                Final::Refused { come_back_ms } => Some(Duration::from_millis(come_back_ms.into())),
-                Final::Fails => None,
+                FinalAnswer::Stands => panic!("all fail"),
+                FinalAnswer::Refused { come_back_ms } => Some(Duration::from_millis(come_back_ms.into())),
+                FinalAnswer::Fails => None,
             };
             match redial.again(net.now, wish.until, wish.offers, told) {
                 Ok(at) => wish.at = at,
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -120,7 +120,9 @@
     /// Tells the decisions which seizures ended through what was done since.
     fn report_ended_seizures(&mut self, transport: &mut dyn Transport) {
         while let Some(end) = self.state.ends.pop_front() {
-            self.with_controller(transport, |controller, now, context| controller.on_seizure_ended(now, context, &end));
+            self.with_controller(transport, |controller, now, context| {
+                controller.on_seizure_ended(now, context, &end)
+            });
         }
     }
 
@@ -145,8 +147,9 @@
 
     fn falls_due(&mut self, transport: &mut dyn Transport, timer: Timer) {
         match timer {
-            Timer::Alarm(alarm) => self
-                .with_controller(transport, |controller, now, context| controller.on_timer(now, context, alarm)),
+            Timer::Alarm(alarm) => self.with_controller(transport, |controller, now, context| {
+                controller.on_timer(now, context, alarm)
+            }),
             Timer::SeizureTimeout(call, no) => self.state.limit(transport, call, no),
             Timer::GuardTime(call) => self.time_is_up(transport, call, 408),
             Timer::ConnectTimeout(link) => {
--- a/crates/platform/src/core/callers.rs
+++ b/crates/platform/src/core/callers.rs
@@ -99,7 +99,9 @@
     /// Nothing is owed for a call any more.
     pub(super) fn withdraw(&mut self, transport: &mut dyn Transport, id: CallId) {
         self.state.withdraw_call(id);
-        self.with_controller(transport, |controller, now, context| controller.on_caller_gone(now, context, id));
+        self.with_controller(transport, |controller, now, context| {
+            controller.on_caller_gone(now, context, id)
+        });
     }
 
     pub(super) fn message(
@@ -273,7 +275,9 @@
         let Some(id) = own else { return reply(transport, no, message, 481, "") };
         reply(transport, no, message, 200, "");
         self.state.answer(transport, id, 487, &[], b"");
-        self.with_controller(transport, |controller, now, context| controller.on_caller_gone(now, context, id));
+        self.with_controller(transport, |controller, now, context| {
+            controller.on_caller_gone(now, context, id)
+        });
     }
 
     pub(super) fn caller_releases(
@@ -299,7 +303,9 @@
         let Standing { call, seizure, exchange, sent, .. } = *call;
         let after = self.state.now.saturating_sub(sent);
         let end = SeizureEnded { call, seizure, exchange, cause, elapsed: after, closed: true };
-        self.with_controller(transport, |controller, now, context| controller.on_seizure_ended(now, context, &end));
+        self.with_controller(transport, |controller, now, context| {
+            controller.on_seizure_ended(now, context, &end)
+        });
     }
 }
 
--- a/crates/platform/src/core/discovery.rs
+++ b/crates/platform/src/core/discovery.rs
@@ -72,11 +72,9 @@
             true => self.with_controller(transport, |controller, now, context| {
                 controller.on_membership(now, context, &lines)
             }),
-            false => {
-                self.with_controller(transport, |controller, now, context| {
+            false => self.with_controller(transport, |controller, now, context| {
                 controller.on_membership_changes(now, context, &lines)
-            })
-            }
+            }),
         }
         for (exchange, before, reason) in gone {
             self.cut_calls(transport, exchange, before, reason);
--- a/crates/platform/src/core/exchanges.rs
+++ b/crates/platform/src/core/exchanges.rs
@@ -170,7 +170,9 @@
         self.state.answer(transport, id, 200, &[("Content-Type", "application/sdp")], description);
         let after = now.saturating_sub(out.since);
         let stood = SeizureAnswered { call: id, seizure: out.no, exchange, elapsed: after };
-        self.with_controller(transport, |controller, now, context| controller.on_seizure_answered(now, context, &stood));
+        self.with_controller(transport, |controller, now, context| {
+            controller.on_seizure_answered(now, context, &stood)
+        });
     }
 
     pub(super) fn released(
