--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
 //! mintstall decides which calls an exchange sets up and over which route.
 //!
-//! [`choice`] holds every decision, [`interface`] the interface to whatever feeds and obeys it,
-//! [`random`] the random numbers. Nothing here reads a clock, a file or a network.
+//! [`choice`] makes all decisions, [`interface`] defines what it exchanges with the program around it,
+//! [`liveness`] detects failed exchanges and [`random`] generates random numbers. Nothing here reads a clock,
+//! a file or a network.
 
 pub mod choice;
 pub mod interface;
--- a/src/liveness.rs
+++ b/src/liveness.rs
@@ -1,38 +1,40 @@
-//! Failure detection: how long an exchange that says nothing is believed to hold the calls that stand there.
+//! Failure detection: how long the standing calls of an exchange that sends nothing are taken to stand.
 //!
 //! Each message from an exchange renews its lease on those calls. An exchange that is quiet while calls stand there is
-//! sent a heartbeat; one that leaves it unanswered is asked on a new connection; once the lease expires its calls are
-//! over for their callers. No other party is needed for that: membership may be late, or its source down.
+//! sent a heartbeat, and if it does not answer, another one on a new connection. Once the lease expires, its calls are
+//! over for their callers. This works without the membership list, which may be late, or its source down.
 //!
-//! No I/O; the caller passes the time and does what a check asks for.
+//! No I/O: the user of this module passes the time and does what a check returns.
 
 use std::time::Duration;
 
 use crate::interface::CapacityReport;
 
-/// A call's end that its exchange can't tell has to reach the caller within this time (the platform's protocol).
-const END_TOLD_WITHIN: Duration = Duration::from_secs(8);
-/// Kept of that for timers, for a process that is scheduled late, and for the way to the caller.
+/// If an exchange can't report the end of a call, the caller must learn of it within this time (the platform's
+/// protocol).
+const MAX_END_DELAY: Duration = Duration::from_secs(8);
+/// Part of that time kept for timers, for a process that is scheduled late, and for the message to the caller.
 const MARGIN: Duration = Duration::from_millis(800);
-/// How long a lease lasts after the last message: a call may have ended just after it.
-pub const LEASE: Duration = END_TOLD_WITHIN.saturating_sub(MARGIN);
-/// Calls that stood before this process started may be over since before its start. An exchange that has never been
-/// heard is given this time: some attempts to connect, and most of the limit left to the former process and the restart.
+/// How long a lease lasts after the last message; a call may have ended just after that message.
+pub const LEASE: Duration = MAX_END_DELAY.saturating_sub(MARGIN);
+/// How long the lease of an exchange lasts that has not sent any message yet. Calls that stood before this process
+/// started may have ended before its start. The time allows some attempts to connect, and leaves most of the limit to
+/// the former process and the restart.
 pub const FIRST_CONTACT: Duration = Duration::from_secs(2);
-/// The lease while this process ends. Its successor knows nothing of the quiet before, and takes time to start and for
-/// its own first contact.
+/// The lease while this process is terminating. Its successor does not know how long the exchange has been quiet, and
+/// needs time to start and for its own first contact.
 pub const HANDOVER_LEASE: Duration = Duration::from_millis(3600);
-/// A quiet exchange is sent a heartbeat after this. It answers at once if it is well, so one that was quiet for other
-/// reasons keeps most of its lease.
+/// A quiet exchange is sent a heartbeat after this time. A working exchange answers at once, so one that was quiet for
+/// other reasons keeps most of its lease.
 pub const HEARTBEAT_AFTER: Duration = Duration::from_millis(2500);
-/// A heartbeat without an answer for so long says that the connection, or the exchange, is of no use.
+/// If a heartbeat is not answered for this time, the connection or the exchange has failed.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// The first message comes with a connection. An exchange whose first one takes longer had hung, or was cut off, while
-/// this process started, and has written what it had to say to the former one.
-const FIRST_MESSAGE_WITHIN: Duration = Duration::from_millis(250);
+/// An exchange sends its first message as soon as it is connected. If that takes longer than this, the exchange hung or
+/// was cut off while this process started, and has sent its messages to the former process.
+const MAX_FIRST_MESSAGE_DELAY: Duration = Duration::from_millis(250);
 
-/// Whether an exchange that reports this holds no call of anybody.
+/// Whether an exchange with this report holds no calls at all.
 pub fn holds_no_calls(report: &CapacityReport) -> bool {
     match (report.free, report.size) {
         (Some(free), Some(size)) => size > 0.0 && free >= size,
@@ -40,38 +42,38 @@
     }
 }
 
-/// What is to be done about an exchange at which calls stand.
+/// What to do about an exchange at which calls stand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     Valid,
     /// Send a heartbeat on an open connection.
     SendHeartbeat,
-    /// The heartbeat was not answered: replace the connection that it went out on.
+    /// The heartbeat was not answered: replace the connection on which it was sent.
     ReplaceConnection,
-    /// The lease is over, and with it all calls that stand there.
+    /// The lease is over, and so are all calls that stand at the exchange.
     Expired,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Contact {
-    /// Nothing has come since the exchange was listed.
+    /// No message has come since the exchange was listed.
     Awaited,
     Made,
 }
 
-/// What a message says beside that the exchange lives.
+/// What a message implies besides that the exchange is alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Renewal {
     Usual,
-    /// It had been silent beyond a heartbeat: what it sent meanwhile may be lost.
+    /// A heartbeat was unanswered, or the first message was late: what the exchange sent meanwhile may be lost.
     AfterSuspicion,
 }
 
-/// Whether the process that holds the calls goes on.
+/// Whether the process that holds the calls keeps running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessPhase {
     Running,
-    /// It is about to end, and a successor will learn of the calls from their callers.
+    /// The process is about to end, and a successor will learn of the calls from their callers.
     Terminating,
 }
 
@@ -90,30 +92,30 @@
 
     /// A message has come from the exchange.
     pub fn renew(&mut self, now: Duration) -> Renewal {
-        let late = self.contact == Contact::Awaited && now >= self.last_heard + FIRST_MESSAGE_WITHIN;
-        let doubted = late || self.is_suspected();
+        let late = self.contact == Contact::Awaited && now >= self.last_heard + MAX_FIRST_MESSAGE_DELAY;
+        let suspected = late || self.is_suspected();
         *self = Self { contact: Contact::Made, last_heard: now, heartbeat_sent: None };
-        if doubted { Renewal::AfterSuspicion } else { Renewal::Usual }
+        if suspected { Renewal::AfterSuspicion } else { Renewal::Usual }
     }
 
     pub fn last_heard(&self) -> Duration {
         self.last_heard
     }
 
-    /// Whether a heartbeat has gone out since the last message: reaching the exchange is urgent.
+    /// Whether a heartbeat was sent since the last message, so that reaching the exchange is urgent.
     pub fn is_suspected(&self) -> bool {
         self.heartbeat_sent.is_some()
     }
 
-    /// What is due now; a heartbeat that is asked for counts as sent.
+    /// What to do now; a heartbeat that this returns counts as sent.
     pub fn check(&mut self, now: Duration, phase: ProcessPhase) -> LeaseAction {
         let quiet = now.saturating_sub(self.last_heard);
-        let lasts = match (self.contact, phase) {
+        let duration = match (self.contact, phase) {
             (Contact::Awaited, _) => FIRST_CONTACT,
             (Contact::Made, ProcessPhase::Running) => LEASE,
             (Contact::Made, ProcessPhase::Terminating) => HANDOVER_LEASE,
         };
-        if quiet >= lasts {
+        if quiet >= duration {
             return LeaseAction::Expired;
         }
         match self.heartbeat_sent {
@@ -122,7 +124,7 @@
                 LeaseAction::SendHeartbeat
             }
             Some(sent) if now >= sent + HEARTBEAT_TIMEOUT => {
-                // Asked again on the next connection that comes up.
+                // The next connection that is opened carries another heartbeat.
                 self.heartbeat_sent = Some(now);
                 LeaseAction::ReplaceConnection
             }
@@ -149,7 +151,7 @@
     }
 
     #[test]
-    fn a_quiet_exchange_is_asked_then_asked_elsewhere_and_expires_before_the_limit() {
+    fn quiet_exchange_gets_a_heartbeat_then_a_new_connection_and_expires_before_the_limit() {
         let mut lease = lease();
         assert_eq!(lease.check(after(2400), RUNNING), LeaseAction::Valid);
         assert_eq!(lease.check(after(2500), RUNNING), LeaseAction::SendHeartbeat);
@@ -159,11 +161,11 @@
         assert_eq!(lease.check(after(4900), RUNNING), LeaseAction::ReplaceConnection);
         assert_eq!(lease.check(after(7100), RUNNING), LeaseAction::ReplaceConnection);
         assert_eq!(lease.check(after(7200), RUNNING), LeaseAction::Expired);
-        assert!(LEASE < END_TOLD_WITHIN);
+        assert!(LEASE < MAX_END_DELAY);
     }
 
     #[test]
-    fn any_message_renews_it() {
+    fn any_message_renews_the_lease() {
         let mut lease = lease();
         lease.check(after(2500), RUNNING);
         assert_eq!(lease.renew(after(2600)), Renewal::AfterSuspicion);
@@ -174,7 +176,7 @@
     }
 
     #[test]
-    fn one_that_was_never_heard_has_less_time() {
+    fn exchange_without_a_first_message_has_a_shorter_lease() {
         let mut lease = Lease::new(START);
         assert_eq!(lease.check(after(1900), RUNNING), LeaseAction::Valid);
         assert_eq!(lease.check(after(2000), RUNNING), LeaseAction::Expired);
@@ -183,7 +185,7 @@
     }
 
     #[test]
-    fn a_process_that_ends_leaves_its_successor_time() {
+    fn terminating_process_leaves_time_for_its_successor() {
         let mut lease = lease();
         assert_eq!(lease.check(after(2500), ProcessPhase::Terminating), LeaseAction::SendHeartbeat);
         assert_eq!(lease.check(after(3500), ProcessPhase::Terminating), LeaseAction::Valid);
