--- a/crates/soak/src/rule_checker.rs
+++ b/crates/soak/src/rule_checker.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use mintstall::liveness::FIRST_CONTACT;
+use mintstall::liveness::FIRST_CONTACT_LEASE;
 
 use crate::controller::{DRAIN_GRACE, RELEASE_TIME};
 use crate::exchange::{description as description_of, uid_of};
@@ -379,7 +379,7 @@
         let due = slow.max(quick(announced));
         if self.killed_outright(controller, over, due) {
             // Nobody is left who knows how long the exchange has been silent: it is given its first contact anew.
-            return due.max(announced + duration(FIRST_CONTACT) + RELEASE_PASSED_WITHIN);
+            return due.max(announced + duration(FIRST_CONTACT_LEASE) + RELEASE_PASSED_WITHIN);
         }
         due
     }
--- a/src/liveness.rs
+++ b/src/liveness.rs
@@ -20,7 +20,7 @@
 /// How long the lease of an exchange lasts that has not sent any message yet. Calls that stood before this process
 /// started may have ended before its start. The time allows some attempts to connect, and leaves most of the limit to
 /// the former process and the restart.
-pub const FIRST_CONTACT: Duration = Duration::from_secs(2);
+pub const FIRST_CONTACT_LEASE: Duration = Duration::from_secs(2);
 /// The lease while this process is terminating. Its successor does not know how long the exchange has been quiet, and
 /// needs time to start and for its own first contact.
 pub const HANDOVER_LEASE: Duration = Duration::from_millis(3600);
@@ -111,7 +111,7 @@
     pub fn check(&mut self, now: Duration, phase: ProcessPhase) -> LeaseAction {
         let quiet = now.saturating_sub(self.last_heard);
         let duration = match (self.contact, phase) {
-            (Contact::Awaited, _) => FIRST_CONTACT,
+            (Contact::Awaited, _) => FIRST_CONTACT_LEASE,
             (Contact::Made, ProcessPhase::Running) => LEASE,
             (Contact::Made, ProcessPhase::Terminating) => HANDOVER_LEASE,
         };
