--- a/crates/benchlink/src/batch.rs
+++ b/crates/benchlink/src/batch.rs
@@ -1,5 +1,5 @@
-//! All instances of this process: takes a batch apart, tells each controller its part and writes
-//! down what the controllers do.
+//! All controllers of this process: decodes a batch of events, passes each event to its controller and encodes the
+//! controllers' actions in the reply.
 
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -14,23 +14,23 @@
 
 use mintstall_settings::{LoadReportLayout, from_lines};
 
-use crate::frames::{Fields, FrameError, Read, Record, bad};
+use crate::frames::{Fields, FrameError, ReadResult, Record, frame_error};
 
-/// Writes what one controller does into the reply.
-struct Line<'a> {
+/// Encodes the actions of one controller in the reply.
+struct ReplyWriter<'a> {
     reply: &'a mut Vec<u8>,
     count: &'a mut u32,
     controller: u16,
 }
 
-impl Line<'_> {
+impl ReplyWriter<'_> {
     fn record(&mut self, code: u8) -> Record<'_> {
         *self.count += 1;
         Record::new(self.reply, code, self.controller)
     }
 }
 
-impl ControllerActions for Line<'_> {
+impl ControllerActions for ReplyWriter<'_> {
     fn seize(&mut self, call: CallId, to: ExchangeId, limit: Duration) {
         self.record(67).put(call.0.to_be_bytes()).put(to.0.to_be_bytes()).time(limit);
     }
@@ -73,10 +73,10 @@
 #[derive(Default)]
 pub struct BatchProcessor {
     instances: HashMap<u16, Instance>,
-    rosters: HashMap<u16, Vec<ExchangeEntry>>,
+    memberships: HashMap<u16, Vec<ExchangeEntry>>,
 }
 
-fn cause(code: u16, clear_code: u32) -> Read<Cause> {
+fn cause(code: u16, clear_code: u32) -> ReadResult<Cause> {
     let wait = Duration::from_millis(u64::from(clear_code >> 4));
     Ok(match (code, clear_code & 15) {
         (10, _) => Cause::Done,
@@ -90,38 +90,32 @@
         (60, _) => Cause::Cut,
         (70, _) => Cause::Cancelled,
         (80, low) => Cause::NotSent { own_down: low == 3 },
-        _ => return bad(format!("resolved: unknown code {code}")),
+        _ => return frame_error(format!("resolved: unknown code {code}")),
     })
 }
 
-fn roster(fields: &mut Fields) -> Read<(u16, Vec<ExchangeEntry>)> {
+fn membership(fields: &mut Fields) -> ReadResult<(u16, Vec<ExchangeEntry>)> {
     let number = fields.u16()?;
     let count = fields.u32()?;
-    let mut lines = Vec::new();
+    let mut entries = Vec::new();
     for _ in 0..count {
-        let exchange = ExchangeId(fields.u32()?);
+        let id = ExchangeId(fields.u32()?);
         let zone = Zone(fields.u8()?);
         let _kind = fields.u8()?;
-        let office = ExchangeNumber(fields.u16()?);
-        let standing = match fields.u8()? {
+        let exchange_number = ExchangeNumber(fields.u16()?);
+        let status = match fields.u8()? {
             0 => ExchangeStatus::Gone,
             1 => ExchangeStatus::Ready,
             2 => ExchangeStatus::Draining,
-            other => return bad(format!("ledger: unknown mode {other}")),
+            other => return frame_error(format!("ledger: unknown mode {other}")),
         };
         let _capacity_hint = fields.f32()?;
-        lines.push(ExchangeEntry {
-            id: exchange,
-            number: office,
-            zone,
-            status: standing,
-            started: fields.time()?,
-        });
+        entries.push(ExchangeEntry { id, number: exchange_number, zone, status, started: fields.time()? });
     }
-    Ok((number, lines))
+    Ok((number, entries))
 }
 
-fn report(fields: &mut Fields, layout: &LoadReportLayout) -> Read<CapacityReport> {
+fn report(fields: &mut Fields, layout: &LoadReportLayout) -> ReadResult<CapacityReport> {
     let mut values = [0.0; u8::MAX as usize];
     let count = usize::from(fields.u8()?);
     for value in &mut values[..count] {
@@ -130,24 +124,24 @@
     Ok(layout.positional_report(values[..count].iter().copied()))
 }
 
-/// A number that the wire carries as a float; those below nought mean none.
-fn whole(value: f32) -> Option<u16> {
+/// A number that is sent as a float; negative values mean that there is none.
+fn optional_number(value: f32) -> Option<u16> {
     (value >= 0.0 && value <= f32::from(u16::MAX)).then_some(value as u16)
 }
 
-fn offer(fields: &mut Fields) -> Read<CallOffer> {
+fn offer(fields: &mut Fields) -> ReadResult<CallOffer> {
     let call = CallId(fields.u64()?);
     let call_type = CallType(fields.u8()?);
     let customer = CustomerId(fields.u16()?);
     let dialled = DialledNumber(fields.u64()?);
     let deadline = fields.time()?;
     let _predicted = fields.take(8)?;
-    let Some(dest) = whole(fields.f32()?) else {
-        return bad("work_item: dest is no number of an exchange");
+    let Some(dest) = optional_number(fields.f32()?) else {
+        return frame_error("work_item: dest is not an exchange number");
     };
-    let width = whole(fields.f32()?).unwrap_or(1).max(1);
-    let advised = whole(fields.f32()?).map(ExchangeNumber);
-    let marks = fields.u8()?;
+    let width = optional_number(fields.f32()?).unwrap_or(1).max(1);
+    let advised = optional_number(fields.f32()?).map(ExchangeNumber);
+    let flags = fields.u8()?;
     Ok(CallOffer {
         call,
         call_type,
@@ -157,15 +151,15 @@
         dest: ExchangeNumber(dest),
         width,
         advised,
-        transit: marks & 8 != 0,
-        cut: marks & 16 != 0,
-        redial: marks & 2 != 0,
+        transit: flags & 8 != 0,
+        cut: flags & 16 != 0,
+        redial: flags & 2 != 0,
     })
 }
 
 impl BatchProcessor {
-    /// Answers one batch; `batch` is what follows its length.
-    pub fn process(&mut self, batch: &[u8], reply: &mut Vec<u8>) -> Read<()> {
+    /// Handles one batch and writes the reply; `batch` is without its length field.
+    pub fn process(&mut self, batch: &[u8], reply: &mut Vec<u8>) -> ReadResult<()> {
         let mut fields = Fields::new(batch, "batch");
         let now = fields.time()?;
         let number = fields.u32()?;
@@ -175,7 +169,7 @@
         let mut count = 0;
         while !fields.is_empty() {
             let (code, record) = fields.record()?;
-            self.take(now, code, record, reply, &mut count)?;
+            self.handle_record(now, code, record, reply, &mut count)?;
         }
         let length = (reply.len() - 8) as u32;
         reply[..4].copy_from_slice(&count.to_be_bytes());
@@ -183,8 +177,15 @@
         Ok(())
     }
 
-    fn take(&mut self, now: Duration, code: u8, f: Fields, reply: &mut Vec<u8>, count: &mut u32) -> Read<()> {
-        const NAMES: [&str; 11] = [
+    fn handle_record(
+        &mut self,
+        now: Duration,
+        code: u8,
+        fields: Fields,
+        reply: &mut Vec<u8>,
+        count: &mut u32,
+    ) -> ReadResult<()> {
+        const RECORD_NAMES: [&str; 11] = [
             "attach",
             "targets",
             "work_item",
@@ -197,21 +198,21 @@
             "crash_now",
             "ledger",
         ];
-        let Some(name) = NAMES.get(usize::from(code)) else {
+        let Some(name) = RECORD_NAMES.get(usize::from(code)) else {
             return Ok(());
         };
-        let f = &mut f.named(name);
+        let fields = &mut fields.with_name(name);
         if code == 10 {
-            let (number, lines) = roster(f)?;
-            self.rosters.insert(number, lines);
+            let (number, entries) = membership(fields)?;
+            self.memberships.insert(number, entries);
             return Ok(());
         }
-        let number = f.u16()?;
-        let line = &mut Line { reply, count, controller: number };
+        let number = fields.u16()?;
+        let writer = &mut ReplyWriter { reply, count, controller: number };
         if code == 0 {
-            let seed = f.u64()?;
-            let length = f.u32()? as usize;
-            let settings = from_lines(f.take(length)?).map_err(|error| FrameError(error.0))?;
+            let seed = fields.u64()?;
+            let length = fields.u32()? as usize;
+            let settings = from_lines(fields.take(length)?).map_err(|error| FrameError(error.0))?;
             let controller = Controller::new(&settings.controller, seed);
             self.instances.insert(number, Instance { controller, layout: settings.reports });
             return Ok(());
@@ -221,78 +222,80 @@
             return Ok(());
         }
         let Some(Instance { controller, layout }) = self.instances.get_mut(&number) else {
-            return bad(format!("{name}: instance {number} was never attached"));
+            return frame_error(format!("{name}: controller {number} was not attached"));
         };
-        let rosters = &self.rosters;
-        // A fault of the module must not pass for a decision: the day ends with its text.
-        catch_unwind(AssertUnwindSafe(|| tell(controller, layout, rosters, now, code, f, line)))
-            .unwrap_or_else(|panic| {
-                let text = panic.downcast_ref::<String>().map(String::as_str);
-                let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-                line.record(74).counted(text.as_bytes());
-                Ok(())
-            })
+        let memberships = &self.memberships;
+        // A panic of a controller must not be taken for a decision: its text is sent, and the simulated day ends.
+        catch_unwind(AssertUnwindSafe(|| {
+            dispatch(controller, layout, memberships, now, code, fields, writer)
+        }))
+        .unwrap_or_else(|panic| {
+            let text = panic.downcast_ref::<String>().map(String::as_str);
+            let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+            writer.record(74).counted(text.as_bytes());
+            Ok(())
+        })
     }
 }
 
-/// Tells one controller one thing.
-fn tell(
+/// Passes one event to its controller.
+fn dispatch(
     controller: &mut Controller,
     layout: &LoadReportLayout,
-    rosters: &HashMap<u16, Vec<ExchangeEntry>>,
+    memberships: &HashMap<u16, Vec<ExchangeEntry>>,
     now: Duration,
     code: u8,
-    f: &mut Fields,
-    actions: &mut Line,
-) -> Read<()> {
+    fields: &mut Fields,
+    actions: &mut ReplyWriter,
+) -> ReadResult<()> {
     match code {
         1 => {
-            let _epoch = f.u64()?;
-            let how = f.u8()?;
-            let list = f.u16()?;
-            match (how, rosters.get(&list)) {
+            let _epoch = fields.u64()?;
+            let kind = fields.u8()?;
+            let list = fields.u16()?;
+            match (kind, memberships.get(&list)) {
                 (1, _) => controller.on_subscription_failed(now, actions),
-                (0 | 2, Some(lines)) => controller.on_membership(now, actions, lines),
-                (3, Some(lines)) => controller.on_membership_changes(now, actions, lines),
-                (0 | 2 | 3, None) => return bad(format!("targets: ledger {list} was never sent")),
-                _ => return bad(format!("targets: unknown kind {how}")),
+                (0 | 2, Some(entries)) => controller.on_membership(now, actions, entries),
+                (3, Some(entries)) => controller.on_membership_changes(now, actions, entries),
+                (0 | 2 | 3, None) => return frame_error(format!("targets: ledger {list} was not sent")),
+                _ => return frame_error(format!("targets: unknown kind {kind}")),
             }
         }
-        2 => controller.on_offer(now, actions, offer(f)?),
+        2 => controller.on_offer(now, actions, offer(fields)?),
         3 => {
-            let (call, seizure) = (CallId(f.u64()?), SeizureNumber(f.u8()?));
-            let exchange = ExchangeId(f.u32()?);
+            let (call, seizure) = (CallId(fields.u64()?), SeizureNumber(fields.u8()?));
+            let exchange = ExchangeId(fields.u32()?);
             controller.on_seizure_answered(
                 now,
                 actions,
-                &SeizureAnswered { call, seizure, exchange, elapsed: f.time()? },
+                &SeizureAnswered { call, seizure, exchange, elapsed: fields.time()? },
             );
         }
         4 => {
-            let (call, seizure) = (CallId(f.u64()?), SeizureNumber(f.u8()?));
-            let exchange = ExchangeId(f.u32()?);
-            let code = f.u16()?;
-            let elapsed = f.time()?;
-            let closed = f.u8()? != 0;
-            let cause = cause(code, f.u32()?)?;
-            controller.on_capacity_report(now, actions, exchange, &report(f, layout)?);
+            let (call, seizure) = (CallId(fields.u64()?), SeizureNumber(fields.u8()?));
+            let exchange = ExchangeId(fields.u32()?);
+            let code = fields.u16()?;
+            let elapsed = fields.time()?;
+            let closed = fields.u8()? != 0;
+            let cause = cause(code, fields.u32()?)?;
+            controller.on_capacity_report(now, actions, exchange, &report(fields, layout)?);
             controller.on_seizure_ended(
                 now,
                 actions,
                 &SeizureEnded { call, seizure, exchange, cause, elapsed, closed },
             );
         }
-        5 => controller.on_caller_gone(now, actions, CallId(f.u64()?)),
-        6 => controller.on_timer(now, actions, TimerId(f.u64()?)),
+        5 => controller.on_caller_gone(now, actions, CallId(fields.u64()?)),
+        6 => controller.on_timer(now, actions, TimerId(fields.u64()?)),
         7 => {
-            let exchange = ExchangeId(f.u32()?);
-            let (_code, _after) = (f.u16()?, f.time()?);
-            controller.on_capacity_report(now, actions, exchange, &report(f, layout)?);
+            let exchange = ExchangeId(fields.u32()?);
+            let (_code, _after) = (fields.u16()?, fields.time()?);
+            controller.on_capacity_report(now, actions, exchange, &report(fields, layout)?);
         }
         8 => {
-            let peer = PeerId(f.u16()?);
-            let length = usize::from(f.u16()?);
-            controller.on_peer_message(now, actions, peer, f.take(length)?);
+            let peer = PeerId(fields.u16()?);
+            let length = usize::from(fields.u16()?);
+            controller.on_peer_message(now, actions, peer, fields.take(length)?);
         }
         _ => {}
     }
@@ -309,29 +312,29 @@
     }
 
     #[test]
-    fn the_empty_batch_is_answered() {
+    fn empty_batch_gets_a_reply() {
         let mut reply = Vec::new();
         BatchProcessor::default().process(&bytes("4020d3126e978d50 00000001"), &mut reply).unwrap();
         assert_eq!(reply, bytes("00000000 00000004 00000001"));
     }
 
     #[test]
-    fn the_worked_actions_are_written_to_the_letter() {
+    fn actions_are_encoded_byte_for_byte() {
         let (mut reply, mut count) = (Vec::new(), 0);
-        let mut line = Line { reply: &mut reply, count: &mut count, controller: 3 };
-        line.seize(CallId(0x000d_f759_5d3a_91c4), ExchangeId(0x0312_4a07), Duration::from_millis(80));
-        line.set_timer(Duration::from_millis(500), TimerId(0x4d));
-        line.send_to_peers(None, b"hi 7");
-        line.log("two servers known");
-        let wanted = "43 00000016 0003 000df7595d3a91c4 03124a07 3fb47ae147ae147b
+        let mut writer = ReplyWriter { reply: &mut reply, count: &mut count, controller: 3 };
+        writer.seize(CallId(0x000d_f759_5d3a_91c4), ExchangeId(0x0312_4a07), Duration::from_millis(80));
+        writer.set_timer(Duration::from_millis(500), TimerId(0x4d));
+        writer.send_to_peers(None, b"hi 7");
+        writer.log("two servers known");
+        let expected = "43 00000016 0003 000df7595d3a91c4 03124a07 3fb47ae147ae147b
                       45 00000012 0003 3fe0000000000000 000000000000004d
                       41 0000000c 0003 ffffffff 0004 68692037
                       49 00000015 0003 0011 74776f2073657276657273206b6e6f776e";
-        assert_eq!((reply, count), (bytes(wanted), 4));
+        assert_eq!((reply, count), (bytes(expected), 4));
     }
 
     #[test]
-    fn the_worked_events_are_read() {
+    fn events_are_decoded() {
         let record = bytes(
             "02 00000032 0003 000df7595d3a91c4 00 0000 91f03b7c55d20a64 40214df3b645a1cb 3f889374bc6a7efa
              42640000 44960000 43800000 01",
@@ -348,13 +351,13 @@
             "0000 00000002 03124a07 00 00 0000 01 3f800000 0000000000000000
              2c9011f2 01 00 0000 01 3fc00000 4018666666666666",
         );
-        let (number, lines) = roster(&mut Fields::new(&ledger, "ledger")).unwrap();
-        assert_eq!((number, lines.len(), lines[1].id), (0, 2, ExchangeId(0x2c90_11f2)));
-        assert_eq!(lines[1].started, Duration::from_millis(6100));
+        let (number, entries) = membership(&mut Fields::new(&ledger, "ledger")).unwrap();
+        assert_eq!((number, entries.len(), entries[1].id), (0, 2, ExchangeId(0x2c90_11f2)));
+        assert_eq!(entries[1].started, Duration::from_millis(6100));
     }
 
     #[test]
-    fn records_of_unknown_kind_are_passed_over() {
+    fn records_of_unknown_type_are_skipped() {
         let mut reply = Vec::new();
         let batch = bytes("4020d3126e978d50 00000002 c8 00000003 aabbcc");
         BatchProcessor::default().process(&batch, &mut reply).unwrap();
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,4 +1,5 @@
-//! Carries the decisions of mintstall over the bench's wire: standard input to standard output.
+//! Connects controllers of mintstall to a simulator: reads batches of events from standard input and writes the
+//! controllers' actions to standard output.
 
 mod batch;
 mod frames;
@@ -10,32 +11,34 @@
 use frames::FrameError;
 
 fn serve() -> Result<(), FrameError> {
-    let io_failed = |error: io::Error| FrameError(format!("input or output: {error}"));
+    let io_error = |error: io::Error| FrameError(format!("can't read input or write output: {error}"));
     let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
     let mut output = io::stdout().lock();
     let (mut processor, mut batch, mut reply) = (BatchProcessor::default(), Vec::new(), Vec::new());
     loop {
         let mut length = [0; 4];
-        match input.read(&mut length[..1]).map_err(io_failed)? {
+        match input.read(&mut length[..1]).map_err(io_error)? {
             0 => return Ok(()),
-            _ => input.read_exact(&mut length[1..]).map_err(io_failed)?,
+            _ => input.read_exact(&mut length[1..]).map_err(io_error)?,
         }
         let length = u32::from_be_bytes(length);
         batch.clear();
-        let got = input.by_ref().take(length.into()).read_to_end(&mut batch).map_err(io_failed)?;
-        if got < length as usize {
-            return frames::bad(format!("batch: {length} bytes wanted, input ended after {got}"));
+        let received = input.by_ref().take(length.into()).read_to_end(&mut batch).map_err(io_error)?;
+        if received < length as usize {
+            return frames::frame_error(format!(
+                "batch: expected {length} bytes, input ended after {received}"
+            ));
         }
         processor.process(&batch, &mut reply)?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(io_failed)?;
+        output.write_all(&reply).and_then(|()| output.flush()).map_err(io_error)?;
     }
 }
 
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(FrameError(what)) => {
-            eprintln!("mintstall-benchlink: {what}");
+        Err(FrameError(message)) => {
+            eprintln!("mintstall-benchlink: {message}");
             ExitCode::FAILURE
         }
     }
