--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,8 +1,9 @@
-//! Processor time of a decision, the module driven alone with 75 exchanges: microseconds a call by calls a second, groups
-//! free or full. What counts is how it grows: the last column is the cost over that at 100 calls a second.
+//! Processor time of a decision: the controller is driven alone with 75 exchanges. Prints microseconds a call by calls a
+//! second, with free and with full groups. The growth matters: the last column is the cost relative to that at 100 calls
+//! a second.
 //!
-//! `cargo bench --bench decision`. A call stands at once where it is sent, and ends after ten seconds; where groups are
-//! full it is held for as long as the decisions hold it.
+//! Run with `cargo bench --bench decision`. A call that is sent stands at once and ends after ten seconds; where groups
+//! are full, a call is queued for as long as the controller keeps it.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,15 +12,15 @@
 use mintstall::Controller;
 use mintstall::interface::*;
 
-/// Carries out nothing but the alarms.
+/// Carries out nothing but the timers; records the seizures.
 #[derive(Default)]
-struct Desk {
+struct RecordingActions {
     now: Duration,
-    alarms: BinaryHeap<Reverse<(Duration, u64)>>,
+    timers: BinaryHeap<Reverse<(Duration, u64)>>,
     seized: Vec<(CallId, ExchangeId)>,
 }
 
-impl ControllerActions for Desk {
+impl ControllerActions for RecordingActions {
     fn seize(&mut self, call: CallId, to: ExchangeId, _: Duration) {
         self.seized.push((call, to));
     }
@@ -27,7 +28,7 @@
     fn reject(&mut self, _: CallId, _: Duration) {}
     fn release(&mut self, _: CallId) {}
     fn set_timer(&mut self, after: Duration, timer: TimerId) {
-        self.alarms.push(Reverse((self.now + after, timer.0)));
+        self.timers.push(Reverse((self.now + after, timer.0)));
     }
     fn send_to_peers(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn subscribe(&mut self) {}
@@ -36,7 +37,7 @@
 
 const EXCHANGES: u32 = 75;
 
-fn office() -> ControllerConfig {
+fn config() -> ControllerConfig {
     let call_type = |revenue, target| CallTypeConfig {
         setup_target: Duration::from_millis(target),
         guard_time: Duration::from_secs(9),
@@ -62,35 +63,37 @@
     }
 }
 
-/// Microseconds a call over five simulated seconds, or two of real time.
-fn cost(rate: u64, free: f64) -> f64 {
-    let (mut desk, mut controller) = (Desk::default(), Controller::new(&office(), 1));
-    let line = |no| ExchangeEntry {
-        id: ExchangeId(no),
-        number: ExchangeNumber(no as u16),
-        zone: Zone((no % 3) as u8),
+/// Microseconds a call, over five simulated seconds or two seconds of real time.
+fn cost_us(rate: u64, free: f64) -> f64 {
+    let (mut actions, mut controller) = (RecordingActions::default(), Controller::new(&config(), 1));
+    let entry = |number| ExchangeEntry {
+        id: ExchangeId(number),
+        number: ExchangeNumber(number as u16),
+        zone: Zone((number % 3) as u8),
         status: ExchangeStatus::Ready,
         started: Duration::ZERO,
     };
-    let lines: Vec<_> = (0..EXCHANGES).map(line).collect();
-    controller.on_membership(Duration::ZERO, &mut desk, &lines);
+    let entries: Vec<_> = (0..EXCHANGES).map(entry).collect();
+    controller.on_membership(Duration::ZERO, &mut actions, &entries);
     let report = CapacityReport { free: Some(free), size: Some(100.0), ..CapacityReport::default() };
-    for no in 1..EXCHANGES {
-        controller.on_capacity_report(Duration::ZERO, &mut desk, ExchangeId(no), &report);
+    for number in 1..EXCHANGES {
+        controller.on_capacity_report(Duration::ZERO, &mut actions, ExchangeId(number), &report);
     }
     let (start, mut calls) = (Instant::now(), 0);
     for call in 0..rate * 5 {
-        desk.now = Duration::from_secs_f64(call as f64 / rate as f64);
-        while let Some(Reverse((at, alarm))) = desk.alarms.peek().copied().filter(|due| due.0.0 <= desk.now) {
-            desk.alarms.pop();
-            controller.on_timer(at, &mut desk, TimerId(alarm));
+        actions.now = Duration::from_secs_f64(call as f64 / rate as f64);
+        while let Some(Reverse((at, timer))) =
+            actions.timers.peek().copied().filter(|due| due.0.0 <= actions.now)
+        {
+            actions.timers.pop();
+            controller.on_timer(at, &mut actions, TimerId(timer));
         }
         let offer = CallOffer {
             call: CallId(call),
             call_type: CallType((call % 3) as u8),
             customer: CustomerId(0),
             dialled: DialledNumber(1 + call),
-            deadline: desk.now + Duration::from_secs(3),
+            deadline: actions.now + Duration::from_secs(3),
             dest: ExchangeNumber(1 + (call * 7 % u64::from(EXCHANGES - 1)) as u16),
             width: 1,
             advised: None,
@@ -98,16 +101,16 @@
             cut: false,
             redial: false,
         };
-        controller.on_offer(desk.now, &mut desk, offer);
-        let now = desk.now;
-        for (call, exchange) in std::mem::take(&mut desk.seized) {
+        controller.on_offer(actions.now, &mut actions, offer);
+        let now = actions.now;
+        for (call, exchange) in std::mem::take(&mut actions.seized) {
             let (seizure, elapsed) = (SeizureNumber(0), Duration::from_millis(20));
             controller.on_seizure_answered(
                 now,
-                &mut desk,
+                &mut actions,
                 &SeizureAnswered { call, seizure, exchange, elapsed },
             );
-            controller.on_capacity_report(now, &mut desk, exchange, &report);
+            controller.on_capacity_report(now, &mut actions, exchange, &report);
         }
         calls += 1;
         if call % 256 == 0 && start.elapsed() > Duration::from_secs(2) {
@@ -120,10 +123,10 @@
 fn main() {
     println!("{:>8} {:>12} {:>10} {:>14}", "groups", "calls/s", "us a call", "over 100/s");
     for (name, free) in [("free", 100.0), ("full", 0.0)] {
-        cost(1000, free);
-        let base = cost(100, free).max(cost(100, free));
+        cost_us(1000, free);
+        let base = cost_us(100, free).max(cost_us(100, free));
         for rate in [100, 1000, 5000, 20_000] {
-            let us = cost(rate, free);
+            let us = cost_us(rate, free);
             println!("{name:>8} {rate:>12} {us:>10.2} {:>14.1}", us / base);
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A tiny fake host: writes down what the controller does.
+//! Drives a controller and records its actions.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -6,59 +6,59 @@
 use mintstall::Controller;
 use mintstall::interface::*;
 
-pub const HERE: ExchangeNumber = ExchangeNumber(0);
+pub const OWN_EXCHANGE: ExchangeNumber = ExchangeNumber(0);
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Did {
+pub enum Action {
     Seized(u64, u32),
     Cancelled(u64),
     Rejected(u64),
     Released(u64),
     Subscribed,
-    Told(Option<u16>),
+    SentToPeers(Option<u16>),
 }
 
 #[derive(Default)]
-struct Notes {
-    did: Vec<Did>,
-    /// The times that callers were told to come back after.
-    retry_after: Vec<Duration>,
-    alarms: Vec<(Duration, TimerId)>,
+struct ActionLog {
+    actions: Vec<Action>,
+    /// Retry times of the rejected calls.
+    retry_times: Vec<Duration>,
+    timers: Vec<(Duration, TimerId)>,
     now: Duration,
 }
 
-impl ControllerActions for Notes {
+impl ControllerActions for ActionLog {
     fn seize(&mut self, call: CallId, to: ExchangeId, limit: Duration) {
-        assert!(!limit.is_zero(), "no limit means until the caller gives up");
-        self.did.push(Did::Seized(call.0, to.0));
+        assert!(!limit.is_zero(), "a limit of zero would last until the caller gives up");
+        self.actions.push(Action::Seized(call.0, to.0));
     }
     fn cancel(&mut self, call: CallId, _: SeizureNumber) {
-        self.did.push(Did::Cancelled(call.0));
+        self.actions.push(Action::Cancelled(call.0));
     }
     fn reject(&mut self, call: CallId, retry_after: Duration) {
-        self.retry_after.push(retry_after);
-        self.did.push(Did::Rejected(call.0));
+        self.retry_times.push(retry_after);
+        self.actions.push(Action::Rejected(call.0));
     }
     fn release(&mut self, call: CallId) {
-        self.did.push(Did::Released(call.0));
+        self.actions.push(Action::Released(call.0));
     }
     fn set_timer(&mut self, after: Duration, timer: TimerId) {
-        // The machine's clock counts in microseconds.
-        self.alarms.push((self.now + Duration::from_micros(after.as_micros() as u64), timer));
+        // The program's clock counts in microseconds.
+        self.timers.push((self.now + Duration::from_micros(after.as_micros() as u64), timer));
     }
     fn send_to_peers(&mut self, peer: Option<PeerId>, _: &[u8]) {
-        self.did.push(Did::Told(peer.map(|peer| peer.0)));
+        self.actions.push(Action::SentToPeers(peer.map(|peer| peer.0)));
     }
     fn subscribe(&mut self) {
-        self.did.push(Did::Subscribed);
+        self.actions.push(Action::Subscribed);
     }
     fn log(&mut self, _: &str) {}
 }
 
-/// One controller at office 0 among exchanges 1, 2, ... whose ids are their office numbers.
-pub struct Desk {
+/// The controller of exchange 0 with exchanges 1, 2, ..., whose ids are their exchange numbers.
+pub struct Harness {
     controller: Controller,
-    notes: Notes,
+    log: ActionLog,
 }
 
 pub fn ms(count: u64) -> Duration {
@@ -77,9 +77,9 @@
     }
 }
 
-pub fn office() -> ControllerConfig {
+pub fn default_config() -> ControllerConfig {
     ControllerConfig {
-        own: Some(HERE),
+        own: Some(OWN_EXCHANGE),
         call_types: vec![call_type(1.0, 1), call_type(8.0, 1)],
         seizure_limit: 5,
         may_cancel: true,
@@ -94,80 +94,85 @@
     }
 }
 
-pub fn line(exchange: u32, standing: ExchangeStatus, started: Duration) -> ExchangeEntry {
+pub fn entry(exchange: u32, status: ExchangeStatus, started: Duration) -> ExchangeEntry {
     ExchangeEntry {
         id: ExchangeId(exchange),
         number: ExchangeNumber(exchange as u16),
         zone: Zone(0),
-        status: standing,
+        status,
         started,
     }
 }
 
-impl Desk {
-    /// Exchanges 0 to 3, each with `free` circuits towards it.
-    pub fn new(data: &ControllerConfig, free: f64) -> Self {
-        Self::seeded(data, free, 1)
+impl Harness {
+    /// Exchanges 0 to 3 are ready, with `free` circuits towards each of 1 to 3.
+    pub fn new(config: &ControllerConfig, free: f64) -> Self {
+        Self::seeded(config, free, 1)
     }
 
-    pub fn seeded(data: &ControllerConfig, free: f64, seed: u64) -> Self {
-        let mut desk = Self { controller: Controller::new(data, seed), notes: Notes::default() };
-        let lines: Vec<_> = (0..4).map(|no| line(no, ExchangeStatus::Ready, Duration::ZERO)).collect();
-        desk.controller.on_membership(Duration::ZERO, &mut desk.notes, &lines);
-        (1..4).for_each(|no| desk.free(no, free));
-        desk
+    pub fn seeded(config: &ControllerConfig, free: f64, seed: u64) -> Self {
+        let mut harness = Self { controller: Controller::new(config, seed), log: ActionLog::default() };
+        let entries: Vec<_> =
+            (0..4).map(|number| entry(number, ExchangeStatus::Ready, Duration::ZERO)).collect();
+        harness.controller.on_membership(Duration::ZERO, &mut harness.log, &entries);
+        (1..4).for_each(|number| harness.report_free(number, free));
+        harness
     }
 
-    /// What was done since last asked.
-    pub fn did(&mut self) -> Vec<Did> {
-        std::mem::take(&mut self.notes.did)
+    /// Takes the actions since the last call.
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.log.actions)
     }
 
-    /// When those that were rejected are asked to come back.
-    pub fn told_to_come_back(&mut self) -> Vec<Duration> {
-        std::mem::take(&mut self.notes.retry_after)
+    /// Takes the retry times of the calls rejected since the last call.
+    pub fn take_retry_times(&mut self) -> Vec<Duration> {
+        std::mem::take(&mut self.log.retry_times)
     }
 
-    pub fn free(&mut self, exchange: u32, free: f64) {
-        self.has(exchange, free, 20.0);
+    /// Reports the free ones of 20 circuits.
+    pub fn report_free(&mut self, exchange: u32, free: f64) {
+        self.report_circuits(exchange, free, 20.0);
     }
 
-    pub fn has(&mut self, exchange: u32, free: f64, size: f64) {
+    pub fn report_circuits(&mut self, exchange: u32, free: f64, size: f64) {
         let report = CapacityReport { free: Some(free), size: Some(size), ..CapacityReport::default() };
-        self.controller.on_capacity_report(self.notes.now, &mut self.notes, ExchangeId(exchange), &report);
+        self.controller.on_capacity_report(self.log.now, &mut self.log, ExchangeId(exchange), &report);
     }
 
-    pub fn takes(&mut self, exchange: u32, rate: f64) {
+    pub fn report_rate(&mut self, exchange: u32, rate: f64) {
         let report = CapacityReport { rate: Some(rate), ..CapacityReport::default() };
-        self.controller.on_capacity_report(self.notes.now, &mut self.notes, ExchangeId(exchange), &report);
+        self.controller.on_capacity_report(self.log.now, &mut self.log, ExchangeId(exchange), &report);
     }
 
-    /// A message from peer 7.
-    pub fn hears(&mut self, message: &[u8]) {
-        self.controller.on_peer_message(self.notes.now, &mut self.notes, PeerId(7), message);
+    /// Passes on a message from peer 7.
+    pub fn receive_from_peer(&mut self, message: &[u8]) {
+        self.controller.on_peer_message(self.log.now, &mut self.log, PeerId(7), message);
     }
 
-    pub fn list_failed(&mut self) {
-        self.controller.on_subscription_failed(self.notes.now, &mut self.notes);
+    pub fn fail_subscription(&mut self) {
+        self.controller.on_subscription_failed(self.log.now, &mut self.log);
     }
 
-    pub fn listed(&mut self, lines: &[ExchangeEntry]) {
-        self.controller.on_membership_changes(self.notes.now, &mut self.notes, lines);
+    pub fn update_membership(&mut self, entries: &[ExchangeEntry]) {
+        self.controller.on_membership_changes(self.log.now, &mut self.log, entries);
     }
 
-    /// Moves the far exchanges to a region, the own one stays in 0.
-    pub fn in_region(&mut self, zone: u8) {
-        let far = |no| ExchangeEntry { zone: Zone(zone), ..line(no, ExchangeStatus::Ready, Duration::ZERO) };
-        self.listed(&[far(1), far(2), far(3)]);
+    /// Moves the far exchanges to a region; the own exchange stays in region 0.
+    pub fn move_far_exchanges_to(&mut self, zone: u8) {
+        let far = |number| ExchangeEntry {
+            zone: Zone(zone),
+            ..entry(number, ExchangeStatus::Ready, Duration::ZERO)
+        };
+        self.update_membership(&[far(1), far(2), far(3)]);
     }
 
-    fn offer(&self, call: u64, dest: u16) -> CallOffer {
+    fn new_offer(&self, call: u64, dest: u16) -> CallOffer {
         CallOffer {
             call: CallId(call),
             call_type: CallType(0),
             customer: CustomerId(0),
             dialled: DialledNumber(call),
-            deadline: self.notes.now + ms(3000),
+            deadline: self.log.now + ms(3000),
             dest: ExchangeNumber(dest),
             width: 1,
             advised: None,
@@ -177,68 +182,68 @@
         }
     }
 
-    pub fn calls(&mut self, call: u64, dest: u16) {
-        self.calls_as(call, dest, |_| {});
+    pub fn offer(&mut self, call: u64, dest: u16) {
+        self.offer_with(call, dest, |_| {});
     }
 
-    pub fn calls_as(&mut self, call: u64, dest: u16, change: impl FnOnce(&mut CallOffer)) {
-        let mut offer = self.offer(call, dest);
+    pub fn offer_with(&mut self, call: u64, dest: u16, change: impl FnOnce(&mut CallOffer)) {
+        let mut offer = self.new_offer(call, dest);
         change(&mut offer);
-        self.controller.on_offer(self.notes.now, &mut self.notes, offer);
+        self.controller.on_offer(self.log.now, &mut self.log, offer);
     }
 
-    /// Offers a call and tells whether it was sent to `to` at once.
-    pub fn sends(&mut self, call: u64, dest: u16, to: u32) -> bool {
-        self.calls(call, dest);
-        self.did().contains(&Did::Seized(call, to))
+    /// Offers a call and returns whether it was sent to `to` at once.
+    pub fn is_sent(&mut self, call: u64, dest: u16, to: u32) -> bool {
+        self.offer(call, dest);
+        self.take_actions().contains(&Action::Seized(call, to))
     }
 
-    /// How many of these calls are sent to exchange 1 at once; those stand.
-    pub fn served(&mut self, calls: Range<u64>) -> usize {
+    /// Offers these calls to exchange 1 and returns how many are sent there at once; each is answered.
+    pub fn count_sent(&mut self, calls: Range<u64>) -> usize {
         let serve = |call: &u64| {
-            let sent = self.sends(*call, 1, 1);
-            self.stands(*call, 0, 1, ms(20));
-            self.withdrawn(*call);
+            let sent = self.is_sent(*call, 1, 1);
+            self.answer(*call, 0, 1, ms(20));
+            self.withdraw(*call);
             sent
         };
         calls.filter(serve).count()
     }
 
-    /// A call to an exchange that comes to nothing, and whose caller gives up.
-    pub fn fails(&mut self, call: u64, to: u32, cause: Cause) {
-        self.calls(call, to as u16);
-        self.ended(call, 0, to, cause);
-        self.withdrawn(call);
-        self.did();
+    /// Offers a call whose seizure fails and whose caller then gives up.
+    pub fn offer_failing(&mut self, call: u64, to: u32, cause: Cause) {
+        self.offer(call, to as u16);
+        self.end_seizure(call, 0, to, cause);
+        self.withdraw(call);
+        self.take_actions();
     }
 
-    pub fn stands(&mut self, call: u64, seizure: u8, exchange: u32, elapsed: Duration) {
+    pub fn answer(&mut self, call: u64, seizure: u8, exchange: u32, elapsed: Duration) {
         let (call, seizure, exchange) = (CallId(call), SeizureNumber(seizure), ExchangeId(exchange));
-        let stood = SeizureAnswered { call, seizure, exchange, elapsed };
-        self.controller.on_seizure_answered(self.notes.now, &mut self.notes, &stood);
+        let answered = SeizureAnswered { call, seizure, exchange, elapsed };
+        self.controller.on_seizure_answered(self.log.now, &mut self.log, &answered);
     }
 
-    pub fn ended(&mut self, call: u64, seizure: u8, exchange: u32, cause: Cause) {
+    pub fn end_seizure(&mut self, call: u64, seizure: u8, exchange: u32, cause: Cause) {
         let (call, seizure, exchange) = (CallId(call), SeizureNumber(seizure), ExchangeId(exchange));
         let end = SeizureEnded { call, seizure, exchange, cause, elapsed: ms(10), closed: false };
-        self.controller.on_seizure_ended(self.notes.now, &mut self.notes, &end);
+        self.controller.on_seizure_ended(self.log.now, &mut self.log, &end);
     }
 
-    pub fn withdrawn(&mut self, call: u64) {
-        self.controller.on_caller_gone(self.notes.now, &mut self.notes, CallId(call));
+    pub fn withdraw(&mut self, call: u64) {
+        self.controller.on_caller_gone(self.log.now, &mut self.log, CallId(call));
     }
 
-    /// Lets time pass, ringing what is due on the way.
-    pub fn pass(&mut self, span: Duration) {
-        let end = self.notes.now + span;
-        while let Some(at) = (0..self.notes.alarms.len()).min_by_key(|at| self.notes.alarms[*at].0) {
-            if self.notes.alarms[at].0 > end {
+    /// Lets time pass; timers that are due on the way expire.
+    pub fn advance(&mut self, span: Duration) {
+        let end = self.log.now + span;
+        while let Some(at) = (0..self.log.timers.len()).min_by_key(|at| self.log.timers[*at].0) {
+            if self.log.timers[at].0 > end {
                 break;
             }
-            let (due, alarm) = self.notes.alarms.remove(at);
-            self.notes.now = due;
-            self.controller.on_timer(due, &mut self.notes, alarm);
+            let (due, timer) = self.log.timers.remove(at);
+            self.log.now = due;
+            self.controller.on_timer(due, &mut self.log, timer);
         }
-        self.notes.now = end;
+        self.log.now = end;
     }
 }
