--- a/src/choice.rs
+++ b/src/choice.rs
@@ -31,7 +31,7 @@
 /// How long an exchange gets no set-ups after its processor was full, or after a second seizure in a row
 /// without an answer.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(300);
-/// How often the ejection time doubles as failures go on.
+/// How many times the ejection time doubles at most.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// Failed seizures in a row after which an exchange counts as silent.
 const EJECTION_THRESHOLD: u32 = 2;
@@ -44,7 +44,7 @@
 /// The answers must also come well before a waiting set-up is retransmitted, which is more work for a
 /// processor that is overloaded already.
 const LATENCY_SHARE_OF_RETRANSMIT: f64 = 0.5;
-/// Late answers multiply a concurrency limit by this factor.
+/// A late answer multiplies a concurrency limit by this factor.
 const LIMIT_DECREASE_FACTOR: f64 = 0.7;
 const INITIAL_CONCURRENCY_LIMIT: f64 = 4.0;
 /// A further call to the same number within this time is a redial.
@@ -63,7 +63,7 @@
 const CALL_SURGE_FACTOR: f64 = 1.6;
 /// An exchange is overloaded if it reports a rate below this share of the highest rate that it has reported.
 const OVERLOAD_RATE_SHARE: f64 = 0.7;
-/// Seconds after which the last reported rate no longer limits what an exchange is sent.
+/// Seconds within which the effect of a reported rate fades out.
 const REPORTED_RATE_FADE_S: f64 = 20.0;
 /// Within this time after the first membership list, a controller announces its groups to its peers.
 const ANNOUNCEMENT_WINDOW: Duration = Duration::from_secs(1);
@@ -110,8 +110,8 @@
     pools: Vec<ExchangeNumber>,
 }
 
-/// What is known of one exchange. Entries come from the membership list, and are dropped with it or once the
-/// exchange is replaced.
+/// What is known of one exchange. Entries come from the membership list, and are removed once it no longer
+/// names the exchange or names a replacement.
 #[derive(Clone, Debug)]
 struct Exchange {
     number: ExchangeNumber,
@@ -544,7 +544,7 @@
     fn enqueue(&mut self, now: Duration, actions: &mut dyn ControllerActions, call: Call) {
         let max_wait = self.call_types[call.call_type].setup_target.mul_f64(QUEUE_SHARE_OF_TARGET);
         let until = call.arrived.saturating_add(max_wait).min(call.offer.deadline);
-        // A destination that is not ready gets no queue.
+        // Waiting makes no sense while the destination is not ready.
         if call.offer.transit
             || until <= now
             || self.own_number.is_some() && self.ready_destination(&call.offer).is_none()
@@ -719,7 +719,7 @@
         let backoff = MAX_BACKOFF.min(INITIAL_BACKOFF * 2u32.pow(doublings));
         let jitter = backoff.mul_f64(self.rng.next_f64());
         // The release wait, or the wait that a full processor asks for, is the same for all and mostly longer
-        // than the jitter. Adding both guards against instances whose seizures ended together sending them
+        // than the jitter. Adding both guards against controllers whose seizures ended together sending them
         // again together; it could cost a call its last try.
         let wait = min_wait + jitter;
         let in_time = now + wait + MIN_SEIZURE_TIME + ANSWER_MARGIN <= call.offer.deadline;
@@ -831,7 +831,7 @@
         sampling_key < self.sampling_fraction(now, exchange)
     }
 
-    /// The fraction of calls that the exchange is sent.
+    /// The exchange is sent calls whose sampling key is below this fraction.
     fn sampling_fraction(&self, now: Duration, exchange: &Exchange) -> f64 {
         let unavailable = !exchange.is_available(now) || self.is_region_ejected(now, Some(exchange.zone));
         if unavailable {
