--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -30,7 +30,7 @@
         harness.answer(call, 1, 2, ms(10));
     }
     let actions = harness.take_actions();
-    assert_eq!(actions.iter().filter(|actions| matches!(actions, Seized(..))).count(), 5);
+    assert_eq!(actions.iter().filter(|action| matches!(action, Seized(..))).count(), 5);
     assert_eq!(actions.last(), Some(&Rejected(3)));
 }
 
@@ -49,7 +49,7 @@
         harness.offer(call, 2 + call as u16 % 2);
         harness.end_seizure(call, 0, 2 + call as u32 % 2, Cause::Unreachable);
     }
-    let retries = 3 - harness.take_actions().iter().filter(|actions| matches!(actions, Rejected(_))).count();
+    let retries = 3 - harness.take_actions().iter().filter(|action| matches!(action, Rejected(_))).count();
     assert_eq!(retries, 2, "only the initial credit");
 }
 
@@ -86,9 +86,9 @@
 fn every_wait_ends_with_a_seizure_or_a_final_answer() {
     // A wait that was not a multiple of the clock's resolution was not over when its timer expired, and the call
     // got no answer.
-    for draw in 0..50 {
+    for offset in 0..50 {
         let mut harness = Harness::new(&default_config(), 9.0);
-        harness.advance(Duration::from_micros(draw * 7));
+        harness.advance(Duration::from_micros(offset * 7));
         harness.offer(1, 1);
         harness.end_seizure(1, 0, 1, Cause::Unreachable);
         harness.advance(ms(2900));
@@ -327,16 +327,16 @@
 
 #[test]
 fn late_answers_lower_the_overall_limit_but_missing_answers_do_not() {
-    let out = |cause: Option<Cause>, late: u64, told: f64| {
+    let seizures_after = |cause: Option<Cause>, late_every: u64, rate: f64| {
         let mut harness = Harness::new(&default_config(), 99.0);
         harness.move_far_exchanges_to(1);
-        (1..4).for_each(|far| harness.report_rate(far, told));
+        (1..4).for_each(|far| harness.report_rate(far, rate));
         for call in 0..30 {
             let to = 1 + call as u32 % 3;
             harness.advance(ms(700));
             harness.offer(call, to as u16);
             match cause {
-                None => harness.answer(call, 0, to, ms(if call % late == 0 { 1900 } else { 100 })),
+                None => harness.answer(call, 0, to, ms(if call % late_every == 0 { 1900 } else { 100 })),
                 Some(cause) => harness.end_seizure(call, 0, to, cause),
             }
             harness.withdraw(call);
@@ -346,12 +346,16 @@
         (100..130).for_each(|call| harness.offer(call, 1 + call as u16 % 3));
         harness.take_actions().len()
     };
-    assert_eq!(out(None, 1, 0.0), 1, "all answers late: one call at a time");
+    assert_eq!(seizures_after(None, 1, 0.0), 1, "all answers late: one call at a time");
     assert!(
-        out(None, 2, 9.0) < out(None, 2, 0.0),
+        seizures_after(None, 2, 9.0) < seizures_after(None, 2, 0.0),
         "every second answer late, from exchanges that report no overload"
     );
-    assert_eq!(out(Some(Cause::TimedOut), 1, 0.0), 3, "no answers: one trial seizure to each exchange");
+    assert_eq!(
+        seizures_after(Some(Cause::TimedOut), 1, 0.0),
+        3,
+        "no answers: one trial seizure to each exchange"
+    );
 }
 
 #[test]
@@ -369,7 +373,7 @@
 
 #[test]
 fn exchange_that_reports_a_low_rate_is_sent_that_share() {
-    // Each of many senders sees few of its answers, so a single report has to be enough.
+    // Each of many senders sees little of the exchange, so a single report has to be enough.
     let mut harness = Harness::new(&default_config(), 999.0);
     harness.report_rate(1, 10.0);
     assert_eq!(harness.count_sent(0..100), 100);
