--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -485,7 +485,7 @@
     fn reload(&mut self, tries: u32) {
         self.reload = None;
         match Config::read(&self.config) {
-            Ok(config) => self.core.configured(self.now(), &mut self.wires, &config),
+            Ok(config) => self.core.reconfigure(self.now(), &mut self.wires, &config),
             Err(error) if tries > 1 => {
                 warn!("the configuration stays as it was, read again soon: {error}");
                 self.reload = Some((Instant::now() + RELOAD_AFTER, tries - 1));
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! What the platform hands a controller at its start, and again at a SIGHUP.
+//! The configuration file that the platform gives a controller at its start and, changed, before a SIGHUP.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -18,12 +18,12 @@
     Json { path: PathBuf, error: serde_json::Error },
     #[error("{path}: {error}")]
     Settings { path: PathBuf, error: SettingsError },
-    #[error("{path}: seed: {seed:?} is no number of up to 16 hex digits")]
+    #[error("{path}: seed: {seed:?} is not a number of up to 16 hex digits")]
     Seed { path: PathBuf, seed: String },
-    #[error("{path}: known: no event holds the whole list of exchanges")]
-    NoList { path: PathBuf },
-    #[error("{path}: limits: {what}")]
-    Limits { path: PathBuf, what: &'static str },
+    #[error("{path}: known: no event holds the full list of exchanges")]
+    MissingFullList { path: PathBuf },
+    #[error("{path}: limits: {reason}")]
+    Limits { path: PathBuf, reason: &'static str },
 }
 
 #[derive(Debug, Deserialize)]
@@ -49,44 +49,45 @@
     batch: Vec<Event>,
 }
 
-/// The least number of descriptors with which a controller can do its work.
-const LEAST_SOCKETS: usize = 64;
+/// The number of descriptors that a controller needs at least.
+const MIN_SOCKETS: usize = 64;
 
-/// A configuration in which everything was found to be in order.
+/// A valid configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub bus: SocketAddr,
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Number of descriptors that the process may hold.
     pub sockets: usize,
-    /// The events of the start, and the number of the last.
+    /// Events with the list of exchanges at the start.
     pub initial_events: Vec<Event>,
-    pub last: u64,
+    /// Offset of the last of these events.
+    pub last_offset: u64,
     pub settings: Settings,
 }
 
 impl Config {
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
-        let error = |error| ConfigError::Unreadable { path: path.into(), error };
-        Self::parse(path, &std::fs::read(path).map_err(error)?)
+        let unreadable = |error| ConfigError::Unreadable { path: path.into(), error };
+        Self::parse(path, &std::fs::read(path).map_err(unreadable)?)
     }
 
     pub fn parse(path: &Path, octets: &[u8]) -> Result<Self, ConfigError> {
-        let at = || path.to_path_buf();
+        let path_buf = || path.to_path_buf();
         let file: File =
-            serde_json::from_slice(octets).map_err(|error| ConfigError::Json { path: at(), error })?;
+            serde_json::from_slice(octets).map_err(|error| ConfigError::Json { path: path_buf(), error })?;
         let seed = u64::from_str_radix(&file.seed, 16);
-        let seed = seed.map_err(|_| ConfigError::Seed { path: at(), seed: file.seed.clone() })?;
+        let seed = seed.map_err(|_| ConfigError::Seed { path: path_buf(), seed: file.seed.clone() })?;
         let settings =
-            from_json(&file.settings).map_err(|error| ConfigError::Settings { path: at(), error })?;
-        if file.limits.sockets < LEAST_SOCKETS {
-            return Err(ConfigError::Limits { path: at(), what: "sockets: fewer than 64" });
+            from_json(&file.settings).map_err(|error| ConfigError::Settings { path: path_buf(), error })?;
+        if file.limits.sockets < MIN_SOCKETS {
+            return Err(ConfigError::Limits { path: path_buf(), reason: "sockets: fewer than 64" });
         }
-        let whole = |event: &Event| event.topology.as_ref().is_some_and(|topology| topology.is_full);
-        if !file.known.batch.iter().any(whole) {
-            return Err(ConfigError::NoList { path: at() });
+        let is_full = |event: &Event| event.topology.as_ref().is_some_and(|topology| topology.is_full);
+        if !file.known.batch.iter().any(is_full) {
+            return Err(ConfigError::MissingFullList { path: path_buf() });
         }
         Ok(Self {
             name: file.name,
@@ -95,7 +96,7 @@
             seed,
             sockets: file.limits.sockets,
             initial_events: file.known.batch,
-            last: file.known.offset,
+            last_offset: file.known.offset,
             settings,
         })
     }
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -1,4 +1,7 @@
-//! What is told from outside: callers' messages, links' messages, the bus, the clock; and the decisions it is told on to.
+//! The core: handles the events of callers, links, the event bus and timers, and passes them to the controller.
+//!
+//! `callers` and `exchanges` handle the messages and connections of each side, `discovery` the event bus, `leases` the
+//! failure detection, `shutdown` the end of the process; timers are handled here. State is kept in `crate::state`.
 
 mod callers;
 mod discovery;
@@ -20,36 +23,36 @@
 use crate::state::{AnswerState, Caller, EventContext, LinkState, PlatformState, Timer, exponential_backoff};
 use crate::{Config, Transport};
 
-/// How often half messages and silent connections are looked for.
-const SWEEP: Duration = Duration::from_millis(250);
-/// A connection that has said nothing, or half a message, is given so long.
-const HALF_FOR: Duration = Duration::from_millis(2200);
-/// One on which a call has stood writes its messages in the end, however slowly.
-const HALF_FOR_PROVEN: Duration = Duration::from_secs(6);
-/// And a link so long for the rest of a message.
-const HALF_ANSWER_FOR: Duration = Duration::from_millis(700);
-/// The bus says something each second; without it for so long it has fallen silent.
-const BUS_SILENT: Duration = Duration::from_millis(2300);
-/// A dial that is not answered is given up after this at first, then after twice as long each time: a crowded bus
-/// accepts late.
-const BUS_DIAL: Duration = Duration::from_millis(500);
-const BUS_DIAL_LONGEST: Duration = Duration::from_secs(2);
-/// A lost bus is dialled again after a draw from the upper half of this, doubled with each failure up to the last: all
-/// controllers lose it together. What the bus has counts as told 6 s after it can be reached, so that dial and pause
-/// together stay well below that.
-const BUS_AGAIN: Duration = Duration::from_millis(200);
-const BUS_AGAIN_LONGEST: Duration = Duration::from_millis(1000);
-/// Set-ups open on one connection, beyond which a caller is refused: a flood must leave room to others.
-const MOST_OPEN: usize = 256;
-/// Octets of descriptions and headers in all open calls: a flood of long ones must not fill the memory.
-const MOST_HELD: usize = 4 << 20;
-/// Standing calls: far beyond what the circuits of all groups carry.
-const MOST_STANDING: usize = 20_000;
-
-/// How a link or a dial ended.
+/// Interval at which connections and leases are checked for time-outs.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// A caller's connection is closed when no message has arrived on it, or a message has been incomplete, for this long.
+const CALLER_PARTIAL_TIMEOUT: Duration = Duration::from_millis(2200);
+/// The same for a connection that has had a standing call: such a caller completes its messages, however slowly.
+const PROVEN_CALLER_PARTIAL_TIMEOUT: Duration = Duration::from_secs(6);
+/// A link is closed when a message on it has been incomplete for this long.
+const LINK_PARTIAL_TIMEOUT: Duration = Duration::from_millis(700);
+/// The bus sends something each second. Its connection is closed after this long without anything.
+const BUS_SILENCE_TIMEOUT: Duration = Duration::from_millis(2300);
+/// Time for a connection to the bus to come up. It doubles with each failure, up to the maximum, since a crowded bus
+/// accepts late. Links have this time too where the settings give none.
+const BUS_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_BUS_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// A lost connection to the bus is opened again after a random delay from the upper half of this span, which doubles
+/// with each failure up to the maximum: all controllers lose the bus at the same time. Events count as known 6 s after
+/// the bus can be reached, so the connect time-out and the delay together have to stay well below that.
+const BUS_RECONNECT_DELAY: Duration = Duration::from_millis(200);
+const MAX_BUS_RECONNECT_DELAY: Duration = Duration::from_millis(1000);
+/// Open set-ups on one connection; more are refused, so that a flood from one caller leaves room for others.
+const MAX_OPEN_SET_UPS: usize = 256;
+/// Octets of descriptions and headers in all open calls, so that a flood of long ones does not fill the memory.
+const MAX_HELD_OCTETS: usize = 4 << 20;
+/// Far more standing calls than the circuits of all groups carry.
+const MAX_STANDING_CALLS: usize = 20_000;
+
+/// How a link was lost, or an attempt to connect it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disconnect {
-    /// Nobody listens there.
+    /// Nothing listens at the address.
     Refused,
     Lost,
 }
@@ -58,7 +61,7 @@
 enum BusState {
     Connecting,
     Up,
-    /// To be dialled again when its timer rings.
+    /// Waits for its reconnect timer.
     Down,
 }
 
@@ -66,112 +69,111 @@
     controller: Controller,
     state: PlatformState,
     settings: Settings,
-    bus: EventDecoder,
-    bus_at: SocketAddr,
+    bus_decoder: EventDecoder,
+    bus_address: SocketAddr,
     bus_state: BusState,
-    /// Since when the bus has been in that state, or was last heard.
+    /// When the bus entered that state or last sent something.
     bus_since: Duration,
-    /// Times in a row that it was lost without a word.
+    /// Connections lost in a row on which nothing was received.
     bus_failures: u32,
-    /// Exchanges by the names of the bus. Emptied as they go.
+    /// Ids of the exchanges by their uid on the bus. Exchanges that are gone are removed.
     uids: BTreeMap<Box<str>, ExchangeId>,
-    next_exchange: u32,
+    last_exchange: u32,
     shutdown: Shutdown,
 }
 
 impl Core {
-    /// `now` is the span since the Unix epoch. Dials the bus and every exchange.
+    /// Connects to the bus and to every exchange. `now` is the time since the Unix epoch.
     pub fn new(config: &Config, now: Duration, transport: &mut dyn Transport) -> Self {
         let settings = config.settings.clone();
-        let connect_timeout =
-            if settings.connect_timeout.is_zero() { BUS_DIAL } else { settings.connect_timeout };
+        let link_connect_timeout =
+            if settings.connect_timeout.is_zero() { BUS_CONNECT_TIMEOUT } else { settings.connect_timeout };
         let mut core = Self {
             controller: Controller::new(&settings.controller, config.seed),
-            state: PlatformState::new(now, config.seed, config.sockets / 4, connect_timeout),
+            state: PlatformState::new(now, config.seed, config.sockets / 4, link_connect_timeout),
             settings,
-            bus: EventDecoder::new(config.last),
-            bus_at: config.bus,
+            bus_decoder: EventDecoder::new(config.last_offset),
+            bus_address: config.bus,
             bus_state: BusState::Down,
             bus_since: now,
             bus_failures: 0,
             uids: BTreeMap::new(),
-            next_exchange: 0,
-            shutdown: Shutdown::NotAsked,
+            last_exchange: 0,
+            shutdown: Shutdown::NotRequested,
         };
         for event in &config.initial_events {
             core.apply(transport, event);
         }
-        core.dial_bus(transport);
-        core.state.set(SWEEP, Timer::Sweep);
+        core.connect_to_bus(transport);
+        core.state.set_timer(SWEEP_INTERVAL, Timer::Sweep);
         core.report_ended_seizures(transport);
         core
     }
 
-    /// Tells the decisions one thing; they act at once.
+    /// Calls a method of the controller, whose actions take effect at once.
     fn with_controller(
         &mut self,
         transport: &mut dyn Transport,
-        tell: impl FnOnce(&mut Controller, Duration, &mut EventContext),
+        call: impl FnOnce(&mut Controller, Duration, &mut EventContext),
     ) {
         let now = self.state.now;
-        tell(&mut self.controller, now, &mut EventContext { state: &mut self.state, transport });
+        call(&mut self.controller, now, &mut EventContext { state: &mut self.state, transport });
     }
 
-    /// Tells the decisions which seizures ended through what was done since.
+    /// Tells the controller of the seizures that have ended since the last call.
     fn report_ended_seizures(&mut self, transport: &mut dyn Transport) {
-        while let Some(end) = self.state.ends.pop_front() {
+        while let Some(end) = self.state.ended_seizures.pop_front() {
             self.with_controller(transport, |controller, now, context| {
                 controller.on_seizure_ended(now, context, &end)
             });
         }
     }
 
-    // Time.
-
-    /// When [`Core::on_timer`] is next to be called.
+    /// When [`Core::on_timer`] has to be called next.
     pub fn next_timer(&self) -> Option<Duration> {
         self.state.timers.peek().map(|first| first.0.0)
     }
 
-    /// What has fallen due.
+    /// Handles all timers that have expired.
     pub fn on_timer(&mut self, now: Duration, transport: &mut dyn Transport) {
         self.state.now = now;
         while self.state.timers.peek().is_some_and(|first| first.0.0 <= now)
             && let Some(first) = self.state.timers.pop()
         {
             let (_, _, timer) = first.0;
-            self.falls_due(transport, timer);
+            self.handle_timer(transport, timer);
             self.report_ended_seizures(transport);
         }
     }
 
-    fn falls_due(&mut self, transport: &mut dyn Transport, timer: Timer) {
+    fn handle_timer(&mut self, transport: &mut dyn Transport, timer: Timer) {
         match timer {
-            Timer::Alarm(alarm) => self.with_controller(transport, |controller, now, context| {
-                controller.on_timer(now, context, alarm)
+            Timer::Controller(timer) => self.with_controller(transport, |controller, now, context| {
+                controller.on_timer(now, context, timer)
             }),
-            Timer::SeizureTimeout(call, no) => self.state.limit(transport, call, no),
-            Timer::GuardTime(call) => self.time_is_up(transport, call, 408),
+            Timer::SeizureTimeout(call, number) => self.state.on_seizure_timeout(transport, call, number),
+            Timer::GuardTime(call) => self.fail_unanswered_call(transport, call, 408),
             Timer::ConnectTimeout(link) => {
                 if self.state.links.get(&link).is_some_and(|link| link.state == LinkState::Connecting) {
                     self.remove_link(transport, link, LinkLoss::DialTimeout);
                 }
             }
-            Timer::DialForReleases(exchange) => self.state.dial_for_releases(transport, exchange),
+            Timer::ConnectForReleases(exchange) => self.state.connect_for_releases(transport, exchange),
             Timer::MaintainPool(exchange) => self.state.maintain_pool(transport, exchange),
-            Timer::ReconnectBus if self.bus_state == BusState::Down => self.dial_bus(transport),
+            Timer::ReconnectBus if self.bus_state == BusState::Down => self.connect_to_bus(transport),
             Timer::ReconnectBus => {}
             Timer::Sweep => self.sweep(transport),
             Timer::ShutdownDeadline => {
-                let owed: Vec<_> = self.state.unanswered.values().copied().collect();
-                owed.into_iter().for_each(|call| self.time_is_up(transport, call, 500));
+                let unanswered: Vec<_> = self.state.unanswered.values().copied().collect();
+                unanswered.into_iter().for_each(|call| self.fail_unanswered_call(transport, call, 500));
             }
             Timer::DrainCallers => self.drain_callers(transport),
         }
     }
 
-    /// The decisions leave time for their answer; what has none by now fails.
-    fn time_is_up(&mut self, transport: &mut dyn Transport, id: CallId, status: u16) {
+    /// Answers a call with this status if it has no final answer. At the guard time it normally has one, since the
+    /// controller answers earlier.
+    fn fail_unanswered_call(&mut self, transport: &mut dyn Transport, id: CallId, status: u16) {
         if self.state.calls.get(&id).is_some_and(|call| call.answer_state == AnswerState::Pending) {
             self.state.answer(transport, id, status, &[], b"");
             self.with_controller(transport, |controller, now, context| {
@@ -180,34 +182,38 @@
         }
     }
 
-    /// Looks for half messages, silent connections, quiet exchanges and a silent bus.
+    /// Looks for incomplete messages, callers that send nothing, drained links, quiet exchanges and a silent bus.
     fn sweep(&mut self, transport: &mut dyn Transport) {
         let now = self.state.now;
-        self.state.set(SWEEP, Timer::Sweep);
+        self.state.set_timer(SWEEP_INTERVAL, Timer::Sweep);
         let late = |since: Option<Duration>, span| since.is_some_and(|since| since + span < now);
         let stuck = |caller: &Caller| {
-            let patience = if caller.had_standing_call { HALF_FOR_PROVEN } else { HALF_FOR };
-            // What has been taken is answered first.
-            late(caller.partial_since, patience) && caller.open.is_empty()
+            let timeout =
+                if caller.had_standing_call { PROVEN_CALLER_PARTIAL_TIMEOUT } else { CALLER_PARTIAL_TIMEOUT };
+            // Its open calls get their answers first.
+            late(caller.partial_since, timeout) && caller.open_calls.is_empty()
         };
         let callers = self.state.callers.iter().filter(|(_, caller)| stuck(caller));
-        for no in callers.map(|(no, _)| *no).collect::<Vec<_>>() {
-            self.close_caller(transport, no, CallerClose::IncompleteMessage);
+        for id in callers.map(|(id, _)| *id).collect::<Vec<_>>() {
+            self.close_caller(transport, id, CallerClose::IncompleteMessage);
         }
-        let links = self.state.links.iter().filter(|(_, link)| late(link.partial_since, HALF_ANSWER_FOR));
-        for no in links.map(|(no, _)| *no).collect::<Vec<_>>() {
-            self.remove_link(transport, no, LinkLoss::IncompleteMessage);
+        let links =
+            self.state.links.iter().filter(|(_, link)| late(link.partial_since, LINK_PARTIAL_TIMEOUT));
+        for id in links.map(|(id, _)| *id).collect::<Vec<_>>() {
+            self.remove_link(transport, id, LinkLoss::IncompleteMessage);
         }
-        for no in self.state.expire_links(transport) {
-            self.remove_link(transport, no, LinkLoss::DrainExpired);
+        for id in self.state.expire_links(transport) {
+            self.remove_link(transport, id, LinkLoss::DrainExpired);
         }
         self.check_leases(transport);
-        let patience = match self.bus_state {
-            BusState::Connecting => exponential_backoff(BUS_DIAL, self.bus_failures, BUS_DIAL_LONGEST),
-            _ => BUS_SILENT,
+        let timeout = match self.bus_state {
+            BusState::Connecting => {
+                exponential_backoff(BUS_CONNECT_TIMEOUT, self.bus_failures, MAX_BUS_CONNECT_TIMEOUT)
+            }
+            _ => BUS_SILENCE_TIMEOUT,
         };
-        if self.bus_state != BusState::Down && self.bus_since + patience < now {
-            let reason = if self.bus_state == BusState::Connecting { "dial timeout" } else { "silent" };
+        if self.bus_state != BusState::Down && self.bus_since + timeout < now {
+            let reason = if self.bus_state == BusState::Connecting { "connect timeout" } else { "silent" };
             self.drop_bus(transport, reason);
         }
     }
--- a/crates/platform/src/core/discovery.rs
+++ b/crates/platform/src/core/discovery.rs
@@ -1,26 +1,26 @@
-//! The client of the event bus: keeps its connection, and applies changes of the list of exchanges.
+//! The client of the event bus: keeps the connection open, and applies changes of the list of exchanges.
 
 use std::time::Duration;
 
 use mintstall::interface::{ExchangeEntry, ExchangeId, ExchangeNumber, ExchangeStatus, Zone};
 use mintstall::liveness::Lease;
 
-use super::{BUS_AGAIN, BUS_AGAIN_LONGEST, BusState, Core};
+use super::{BUS_RECONNECT_DELAY, BusState, Core, MAX_BUS_RECONNECT_DELAY};
 use crate::event_bus::{self, Event, Topology};
 use crate::reasons::{CallEnd, LinkLoss};
 use crate::state::{RemoteExchange, Timer, exponential_backoff};
 use crate::{Config, Transport};
 
 impl Core {
-    pub(super) fn dial_bus(&mut self, transport: &mut dyn Transport) {
+    pub(super) fn connect_to_bus(&mut self, transport: &mut dyn Transport) {
         (self.bus_state, self.bus_since) = (BusState::Connecting, self.state.now);
-        transport.connect_bus(self.bus_at);
+        transport.connect_bus(self.bus_address);
     }
 
     pub fn bus_connected(&mut self, now: Duration, transport: &mut dyn Transport) {
         self.state.now = now;
         (self.bus_state, self.bus_since) = (BusState::Up, now);
-        transport.send_to_bus(&self.bus.resume_request());
+        transport.send_to_bus(&self.bus_decoder.resume_request());
     }
 
     pub fn bus_disconnected(&mut self, now: Duration, transport: &mut dyn Transport) {
@@ -29,75 +29,82 @@
     }
 
     pub(super) fn drop_bus(&mut self, transport: &mut dyn Transport, reason: &str) {
-        let after = self.state.now.saturating_sub(self.bus_since);
+        let elapsed = self.state.now.saturating_sub(self.bus_since);
         transport.log_debug(format_args!(
-            "event bus dropped: {reason}, {after:?} after it was last heard or dialled"
+            "event bus connection closed: {reason}, {elapsed:?} after the last data or connection attempt"
         ));
         metrics::counter!("bus_dropped").increment(1);
         transport.close_bus();
         (self.bus_state, self.bus_since) = (BusState::Down, self.state.now);
-        let pause = self.state.jittered(exponential_backoff(BUS_AGAIN, self.bus_failures, BUS_AGAIN_LONGEST));
+        let delay = self.state.jittered(exponential_backoff(
+            BUS_RECONNECT_DELAY,
+            self.bus_failures,
+            MAX_BUS_RECONNECT_DELAY,
+        ));
         self.bus_failures = self.bus_failures.saturating_add(1);
-        self.state.set(pause, Timer::ReconnectBus);
+        self.state.set_timer(delay, Timer::ReconnectBus);
     }
 
     pub fn bus_data(&mut self, now: Duration, transport: &mut dyn Transport, octets: &[u8]) {
         self.state.now = now;
         (self.bus_since, self.bus_failures) = (now, 0);
         let mut events = Vec::new();
-        let taken = self.bus.decode(octets, |event| events.push(event));
+        let result = self.bus_decoder.decode(octets, |event| events.push(event));
         events.iter().for_each(|event| self.apply(transport, event));
-        if let Err(spoilt) = taken {
-            transport.log_info(&format!("event bus: {spoilt}; asked again from {}", self.bus.last()));
+        if let Err(error) = result {
+            transport.log_info(&format!(
+                "event bus: {error}; will resume from event {}",
+                self.bus_decoder.last_offset()
+            ));
             self.drop_bus(transport, "unreadable line or gap");
         }
         self.report_ended_seizures(transport);
     }
 
-    /// A new configuration: only where the bus is may change while calls are in hand.
-    pub fn configured(&mut self, now: Duration, transport: &mut dyn Transport, config: &Config) {
+    /// Applies a new configuration. Only the address of the event bus can change while the process runs.
+    pub fn reconfigure(&mut self, now: Duration, transport: &mut dyn Transport, config: &Config) {
         self.state.now = now;
-        if config.bus != self.bus_at {
-            transport.log_info(&format!("event bus: now at {}, was at {}", config.bus, self.bus_at));
-            (self.bus_at, self.bus_failures) = (config.bus, 0);
-            self.dial_bus(transport);
+        if config.bus != self.bus_address {
+            transport.log_info(&format!("event bus moved to {} from {}", config.bus, self.bus_address));
+            (self.bus_address, self.bus_failures) = (config.bus, 0);
+            self.connect_to_bus(transport);
         }
     }
 
     pub(super) fn apply(&mut self, transport: &mut dyn Transport, event: &Event) {
         let Some(topology) = &event.topology else { return };
-        let lines = self.lines(topology);
-        let gone: Vec<_> = self.changes(transport, topology, &lines);
+        let entries = self.exchange_entries(topology);
+        let ended = self.apply_changes(transport, topology, &entries);
         match topology.is_full {
             true => self.with_controller(transport, |controller, now, context| {
-                controller.on_membership(now, context, &lines)
+                controller.on_membership(now, context, &entries)
             }),
             false => self.with_controller(transport, |controller, now, context| {
-                controller.on_membership_changes(now, context, &lines)
+                controller.on_membership_changes(now, context, &entries)
             }),
         }
-        for (exchange, before, reason) in gone {
-            self.cut_calls(transport, exchange, before, reason);
+        for (exchange, answered_before, reason) in ended {
+            self.cut_calls(transport, exchange, answered_before, reason);
         }
         self.state.share_links();
         let all: Vec<_> = self.state.exchanges.keys().copied().collect();
         all.into_iter().for_each(|exchange| self.state.maintain_pool(transport, exchange));
     }
 
-    /// A topology as the decisions read it; exchanges that are new get their number.
-    pub(super) fn lines(&mut self, topology: &Topology) -> Vec<ExchangeEntry> {
+    /// Converts a topology to the controller's form. New exchanges get an id.
+    pub(super) fn exchange_entries(&mut self, topology: &Topology) -> Vec<ExchangeEntry> {
         let zones = &self.settings.zones;
-        let mut lines = Vec::new();
+        let mut entries = Vec::new();
         for target in &topology.targets {
             let zone = zones.iter().position(|zone| **zone == *target.az);
             let exchange = *self.uids.entry(target.uid.clone()).or_insert_with(|| {
-                self.next_exchange += 1;
-                ExchangeId(self.next_exchange)
+                self.last_exchange += 1;
+                ExchangeId(self.last_exchange)
             });
-            lines.push(ExchangeEntry {
+            entries.push(ExchangeEntry {
                 id: exchange,
                 number: ExchangeNumber(target.pod_group),
-                zone: Zone(zone.map_or(u8::MAX, |at| at as u8)),
+                zone: Zone(zone.map_or(u8::MAX, |index| index as u8)),
                 status: match target.state {
                     event_bus::TargetState::InService => ExchangeStatus::Ready,
                     event_bus::TargetState::Terminating => ExchangeStatus::Draining,
@@ -106,66 +113,68 @@
                 started: Duration::from_millis(target.boot_ms),
             });
         }
-        lines
+        entries
     }
 
-    /// Takes changes into the books; gives the exchanges whose calls, from before some time, ended through them.
-    pub(super) fn changes(
+    /// Updates, adds and removes exchanges. Returns those whose calls have ended by it, if answered before the given time,
+    /// and why.
+    pub(super) fn apply_changes(
         &mut self,
         transport: &mut dyn Transport,
         topology: &Topology,
-        lines: &[ExchangeEntry],
+        entries: &[ExchangeEntry],
     ) -> Vec<(ExchangeId, Duration, CallEnd)> {
         let mut ended = Vec::new();
-        for (line, target) in lines.iter().zip(&topology.targets) {
-            // Calls to the own exchange are not set up over the platform.
-            if Some(line.number) == self.settings.controller.own {
+        for (entry, target) in entries.iter().zip(&topology.targets) {
+            // Calls to the own exchange are not set up over links.
+            if Some(entry.number) == self.settings.controller.own {
                 continue;
             }
-            let fresh = RemoteExchange {
+            let new_remote = RemoteExchange {
                 uid: target.uid.clone(),
-                at: target.endpoint,
-                service: line.status,
-                started: line.started,
+                address: target.endpoint,
+                status: entry.status,
+                started: entry.started,
                 links: Vec::new(),
                 draining: Default::default(),
-                failures: 0,
-                next_dial: Duration::ZERO,
+                connect_failures: 0,
+                next_connect: Duration::ZERO,
                 queued_set_ups: Default::default(),
-                releases: Default::default(),
+                unconfirmed_releases: Default::default(),
                 lease: Lease::new(self.state.now),
-                all_links_lost: None,
-                dials_for_releases: false,
+                all_links_lost_at: None,
+                release_connection_planned: false,
             };
-            let far = self.state.exchanges.entry(line.id).or_insert(fresh);
-            far.service = line.status;
-            if std::mem::replace(&mut far.started, line.started) != line.started {
-                ended.push((line.id, line.started, CallEnd::ExchangeRestarted));
+            let remote = self.state.exchanges.entry(entry.id).or_insert(new_remote);
+            remote.status = entry.status;
+            if std::mem::replace(&mut remote.started, entry.started) != entry.started {
+                ended.push((entry.id, entry.started, CallEnd::ExchangeRestarted));
             }
-            if std::mem::replace(&mut far.at, target.endpoint) != target.endpoint {
-                let links = far.links.clone();
+            if std::mem::replace(&mut remote.address, target.endpoint) != target.endpoint {
+                let links = remote.links.clone();
                 for link in links {
                     self.state.remove_link(transport, link, LinkLoss::AddressChanged);
                 }
             }
         }
-        let missing = |id: &ExchangeId| topology.is_full && lines.iter().all(|line| line.id != *id);
-        for (id, far) in &mut self.state.exchanges {
+        let missing = |id: &ExchangeId| topology.is_full && entries.iter().all(|entry| entry.id != *id);
+        for (id, remote) in &mut self.state.exchanges {
             if missing(id) {
-                far.service = ExchangeStatus::Gone;
+                remote.status = ExchangeStatus::Gone;
             }
         }
-        let gone = |far: &RemoteExchange| far.service == ExchangeStatus::Gone;
+        let gone = |remote: &RemoteExchange| remote.status == ExchangeStatus::Gone;
         let all: Vec<_> =
-            self.state.exchanges.iter().filter(|(_, far)| gone(far)).map(|(id, _)| *id).collect();
+            self.state.exchanges.iter().filter(|(_, remote)| gone(remote)).map(|(id, _)| *id).collect();
         for id in all {
-            let far = self.state.exchanges.get(&id);
-            let links = far.map(|far| far.links.iter().chain(&far.draining).copied().collect::<Vec<_>>());
+            let remote = self.state.exchanges.get(&id);
+            let links =
+                remote.map(|remote| remote.links.iter().chain(&remote.draining).copied().collect::<Vec<_>>());
             for link in links.unwrap_or_default() {
                 self.state.remove_link(transport, link, LinkLoss::ExchangeGone);
             }
-            if let Some(far) = self.state.exchanges.remove(&id) {
-                self.uids.remove(&far.uid);
+            if let Some(remote) = self.state.exchanges.remove(&id) {
+                self.uids.remove(&remote.uid);
             }
             ended.push((id, Duration::MAX, CallEnd::ExchangeGone));
         }
--- a/crates/platform/src/core/exchanges.rs
+++ b/crates/platform/src/core/exchanges.rs
@@ -1,4 +1,4 @@
-//! What exchanges send, and connections to them that open and close.
+//! Links to exchanges, and the messages that arrive on them.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use super::{Core, Disconnect};
 use crate::exchange_protocol::{self, MessageType, WireCallId};
 use crate::reasons::{CallEnd, LinkLoss};
-use crate::state::{AnswerState, LinkState, NORMAL_CLEARING, Standing, TEMPORARY_FAILURE};
+use crate::state::{AnswerState, LinkState, NORMAL_CLEARING, StandingCall, TEMPORARY_FAILURE};
 use crate::{LinkId, Transport};
 
 impl Core {
-    pub fn link_connected(&mut self, now: Duration, transport: &mut dyn Transport, no: LinkId) {
+    pub fn link_connected(&mut self, now: Duration, transport: &mut dyn Transport, link_id: LinkId) {
         self.state.now = now;
-        self.state.link_connected(transport, no);
+        self.state.link_connected(transport, link_id);
         self.report_ended_seizures(transport);
     }
 
@@ -22,7 +22,7 @@
         &mut self,
         now: Duration,
         transport: &mut dyn Transport,
-        no: LinkId,
+        link_id: LinkId,
         how: Disconnect,
     ) {
         self.state.now = now;
@@ -30,9 +30,9 @@
             Disconnect::Refused => LinkLoss::Refused,
             Disconnect::Lost => LinkLoss::Disconnected,
         };
-        let lost = self.remove_link(transport, no, reason);
+        let lost = self.remove_link(transport, link_id, reason);
         if let (Some((exchange, LinkState::Connecting)), Disconnect::Refused) = (lost, how) {
-            // Nobody listens and no link is left: its process has died, and its calls with it.
+            // Nothing listens at the address and no link is open: the process has died, and its calls with it.
             if self.state.oldest_open_link(exchange).is_none() {
                 self.cut_calls(transport, exchange, Duration::MAX, CallEnd::ExchangeRefused);
             }
@@ -40,22 +40,22 @@
         self.report_ended_seizures(transport);
     }
 
-    /// A link goes. Where it told the group's state, what the next one was told last holds from now on.
+    /// Removes a link. If its reports were the ones used, the last report on the next link takes effect.
     pub(super) fn remove_link(
         &mut self,
         transport: &mut dyn Transport,
-        no: LinkId,
+        link_id: LinkId,
         reason: LinkLoss,
     ) -> Option<(ExchangeId, LinkState)> {
-        let exchange = self.state.links.get(&no)?.to;
-        let told = self.state.oldest_open_link(exchange) == Some(no);
-        let lost = self.state.remove_link(transport, no, reason);
+        let exchange = self.state.links.get(&link_id)?.exchange;
+        let was_oldest = self.state.oldest_open_link(exchange) == Some(link_id);
+        let lost = self.state.remove_link(transport, link_id, reason);
         let next = self
             .state
             .oldest_open_link(exchange)
-            .filter(|_| told)
+            .filter(|_| was_oldest)
             .and_then(|next| self.state.links.get_mut(&next));
-        if let Some(report) = next.and_then(|link| link.state_told.take()) {
+        if let Some(report) = next.and_then(|link| link.last_report.take()) {
             self.with_controller(transport, |controller, now, context| {
                 controller.on_capacity_report(now, context, exchange, &report)
             });
@@ -63,11 +63,17 @@
         lost
     }
 
-    pub fn link_data(&mut self, now: Duration, transport: &mut dyn Transport, no: LinkId, octets: &[u8]) {
+    pub fn link_data(
+        &mut self,
+        now: Duration,
+        transport: &mut dyn Transport,
+        link_id: LinkId,
+        octets: &[u8],
+    ) {
         self.state.now = now;
-        let Some(link) = self.state.links.get_mut(&no) else { return };
-        link.heard = now;
-        let exchange = link.to;
+        let Some(link) = self.state.links.get_mut(&link_id) else { return };
+        link.last_received = now;
+        let exchange = link.exchange;
         let mut decoder = std::mem::take(&mut link.decoder);
         decoder.push(octets);
         loop {
@@ -75,47 +81,55 @@
                 Ok(Some(message)) => {
                     let remote = self.state.exchanges.get_mut(&exchange);
                     if remote.is_some_and(|remote| remote.lease.renew(now) == Renewal::AfterSuspicion) {
-                        self.state.plan_dial_for_releases(exchange);
+                        self.state.plan_release_connection(exchange);
                     }
-                    self.exchange_says(transport, no, exchange, &message);
+                    self.handle_link_message(transport, link_id, exchange, &message);
                 }
                 Ok(None) => break,
-                Err(spoilt) => {
-                    transport.log_debug(format_args!("link {}: {spoilt}", no.0));
-                    self.remove_link(transport, no, LinkLoss::Malformed);
+                Err(error) => {
+                    transport.log_debug(format_args!("link {}: {error}", link_id.0));
+                    self.remove_link(transport, link_id, LinkLoss::Malformed);
                     break;
                 }
             }
             self.report_ended_seizures(transport);
         }
-        if let Some(link) = self.state.links.get_mut(&no) {
+        if let Some(link) = self.state.links.get_mut(&link_id) {
             link.partial_since = if decoder.has_partial() { link.partial_since.or(Some(now)) } else { None };
             link.decoder = decoder;
         }
         self.report_ended_seizures(transport);
     }
 
-    pub(super) fn exchange_says(
+    pub(super) fn handle_link_message(
         &mut self,
         transport: &mut dyn Transport,
-        no: LinkId,
+        link_id: LinkId,
         exchange: ExchangeId,
         message: &exchange_protocol::Message,
     ) {
         match message.kind {
-            MessageType::Answer => self.answered(transport, no, exchange, message),
-            MessageType::Release => self.released(transport, no, exchange, message),
-            MessageType::State if self.state.oldest_open_link(exchange) != Some(no) => {
-                let told = message.report.and_then(|text| self.settings.reports.parse_named(text));
-                self.state.links.entry(no).and_modify(|link| link.state_told = told.or(link.state_told));
+            MessageType::Answer => self.handle_answer(transport, link_id, exchange, message),
+            MessageType::Release => self.handle_release(transport, link_id, exchange, message),
+            MessageType::State if self.state.oldest_open_link(exchange) != Some(link_id) => {
+                let report = message.report.and_then(|text| self.settings.reports.parse_named(text));
+                let link = self.state.links.entry(link_id);
+                link.and_modify(|link| link.last_report = report.or(link.last_report));
+            }
+            MessageType::State | MessageType::TestResult => {
+                self.handle_report(transport, exchange, message.report)
             }
-            MessageType::State | MessageType::TestResult => self.report(transport, exchange, message.report),
             MessageType::ReleaseComplete => self.state.exchange_confirmed_release(exchange, message.call),
             MessageType::SetUp | MessageType::Progress | MessageType::Test => {}
         }
     }
 
-    pub(super) fn report(&mut self, transport: &mut dyn Transport, exchange: ExchangeId, text: Option<&str>) {
+    pub(super) fn handle_report(
+        &mut self,
+        transport: &mut dyn Transport,
+        exchange: ExchangeId,
+        text: Option<&str>,
+    ) {
         let report = text.and_then(|text| self.settings.reports.parse_named(text));
         transport.log_debug(format_args!("exchange {} reports {text:?}", exchange.0));
         if let Some(report) = report {
@@ -126,8 +140,8 @@
         }
     }
 
-    /// The first report after all links were lost: a process with all its circuits free holds none of the calls that
-    /// stood, so it is not the one that they were set up with.
+    /// Checks the first report after all links were lost: a process with all its circuits free holds none of the standing
+    /// calls, so it is not the one with which they were set up.
     fn end_calls_of_former_process(
         &mut self,
         transport: &mut dyn Transport,
@@ -135,20 +149,21 @@
         report: &CapacityReport,
     ) {
         let remote = self.state.exchanges.get_mut(&exchange);
-        let Some(lost) = remote.and_then(|remote| remote.all_links_lost.take()) else { return };
+        let Some(lost_at) = remote.and_then(|remote| remote.all_links_lost_at.take()) else { return };
         if liveness::holds_no_calls(report) {
-            self.end_calls(transport, exchange, lost, CallEnd::ExchangeRestarted);
+            self.end_calls(transport, exchange, lost_at, CallEnd::ExchangeRestarted);
         }
     }
 
-    pub(super) fn answered(
+    pub(super) fn handle_answer(
         &mut self,
         transport: &mut dyn Transport,
-        no: LinkId,
+        link_id: LinkId,
         exchange: ExchangeId,
         message: &exchange_protocol::Message,
     ) {
-        let Some(id) = self.state.links.get_mut(&no).and_then(|link| link.open_set_ups.remove(&message.call))
+        let Some(id) =
+            self.state.links.get_mut(&link_id).and_then(|link| link.open_set_ups.remove(&message.call))
         else {
             return;
         };
@@ -156,80 +171,90 @@
         transport.log_debug(format_args!("{} answered by exchange {}", message.call, exchange.0));
         let now = self.state.now;
         let Some(call) = self.state.calls.get_mut(&id) else { return };
-        let Some(out) = call.open_seizure.take() else { return };
-        let (caller, owed) = (call.caller, call.answer_state);
-        if owed == AnswerState::Settled {
-            // Its caller has gone and it could not be cancelled: released at once.
-            call.open_seizure = Some(out);
+        let Some(seizure) = call.open_seizure.take() else { return };
+        let (caller, answer_state) = (call.caller, call.answer_state);
+        if answer_state == AnswerState::Settled {
+            // The caller no longer waits, and the seizure was not cancelled: the call is released at once.
+            call.open_seizure = Some(seizure);
             self.state.release_at_exchange(transport, exchange, message.call);
-            return self.state.end(id, Cause::Cancelled);
+            return self.state.end_seizure(id, Cause::Cancelled);
         }
-        let stands = Standing { call: id, seizure: out.no, exchange, caller, sent: out.since, since: now };
-        self.state.standing.insert(message.call, stands);
+        let standing = StandingCall {
+            call: id,
+            seizure: seizure.number,
+            exchange,
+            caller,
+            seized_at: seizure.seized_at,
+            answered_at: now,
+        };
+        self.state.standing.insert(message.call, standing);
         self.state.callers.entry(caller).and_modify(|caller| caller.had_standing_call = true);
         self.state.answer(transport, id, 200, &[("Content-Type", "application/sdp")], description);
-        let after = now.saturating_sub(out.since);
-        let stood = SeizureAnswered { call: id, seizure: out.no, exchange, elapsed: after };
+        let elapsed = now.saturating_sub(seizure.seized_at);
+        let answered = SeizureAnswered { call: id, seizure: seizure.number, exchange, elapsed };
         self.with_controller(transport, |controller, now, context| {
-            controller.on_seizure_answered(now, context, &stood)
+            controller.on_seizure_answered(now, context, &answered)
         });
     }
 
-    pub(super) fn released(
+    pub(super) fn handle_release(
         &mut self,
         transport: &mut dyn Transport,
-        no: LinkId,
+        link_id: LinkId,
         exchange: ExchangeId,
         message: &exchange_protocol::Message,
     ) {
         let cause = message.cause.unwrap_or(TEMPORARY_FAILURE);
-        let waits = self.state.links.get(&no).and_then(|link| link.open_set_ups.get(&message.call).copied());
+        let unanswered =
+            self.state.links.get(&link_id).and_then(|link| link.open_set_ups.get(&message.call).copied());
         let (id, note) = (message.call, message.note.unwrap_or("-"));
         transport.log_debug(format_args!("{id} released by exchange {}: cause {cause} {note}", exchange.0));
-        if let Some(id) = waits {
-            self.report(transport, exchange, message.report);
-            self.state.end(id, before_answer(cause, message));
+        if let Some(id) = unanswered {
+            self.handle_report(transport, exchange, message.report);
+            self.state.end_seizure(id, cause_before_answer(cause, message));
             return;
         }
-        let stood = self.state.standing.get(&message.call).filter(|call| call.exchange == exchange).copied();
-        let Some(call) = stood else { return self.state.keep_unmatched_release(id, cause) };
+        let standing =
+            self.state.standing.get(&message.call).filter(|call| call.exchange == exchange).copied();
+        let Some(call) = standing else { return self.state.keep_unmatched_release(id, cause) };
         self.state.standing.remove(&message.call);
-        let (reason, cause, of) = match cause {
+        let (reason, cause, seizure_cause) = match cause {
             NORMAL_CLEARING => (CallEnd::Released, NORMAL_CLEARING, Cause::Done),
             _ => (CallEnd::Cut, TEMPORARY_FAILURE, Cause::Cut),
         };
         reason.count(1);
         self.state.notify_release(transport, Some(call.caller), message.call, cause, self.state.now);
-        let mut heard = Vec::new();
-        exchange_protocol::encode(&mut heard, MessageType::ReleaseComplete, message.call, &[]);
-        transport.send_to_link(no, &heard);
-        self.report(transport, exchange, message.report);
-        self.over(transport, &call, of);
+        let mut octets = Vec::new();
+        exchange_protocol::encode(&mut octets, MessageType::ReleaseComplete, message.call, &[]);
+        transport.send_to_link(link_id, &octets);
+        self.handle_report(transport, exchange, message.report);
+        self.report_standing_call_ended(transport, &call, seizure_cause);
     }
 
-    /// Calls that stand at an exchange since before some time are over for their callers; an exchange that still holds
-    /// them learns so when it can be reached.
+    /// Ends the calls at an exchange that were answered before some time, for their callers and for the controller. They
+    /// are also released at the exchange, which may still hold them, as soon as it can be reached.
     pub(super) fn end_calls(
         &mut self,
         transport: &mut dyn Transport,
         exchange: ExchangeId,
-        before: Duration,
+        answered_before: Duration,
         reason: CallEnd,
     ) {
-        for id in self.cut_calls(transport, exchange, before, reason) {
+        for id in self.cut_calls(transport, exchange, answered_before, reason) {
             self.state.release_at_exchange(transport, exchange, id);
         }
     }
 
-    /// Calls that stand at an exchange since before some time ended with it; gives them.
+    /// Ends the calls at an exchange that were answered before some time, for their callers and for the controller, and
+    /// returns them.
     pub(super) fn cut_calls(
         &mut self,
         transport: &mut dyn Transport,
         exchange: ExchangeId,
-        before: Duration,
+        answered_before: Duration,
         reason: CallEnd,
     ) -> Vec<WireCallId> {
-        let ended = self.state.take_standing(exchange, before);
+        let ended = self.state.take_standing_calls(exchange, answered_before);
         if ended.is_empty() {
             return Vec::new();
         }
@@ -238,14 +263,14 @@
         reason.count(count);
         for (id, call) in &ended {
             self.state.notify_release(transport, Some(call.caller), *id, TEMPORARY_FAILURE, self.state.now);
-            self.over(transport, call, Cause::Cut);
+            self.report_standing_call_ended(transport, call, Cause::Cut);
         }
         ended.into_iter().map(|(id, _)| id).collect()
     }
 }
 
-/// How a seizure ended that had no answer yet.
-fn before_answer(cause: u8, message: &exchange_protocol::Message) -> Cause {
+/// The cause of a seizure that was released before its answer.
+fn cause_before_answer(cause: u8, message: &exchange_protocol::Message) -> Cause {
     let wait = Duration::from_millis(message.wait_ms.unwrap_or_default().into());
     match (cause, message.note) {
         (34, Some("congestion")) => Cause::NoCircuit,
--- a/crates/platform/src/core/leases.rs
+++ b/crates/platform/src/core/leases.rs
@@ -1,4 +1,4 @@
-//! Carries out what the failure detection decides about exchanges at which calls stand.
+//! Checks the leases of exchanges with standing calls, and carries out the actions of the failure detection.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,46 +11,51 @@
 use crate::reasons::CallEnd;
 
 impl Core {
-    /// Looks at the lease of each exchange at which a call stands.
+    /// Checks the lease of each exchange that has standing calls.
     pub(super) fn check_leases(&mut self, transport: &mut dyn Transport) {
-        let holders: BTreeSet<ExchangeId> = self.state.standing.values().map(|call| call.exchange).collect();
-        let holder = if self.draining() { ProcessPhase::Terminating } else { ProcessPhase::Running };
-        for exchange in holders {
+        let exchanges: BTreeSet<ExchangeId> =
+            self.state.standing.values().map(|call| call.exchange).collect();
+        let phase = if self.draining() { ProcessPhase::Terminating } else { ProcessPhase::Running };
+        for exchange in exchanges {
             let Some(remote) = self.state.exchanges.get_mut(&exchange) else { continue };
             let quiet = self.state.now.saturating_sub(remote.lease.last_heard());
-            match remote.lease.check(self.state.now, holder) {
+            match remote.lease.check(self.state.now, phase) {
                 LeaseAction::Valid => {}
                 LeaseAction::SendHeartbeat if self.settings.may_probe => {
-                    transport
-                        .log_debug(format_args!("exchange {} quiet for {quiet:?}: heartbeat", exchange.0));
+                    transport.log_debug(format_args!(
+                        "exchange {} quiet for {quiet:?}: sending a heartbeat",
+                        exchange.0
+                    ));
                     self.state.send_heartbeat(transport, exchange);
                 }
                 LeaseAction::SendHeartbeat => {
-                    // Each new connection brings the group's state as its first message.
-                    transport
-                        .log_debug(format_args!("exchange {} quiet for {quiet:?}: connection", exchange.0));
+                    // An exchange sends the group's state as its first message on each new connection.
+                    transport.log_debug(format_args!(
+                        "exchange {} quiet for {quiet:?}: replacing its connection",
+                        exchange.0
+                    ));
                     self.replace_connection(transport, exchange);
                 }
                 LeaseAction::ReplaceConnection => {
-                    transport
-                        .log_debug(format_args!("exchange {} quiet for {quiet:?}: no answer", exchange.0));
+                    transport.log_debug(format_args!(
+                        "exchange {} quiet for {quiet:?}: heartbeat unanswered, replacing its connection",
+                        exchange.0
+                    ));
                     self.replace_connection(transport, exchange);
                 }
                 LeaseAction::Expired => {
-                    transport.log_info(&format!(
-                        "exchange {} quiet for {quiet:?}: its lease has expired",
-                        exchange.0
-                    ));
+                    transport
+                        .log_info(&format!("exchange {} quiet for {quiet:?}: lease expired", exchange.0));
                     self.end_calls(transport, exchange, Duration::MAX, CallEnd::LeaseExpired);
                 }
             }
         }
     }
 
-    /// A heartbeat was not answered: a new connection shows whether the exchange or the connection is at fault.
+    /// Opens a new connection, which shows whether the exchange or the old connection has failed.
     fn replace_connection(&mut self, transport: &mut dyn Transport, exchange: ExchangeId) {
         match self.state.oldest_open_link(exchange) {
-            // Which sees to the pool itself.
+            // This also opens the new link.
             Some(link) => self.state.drain_link(transport, link),
             None => self.state.maintain_pool(transport, exchange),
         }
--- a/crates/platform/src/event_bus.rs
+++ b/crates/platform/src/event_bus.rs
@@ -1,7 +1,7 @@
-//! The event bus: numbered lines that tell changes of the list of exchanges.
+//! Decoder of the event bus: numbered lines with changes of the list of exchanges.
 //!
-//! Lines that were seen are passed over, a gap is asked for again, and what can't be read costs the connection, never the
-//! list that is held.
+//! Repeated lines are skipped and a gap is requested again. An unreadable line costs the connection, but the list of
+//! exchanges that is held stays.
 
 use std::net::SocketAddr;
 
@@ -9,8 +9,8 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Octets that a line may have: a whole list of a thousand exchanges.
-pub const LONGEST_LINE: usize = 1 << 20;
+/// Room for a full list of a thousand exchanges.
+pub const MAX_LINE_OCTETS: usize = 1 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -20,7 +20,7 @@
     Terminated,
 }
 
-/// One exchange as the bus tells it.
+/// One exchange as it stands on the bus.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Target {
     pub uid: Box<str>,
@@ -29,14 +29,14 @@
     pub az: String,
     pub pod_group: u16,
     pub state: TargetState,
-    /// Unix milliseconds of a late start, or 0.
+    /// When the exchange was started, if it started late: milliseconds since the Unix epoch; else 0.
     #[serde(default)]
     pub boot_ms: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Topology {
-    /// Whether the list is whole; else it holds what has changed.
+    /// Whether this is the full list of exchanges; if not, it holds those that have changed.
     #[serde(rename = "all", default)]
     pub is_full: bool,
     pub targets: Vec<Target>,
@@ -45,84 +45,86 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Event {
     pub offset: u64,
-    /// Events of other kinds have none.
+    /// None for events of other kinds.
     pub topology: Option<Topology>,
 }
 
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    #[error("a line of more than {LONGEST_LINE} octets")]
+    #[error("line longer than {MAX_LINE_OCTETS} octets")]
     TooLong,
-    #[error("a line that can't be read: {0}")]
+    #[error("unreadable line: {0}")]
     Line(String),
-    #[error("event {came} came after {had}")]
-    Gap { had: u64, came: u64 },
+    #[error("gap: event {received} received after {last_offset}")]
+    Gap { last_offset: u64, received: u64 },
 }
 
-/// What has come from the bus so far.
+/// Decodes the events of the bus and detects gaps.
 #[derive(Debug)]
 pub struct EventDecoder {
-    /// Number of the last event that was taken.
-    last: u64,
+    /// Offset of the last event that was handed on.
+    last_offset: u64,
     lines: LineDecoder,
-    /// A gap that the bus told again just after it was asked from the last number is none that can be filled.
-    asked_from: Option<u64>,
+    /// `last_offset` when a gap was last reported. If the bus shows a gap again after a request from there, the missing
+    /// events can't be had any more.
+    requested_from: Option<u64>,
 }
 
 impl EventDecoder {
-    pub fn new(last: u64) -> Self {
-        Self { last, lines: LineDecoder::new(LONGEST_LINE), asked_from: None }
+    pub fn new(last_offset: u64) -> Self {
+        Self { last_offset, lines: LineDecoder::new(MAX_LINE_OCTETS), requested_from: None }
     }
 
-    pub fn last(&self) -> u64 {
-        self.last
+    pub fn last_offset(&self) -> u64 {
+        self.last_offset
     }
 
-    /// The line that asks for all events behind the last; what had come in part is dropped.
+    /// The line that requests all events after the last one. A partial line of the former connection is dropped.
     pub fn resume_request(&mut self) -> String {
-        self.lines = LineDecoder::new(LONGEST_LINE);
-        format!("from {}\n", self.last)
+        self.lines = LineDecoder::new(MAX_LINE_OCTETS);
+        format!("from {}\n", self.last_offset)
     }
 
-    /// Takes what came and hands on each new event.
-    pub fn decode(&mut self, octets: &[u8], mut each: impl FnMut(Event)) -> Result<(), DecodeError> {
-        let mut lines = std::mem::replace(&mut self.lines, LineDecoder::new(LONGEST_LINE));
+    /// Decodes received octets and hands on each new event.
+    pub fn decode(&mut self, octets: &[u8], mut on_event: impl FnMut(Event)) -> Result<(), DecodeError> {
+        let mut lines = std::mem::replace(&mut self.lines, LineDecoder::new(MAX_LINE_OCTETS));
         lines.push(octets);
         while let Some(line) = lines.next().map_err(|_| DecodeError::TooLong)? {
-            self.line(line.trim_ascii(), &mut each)?;
+            self.decode_line(line.trim_ascii(), &mut on_event)?;
         }
         self.lines = lines;
         Ok(())
     }
 
-    fn line(&mut self, line: &[u8], each: &mut impl FnMut(Event)) -> Result<(), DecodeError> {
+    fn decode_line(&mut self, line: &[u8], on_event: &mut impl FnMut(Event)) -> Result<(), DecodeError> {
         let unreadable = |error: &dyn std::fmt::Display| DecodeError::Line(error.to_string());
         if line.is_empty() {
             return Ok(());
         }
         if line.iter().all(u8::is_ascii_digit) {
-            // The pulse: a number beyond the last one taken says that events were missed.
+            // The bus's pulse: the offset of its last event. A higher one than here means that events were missed.
             let text = std::str::from_utf8(line).map_err(|error| unreadable(&error))?;
-            let came: u64 = text.parse().map_err(|error| unreadable(&error))?;
-            return if came > self.last { self.gap(came).map_or(Ok(()), Err) } else { Ok(()) };
+            let received: u64 = text.parse().map_err(|error| unreadable(&error))?;
+            return if received > self.last_offset { self.gap(received).map_or(Ok(()), Err) } else { Ok(()) };
         }
         let event: Event = serde_json::from_slice(line).map_err(|error| unreadable(&error))?;
-        if event.offset <= self.last {
+        if event.offset <= self.last_offset {
             return Ok(());
         }
-        if event.offset > self.last.saturating_add(1)
+        if event.offset > self.last_offset.saturating_add(1)
             && let Some(gap) = self.gap(event.offset)
         {
             return Err(gap);
         }
-        self.last = event.offset;
-        each(event);
+        self.last_offset = event.offset;
+        on_event(event);
         Ok(())
     }
 
-    fn gap(&mut self, came: u64) -> Option<DecodeError> {
-        let known = self.asked_from.replace(self.last) == Some(self.last);
-        (!known).then_some(DecodeError::Gap { had: self.last, came })
+    /// The error for a gap, or none if the bus shows the same gap after a request for the missing events.
+    fn gap(&mut self, received: u64) -> Option<DecodeError> {
+        let requested_before = self.requested_from.replace(self.last_offset) == Some(self.last_offset);
+        (!requested_before).then_some(DecodeError::Gap { last_offset: self.last_offset, received })
     }
 }
 
@@ -136,40 +138,43 @@
         ) + "\n"
     }
 
-    fn taken(bus: &mut EventDecoder, text: &str) -> Vec<u64> {
-        let mut all = Vec::new();
-        bus.decode(text.as_bytes(), |event| all.push(event.offset)).unwrap();
-        all
+    fn decoded(bus: &mut EventDecoder, text: &str) -> Vec<u64> {
+        let mut offsets = Vec::new();
+        bus.decode(text.as_bytes(), |event| offsets.push(event.offset)).unwrap();
+        offsets
     }
 
     #[test]
-    fn repeats_are_passed_over_and_half_lines_are_dropped_at_a_break() {
+    fn repeated_lines_are_skipped_and_partial_lines_are_dropped_on_reconnect() {
         let mut bus = EventDecoder::new(3);
         let (four, five) = (line(4, "in_service"), line(5, "terminating"));
-        assert_eq!(taken(&mut bus, &format!("{four}{four}4\n{}", &five[..30])), [4]);
+        assert_eq!(decoded(&mut bus, &format!("{four}{four}4\n{}", &five[..30])), [4]);
         assert_eq!(bus.resume_request(), "from 4\n");
-        assert_eq!(taken(&mut bus, &format!("{four}{five}5\n\n")), [5]);
-        assert_eq!(bus.last(), 5);
+        assert_eq!(decoded(&mut bus, &format!("{four}{five}5\n\n")), [5]);
+        assert_eq!(bus.last_offset(), 5);
     }
 
     #[test]
-    fn a_gap_is_asked_for_once_and_what_stays_missing_is_taken_as_it_is() {
+    fn a_gap_is_requested_once_and_accepted_if_it_remains() {
         let mut bus = EventDecoder::new(3);
         let six = line(6, "in_service");
-        assert!(matches!(bus.decode(six.as_bytes(), |_| ()), Err(DecodeError::Gap { had: 3, came: 6 })));
+        assert!(matches!(
+            bus.decode(six.as_bytes(), |_| ()),
+            Err(DecodeError::Gap { last_offset: 3, received: 6 })
+        ));
         assert_eq!(bus.resume_request(), "from 3\n");
-        assert_eq!(taken(&mut bus, &six), [6]);
-        assert!(bus.decode(b"9\n", |_| ()).is_err(), "the pulse shows a gap too");
+        assert_eq!(decoded(&mut bus, &six), [6]);
+        assert!(bus.decode(b"9\n", |_| ()).is_err(), "the pulse shows the gap, too");
     }
 
     #[test]
-    fn a_line_that_cant_be_read_changes_nothing() {
+    fn an_unreadable_line_changes_nothing() {
         let mut bus = EventDecoder::new(3);
-        for wrong in ["{\"offset\":4,\n", "nonsense\n", &line(4, "in_doubt"), "99999999999999999999999\n"] {
-            let taken = bus.decode(wrong.as_bytes(), |_| panic!("nothing was told"));
-            assert!(matches!(taken, Err(DecodeError::Line(_))), "{wrong}");
+        for invalid in ["{\"offset\":4,\n", "nonsense\n", &line(4, "in_doubt"), "99999999999999999999999\n"] {
+            let result = bus.decode(invalid.as_bytes(), |_| panic!("no event is handed on"));
+            assert!(matches!(result, Err(DecodeError::Line(_))), "{invalid}");
             assert_eq!(bus.resume_request(), "from 3\n");
         }
-        assert!(matches!(bus.decode(&vec![b'x'; LONGEST_LINE + 1], |_| ()), Err(DecodeError::TooLong)));
+        assert!(matches!(bus.decode(&vec![b'x'; MAX_LINE_OCTETS + 1], |_| ()), Err(DecodeError::TooLong)));
     }
 }
--- a/crates/platform/src/exchange_protocol.rs
+++ b/crates/platform/src/exchange_protocol.rs
@@ -1,54 +1,46 @@
-//! The binary messages between controllers and exchanges: octets to types and back.
+//! The binary protocol between controllers and exchanges: decoder and encoder of messages.
 //!
-//! A message is its length (two octets, of what follows), its type, the call's id, and parameters (code, two octets of
-//! length, value). Everything is checked before any of it is believed.
+//! A message consists of the length of the rest (two octets), the type, the call's id and parameters (code, two octets of
+//! length, value). It is checked completely before any of it is used.
 
 use thiserror::Error;
 
-/// Octets that a message may have.
+/// Limit for a whole message, with its length field.
 pub const MAX_MESSAGE_OCTETS: usize = 16 << 10;
-/// Type and id.
-const LEAST: usize = 9;
+/// Octets of the type and the id.
+const MIN_BODY_OCTETS: usize = 9;
 
-/// A call as it is named on every wire of the platform.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+/// A call's id, as callers and exchanges know it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WireCallId(pub u64);
 
 impl WireCallId {
-    /// Sixteen hex digits, as they are written here.
+    /// Parses sixteen lower-case hex digits, the form that Display writes.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.len() == 16 && text.bytes().all(|octet| matches!(octet, b'0'..=b'9' | b'a'..=b'f'));
         digits.then(|| u64::from_str_radix(text, 16).ok().map(Self)).flatten()
     }
 }
 
-/// The log of calls holds this type under its former name.
-impl std::fmt::Debug for WireCallId {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.debug_tuple("WireId").field(&self.0).finish()
-    }
-}
-
 impl std::fmt::Display for WireCallId {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-/// Why a link can't be read any more.
+/// Why a message is invalid; the link can't be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    #[error("a message of {0} octets")]
+    #[error("invalid message length: {0} octets")]
     Length(usize),
-    #[error("a message of unknown type {0}")]
+    #[error("unknown message type {0}")]
     Type(u8),
-    #[error("a parameter that runs past its message")]
+    #[error("a parameter exceeds its message")]
     Parameter,
-    #[error("parameter {0} is missing, doubled or makes no sense")]
+    #[error("parameter {0} is missing, duplicate or invalid")]
     Value(u8),
 }
 
-/// What a message is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageType {
     SetUp = 1,
@@ -62,7 +54,7 @@
 }
 
 impl MessageType {
-    fn read(octet: u8) -> Result<Self, DecodeError> {
+    fn from_octet(octet: u8) -> Result<Self, DecodeError> {
         const ALL: [MessageType; 8] = [
             MessageType::SetUp,
             MessageType::Progress,
@@ -77,10 +69,10 @@
     }
 }
 
-/// Parameters that are known here; others are passed over.
+/// Codes of the parameters that are used here; others are ignored.
 pub mod parameter {
     pub const CALL_TYPE: u8 = 33;
-    pub const PATIENCE_MS: u8 = 34;
+    pub const EXPIRES_MS: u8 = 34;
     pub const NUMBER: u8 = 37;
     pub const NOTE: u8 = 40;
     pub const WAIT_MS: u8 = 41;
@@ -89,7 +81,7 @@
     pub const DESCRIPTION: u8 = 48;
 }
 
-/// One message, as it lies in the octets that came.
+/// One message, borrowed from the received octets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
     pub kind: MessageType,
@@ -102,28 +94,29 @@
 }
 
 impl<'a> Message<'a> {
-    /// Reads what follows the length.
-    pub fn read(octets: &'a [u8]) -> Result<Self, DecodeError> {
-        let (head, mut rest) = octets.split_at_checked(LEAST).ok_or(DecodeError::Length(octets.len()))?;
+    /// Decodes a message without its length field.
+    pub fn decode(octets: &'a [u8]) -> Result<Self, DecodeError> {
+        let (head, mut rest) =
+            octets.split_at_checked(MIN_BODY_OCTETS).ok_or(DecodeError::Length(octets.len()))?;
         let call = WireCallId(head[1..].iter().fold(0, |id, octet| id << 8 | u64::from(*octet)));
-        let (kind, mut seen) = (MessageType::read(head[0])?, [false; 256]);
+        let (kind, mut seen) = (MessageType::from_octet(head[0])?, [false; 256]);
         let mut message =
             Self { kind, call, cause: None, note: None, wait_ms: None, report: None, description: None };
         while let [code, high, low, more @ ..] = rest {
             let length = usize::from(u16::from_be_bytes([*high, *low]));
             let (value, next) = more.split_at_checked(length).ok_or(DecodeError::Parameter)?;
-            let wrong = DecodeError::Value(*code);
+            let invalid = DecodeError::Value(*code);
             if std::mem::replace(&mut seen[usize::from(*code)], true) {
-                return Err(wrong);
+                return Err(invalid);
             }
-            let text = || std::str::from_utf8(value).map_err(|_| wrong);
+            let text = || std::str::from_utf8(value).map_err(|_| invalid);
             match *code {
                 parameter::CAUSE => match value {
                     [cause] => message.cause = Some(*cause),
-                    _ => return Err(wrong),
+                    _ => return Err(invalid),
                 },
                 parameter::NOTE => message.note = Some(text()?),
-                parameter::WAIT_MS => message.wait_ms = Some(wait(text()?).ok_or(wrong)?),
+                parameter::WAIT_MS => message.wait_ms = Some(parse_wait_ms(text()?).ok_or(invalid)?),
                 parameter::REPORT => message.report = Some(text()?),
                 parameter::DESCRIPTION => message.description = Some(value),
                 _ => {}
@@ -133,7 +126,7 @@
         if !rest.is_empty() {
             return Err(DecodeError::Parameter);
         }
-        let lacks = match kind {
+        let missing = match kind {
             MessageType::Answer => {
                 message.description.is_none_or(<[u8]>::is_empty).then_some(parameter::DESCRIPTION)
             }
@@ -143,64 +136,65 @@
             MessageType::State => message.report.is_none().then_some(parameter::REPORT),
             _ => None,
         };
-        lacks.map_or(Ok(message), |code| Err(DecodeError::Value(code)))
+        missing.map_or(Ok(message), |code| Err(DecodeError::Value(code)))
     }
 }
 
-/// Milliseconds, with or without a fraction.
-fn wait(text: &str) -> Option<u32> {
-    let wait: f64 = text.trim().parse().ok()?;
-    (0.0..=f64::from(u32::MAX)).contains(&wait).then_some(wait.ceil() as u32)
+/// Parses milliseconds, with or without a fraction, and rounds up.
+fn parse_wait_ms(text: &str) -> Option<u32> {
+    let wait_ms: f64 = text.trim().parse().ok()?;
+    (0.0..=f64::from(u32::MAX)).contains(&wait_ms).then_some(wait_ms.ceil() as u32)
 }
 
-/// Cuts what comes on a link into messages.
+/// Splits the octets that arrive on a link into messages.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    held: Vec<u8>,
-    done: usize,
+    buffer: Vec<u8>,
+    /// Octets at the start of the buffer that have been decoded.
+    decoded: usize,
 }
 
 impl Decoder {
     pub fn push(&mut self, octets: &[u8]) {
-        if self.done > 0 {
-            self.held.drain(..self.done);
-            self.done = 0;
+        if self.decoded > 0 {
+            self.buffer.drain(..self.decoded);
+            self.decoded = 0;
         }
-        self.held.extend_from_slice(octets);
+        self.buffer.extend_from_slice(octets);
     }
 
-    /// Whether a message has come in part.
+    /// Whether part of a message is buffered.
     pub fn has_partial(&self) -> bool {
-        self.done < self.held.len()
+        self.decoded < self.buffer.len()
     }
 
-    /// The next whole message, if there is one.
+    /// The next complete message, if there is one.
     pub fn next_message(&mut self) -> Result<Option<Message<'_>>, DecodeError> {
-        let rest = &self.held[self.done..];
+        let rest = &self.buffer[self.decoded..];
         let [high, low, after @ ..] = rest else {
             if rest.is_empty() {
-                (self.held, self.done) = (Vec::new(), 0);
+                (self.buffer, self.decoded) = (Vec::new(), 0);
             }
             return Ok(None);
         };
         let length = usize::from(u16::from_be_bytes([*high, *low]));
-        if !(LEAST..=MAX_MESSAGE_OCTETS - 2).contains(&length) {
+        if !(MIN_BODY_OCTETS..=MAX_MESSAGE_OCTETS - 2).contains(&length) {
             return Err(DecodeError::Length(length));
         }
-        // A type that is none is told before a long message has come.
-        after.first().map_or(Ok(()), |octet| MessageType::read(*octet).map(drop))?;
+        // An unknown type is reported without waiting for the rest of a long message.
+        after.first().map_or(Ok(()), |octet| MessageType::from_octet(*octet).map(drop))?;
         if after.len() < length {
             return Ok(None);
         }
-        let start = self.done + 2;
-        self.done = start + length;
-        Message::read(&self.held[start..self.done]).map(Some)
+        let start = self.decoded + 2;
+        self.decoded = start + length;
+        Message::decode(&self.buffer[start..self.decoded]).map(Some)
     }
 }
 
-/// Writes a message with its parameters; what is too long for a message is the caller's fault and was refused before.
+/// Appends a message with its parameters. Set-ups that are too long for a message are refused before.
 pub fn encode(out: &mut Vec<u8>, kind: MessageType, call: WireCallId, parameters: &[(u8, &[u8])]) {
-    let length = LEAST + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
+    let length = MIN_BODY_OCTETS + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
     debug_assert!(length <= MAX_MESSAGE_OCTETS - 2);
     out.extend((length as u16).to_be_bytes());
     out.push(kind as u8);
@@ -212,24 +206,24 @@
     }
 }
 
-/// Octets that a set-up with these needs on the wire.
+/// Octets of a set-up message with these parameters.
 pub fn set_up_length(call_type: &str, number: &str, description: &[u8]) -> usize {
-    2 + LEAST + 4 * 3 + call_type.len() + number.len() + 10 + description.len()
+    2 + MIN_BODY_OCTETS + 4 * 3 + call_type.len() + number.len() + 10 + description.len()
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn written(kind: MessageType, parameters: &[(u8, &[u8])]) -> Vec<u8> {
+    fn encoded(kind: MessageType, parameters: &[(u8, &[u8])]) -> Vec<u8> {
         let mut out = Vec::new();
         encode(&mut out, kind, WireCallId(0x9b1f_03aa_5c7e_2d41), parameters);
         out
     }
 
     #[test]
-    fn a_release_is_written_as_the_page_says_and_read_again() {
-        let octets = written(
+    fn a_release_is_encoded_as_specified_and_decoded_again() {
+        let octets = encoded(
             MessageType::Release,
             &[(parameter::CAUSE, &[34]), (parameter::NOTE, b"throttled"), (parameter::WAIT_MS, b"250")],
         );
@@ -247,36 +241,39 @@
     }
 
     #[test]
-    fn what_lacks_what_it_needs_or_runs_over_is_spoilt() {
-        let spoilt = |octets: &[u8]| {
+    fn messages_with_missing_duplicate_or_overlong_parts_are_invalid() {
+        let decode_error = |octets: &[u8]| {
             let mut decoder = Decoder::default();
             decoder.push(octets);
             decoder.next_message().unwrap_err()
         };
-        assert_eq!(spoilt(&written(MessageType::Answer, &[])), DecodeError::Value(48));
-        assert_eq!(spoilt(&written(MessageType::Release, &[(47, &[1, 2])])), DecodeError::Value(47));
-        assert_eq!(spoilt(&written(MessageType::Release, &[(47, &[1]), (47, &[1])])), DecodeError::Value(47));
+        assert_eq!(decode_error(&encoded(MessageType::Answer, &[])), DecodeError::Value(48));
+        assert_eq!(decode_error(&encoded(MessageType::Release, &[(47, &[1, 2])])), DecodeError::Value(47));
+        assert_eq!(
+            decode_error(&encoded(MessageType::Release, &[(47, &[1]), (47, &[1])])),
+            DecodeError::Value(47)
+        );
         assert_eq!(
-            spoilt(&written(MessageType::Release, &[(47, &[1]), (41, b"-1")])),
+            decode_error(&encoded(MessageType::Release, &[(47, &[1]), (41, b"-1")])),
             DecodeError::Value(41)
         );
-        assert_eq!(spoilt(&[0xff, 0xff, 9]), DecodeError::Length(0xffff));
-        assert_eq!(spoilt(&[0, 8]), DecodeError::Length(8));
-        assert_eq!(spoilt(&[0, 9, 77]), DecodeError::Type(77));
-        let mut over = written(MessageType::Release, &[(47, &[1])]);
-        *over.last_mut().unwrap() = 9;
-        over[13] = 200;
-        assert_eq!(spoilt(&over), DecodeError::Parameter);
+        assert_eq!(decode_error(&[0xff, 0xff, 9]), DecodeError::Length(0xffff));
+        assert_eq!(decode_error(&[0, 8]), DecodeError::Length(8));
+        assert_eq!(decode_error(&[0, 9, 77]), DecodeError::Type(77));
+        let mut overlong = encoded(MessageType::Release, &[(47, &[1])]);
+        *overlong.last_mut().unwrap() = 9;
+        overlong[13] = 200;
+        assert_eq!(decode_error(&overlong), DecodeError::Parameter);
     }
 
     #[test]
-    fn ids_are_sixteen_small_hex_digits() {
+    fn ids_are_sixteen_lower_case_hex_digits() {
         assert_eq!(
             WireCallId::parse("9b1f03aa5c7e2d41").map(|id| id.to_string()).as_deref(),
             Some("9b1f03aa5c7e2d41")
         );
-        for wrong in ["", "9b1f03aa5c7e2d4", "9B1F03AA5C7E2D41", "+b1f03aa5c7e2d41", "9b1f03aa5c7e2d411"] {
-            assert_eq!(WireCallId::parse(wrong), None);
+        for invalid in ["", "9b1f03aa5c7e2d4", "9B1F03AA5C7E2D41", "+b1f03aa5c7e2d41", "9b1f03aa5c7e2d411"] {
+            assert_eq!(WireCallId::parse(invalid), None);
         }
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,16 +2,16 @@
 //!
 //! | file | holds |
 //! | --- | --- |
-//! | `exchange_protocol` | the binary messages that exchanges speak |
-//! | `event_bus` | the event bus's lines |
-//! | `config` | what the platform hands a controller at its start |
-//! | `reasons` | why connections are given up and standing calls end, for log and metrics |
-//! | `invite` | what a caller's set-up says, every field checked |
-//! | `state` | calls, seizures, standing calls, links to exchanges; acts for the decisions |
-//! | `core` | what is told from outside, and the decisions it is told on to |
+//! | `exchange_protocol` | the binary protocol between controllers and exchanges |
+//! | `event_bus` | the decoder of the event bus's lines |
+//! | `config` | the configuration file that the platform gives a controller |
+//! | `reasons` | why connections are closed and standing calls end, for log and metrics |
+//! | `invite` | the parser of callers' set-ups |
+//! | `state` | calls, seizures, standing calls, links to exchanges; carries out the controller's actions |
+//! | `core` | handles events from outside and passes them to the controller |
 //!
-//! [`Core`] is told the time and what came, and acts through [`Transport`]. It decides nothing about calls and routes: all that
-//! is asked of [`mintstall::Controller`], which it tells what the simulator's adapter would tell for the same story.
+//! [`Core`] is given the time and each event, and acts through [`Transport`]. All decisions about calls and routes are
+//! made by [`mintstall::Controller`], which gets the same events as from the simulator's adapter.
 
 pub mod config;
 mod core;
@@ -31,32 +31,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerConnectionId(pub u64);
 
-/// One connection to an exchange, dialled or open.
+/// One connection to an exchange, connecting or open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// What the core can do outside. Everything is done in the order called.
+/// The I/O that the core asks for, carried out in the order called.
 pub trait Transport {
-    /// Writes to a caller.
     fn send_to_caller(&mut self, caller: CallerConnectionId, octets: &[u8]);
-    /// Closes a caller's connection once what was said is written; nothing more is told of it.
+    /// Closes a caller's connection once everything sent on it is written. The core gets no more events of it.
     fn close_caller_after_flush(&mut self, caller: CallerConnectionId);
-    /// Opens a link; its coming up or its failure is told later.
+    /// Opens a link. The core is told by [`Core::link_connected`] or [`Core::link_disconnected`].
     fn connect_link(&mut self, link: LinkId, to: SocketAddr);
     fn send_to_link(&mut self, link: LinkId, octets: &[u8]);
-    /// Whether what was sent on a link waits to be written.
+    /// Whether data sent on a link still waits to be written.
     fn is_write_blocked(&self, link: LinkId) -> bool;
-    /// Closes the direction to the exchange of an open link; what could not be written by now is dropped. What comes is
-    /// still told, and the end of the other direction as the link's.
+    /// Closes an open link in the direction to the exchange and drops data that is not written yet. The core still gets
+    /// the data that arrives; the end of the other direction counts as the link's end.
     fn shutdown_link_write(&mut self, link: LinkId);
-    /// Closes a link, dialled or open; nothing more is told of it.
+    /// Closes a link, connecting or open. The core gets no more events of it.
     fn close_link(&mut self, link: LinkId);
-    /// Opens the connection to the event bus in place of a former one.
+    /// Opens the connection to the event bus and closes a former one.
     fn connect_bus(&mut self, to: SocketAddr);
     fn send_to_bus(&mut self, text: &str);
     fn close_bus(&mut self);
-    /// One line of the log: a change of mode.
+    /// Writes a log line at level info, about a change of mode or state.
     fn log_info(&mut self, line: &str);
-    /// One step of a call, for whoever has asked to see them all.
+    /// Writes a log line at level debug, about a step of a call or a connection.
     fn log_debug(&mut self, step: Arguments);
 }
--- a/crates/platform/src/reasons.rs
+++ b/crates/platform/src/reasons.rs
@@ -1,27 +1,27 @@
-//! Why connections are given up and standing calls end: the words of the log and the labels of the metrics.
+//! Reasons why connections are closed and standing calls end, as written to the log and to metric labels.
 
 use std::fmt;
 
-/// Why a connection to an exchange was given up.
+/// Why a connection to an exchange was lost or closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkLoss {
     /// Nobody listens at the address.
     Refused,
-    /// The other side closed or reset it, or the network did.
+    /// The other side closed or reset it, or the network failed.
     Disconnected,
     /// It did not come up in time.
     DialTimeout,
-    /// A message that can't be decoded.
+    /// A message could not be decoded.
     Malformed,
-    /// Part of a message, and no more of it for long.
+    /// The rest of a message did not arrive in time.
     IncompleteMessage,
-    /// It was only read on, and that time is over.
+    /// It was draining, and the time for that is over.
     DrainExpired,
-    /// The exchange is at another address now.
+    /// The event bus reported another address of the exchange.
     AddressChanged,
-    /// The event bus has told that the exchange is gone.
+    /// The event bus reported the exchange gone.
     ExchangeGone,
-    /// The process ends.
+    /// This process ends.
     Shutdown,
 }
 
@@ -41,24 +41,24 @@
     }
 }
 
-/// Why a call that stood is over.
+/// Why a standing call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
     /// Its exchange released it.
     Released,
-    /// Its exchange told that it was cut.
+    /// Its exchange reported it cut.
     Cut,
     /// Its caller released it.
     ReleasedByCaller,
-    /// The event bus has told that its exchange is gone.
+    /// The event bus reported its exchange gone.
     ExchangeGone,
-    /// The event bus has told a later start of its exchange.
+    /// The event bus or the exchange's first report showed that the exchange has restarted.
     ExchangeRestarted,
-    /// The exchange's address refuses connections, and none is open.
+    /// The exchange's address refuses connections, and no link is open.
     ExchangeRefused,
-    /// Nothing has come from the exchange for longer than its calls may go without.
+    /// Nothing was received from the exchange until its lease expired.
     LeaseExpired,
-    /// A caller named a call at an exchange that is not on the list.
+    /// A caller named a call at an exchange that is not listed.
     ExchangeUnknown,
 }
 
@@ -85,11 +85,11 @@
 /// Why a caller's connection is closed here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerClose {
-    /// What came can't be read as SIP.
+    /// A message is not valid SIP.
     Malformed,
-    /// Nothing, or part of a message, for too long.
+    /// No message, or only part of one, arrived in time.
     IncompleteMessage,
-    /// The process ends, and nothing is left on it.
+    /// This process ends, and the connection is no longer needed or the shutdown is over.
     Shutdown,
 }
 
--- a/crates/platform/src/state.rs
+++ b/crates/platform/src/state.rs
@@ -1,4 +1,8 @@
-//! Calls, seizures, standing calls and links to exchanges; carries out what the decisions ask for.
+//! The state of calls, seizures, standing calls, callers' connections and links to exchanges, and the actions on it that
+//! the controller asks for.
+//!
+//! `calls` holds the calls without a final answer, `links` the pools of connections to exchanges, `releases` the releases
+//! of standing calls, and `actions` the [`mintstall::interface::ControllerActions`] of this platform.
 
 mod actions;
 mod calls;
@@ -7,7 +11,6 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
-use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -23,63 +26,67 @@
 
 pub use self::actions::EventContext;
 
-/// Q.850: normal clearing; temporary failure.
+/// Q.850 cause: normal call clearing.
 pub const NORMAL_CLEARING: u8 = 16;
+/// Q.850 cause: temporary failure.
 pub const TEMPORARY_FAILURE: u8 = 41;
-/// A release that finds no connection to its caller is kept so long. Its time has passed before that, but a caller that
-/// comes back later still holds the call.
-const PENDING_RELEASE_KEPT: Duration = Duration::from_secs(30);
-/// A release of a call that is not known here is kept so long for the caller that is yet to name the call: exchanges
-/// repeat releases as soon as a connection is up, callers come only once the process passes a test.
-const UNMATCHED_RELEASE_KEPT: Duration = Duration::from_secs(30);
+/// A release that finds no connection to its caller is kept this long. The time in which the caller has to learn of it
+/// is shorter, but a caller that reconnects later still holds the call.
+const PENDING_RELEASE_TTL: Duration = Duration::from_secs(30);
+/// A release of a call that is not known here is kept this long, until the caller names the call: exchanges repeat
+/// releases as soon as a connection is up, callers connect only once the process passes a test.
+const UNMATCHED_RELEASE_TTL: Duration = Duration::from_secs(30);
 /// A release towards an exchange is repeated on the next connection within this time.
-const REPEAT_RELEASE_WITHIN: Duration = Duration::from_secs(10);
-/// And one that was written is sent again where its connection closes within this time.
-const CONFIRM_WITHIN: Duration = Duration::from_secs(2);
-/// Releases that may wait for a caller's or an exchange's connection: a region's calls, some seconds long.
-const MOST_PENDING_RELEASES: usize = 4096;
-/// A failed dial is repeated after a draw from the upper half of this, doubled with each failure up to the last.
-const REDIAL_FIRST: Duration = Duration::from_millis(50);
-const REDIAL_LAST: Duration = Duration::from_millis(800);
-/// Links to one exchange: one spoilt answer costs all set-ups of its link, and reports come on so many.
-const MOST_LINKS: usize = 4;
-/// And beyond them, while a call was given up on each, or each waits to be written.
-const SPARE_LINKS: usize = 2;
-/// A draining link is read on for so long: longer than a set-up may be out.
-const DRAINING_FOR: Duration = Duration::from_secs(4);
-/// And then the other side has this time to close it too.
-const FINISHED_WITHIN: Duration = Duration::from_millis(1500);
+const RELEASE_REPEAT_WINDOW: Duration = Duration::from_secs(10);
+/// A release that was written to a caller is sent again if its connection closes within this time.
+const RELEASE_CONFIRM_WINDOW: Duration = Duration::from_secs(2);
+/// Limit for each list of releases that wait for a connection or a confirmation: all calls of a region over a few
+/// seconds.
+const MAX_PENDING_RELEASES: usize = 4096;
+/// A failed attempt to connect a link is repeated after a random delay from the upper half of this span, which doubles
+/// with each failure.
+const LINK_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+const MAX_LINK_RECONNECT_DELAY: Duration = Duration::from_millis(800);
+/// Links to one exchange. More than one, since an unreadable answer cuts all set-ups of its link; no more, since each
+/// link gets a copy of each report.
+const MAX_LINKS: usize = 4;
+/// Links beyond the regular ones, for when the call has given up a seizure on each of those or all wait to be written.
+const MAX_EXTRA_LINKS: usize = 2;
+/// A draining link is still read for this long: longer than a set-up may be open.
+const DRAIN_PERIOD: Duration = Duration::from_secs(4);
+/// Time for the other side to close a link that has been closed in the direction to the exchange.
+const HALF_CLOSE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What falls due at a time.
+/// What is due when a timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    Alarm(TimerId),
-    /// A seizure's time-out.
+    /// A timer that the controller has set.
+    Controller(TimerId),
     SeizureTimeout(CallId, SeizureNumber),
-    /// The end of the caller's time.
+    /// The caller's deadline for the final answer.
     GuardTime(CallId),
-    /// A dial that is not answered by now is given up.
+    /// A link that is still not connected is given up.
     ConnectTimeout(LinkId),
-    /// A connection on which an exchange repeats releases.
-    DialForReleases(ExchangeId),
-    /// Another try to reach an exchange.
+    /// Opens a connection on which the exchange repeats releases.
+    ConnectForReleases(ExchangeId),
+    /// Opens the links that an exchange lacks.
     MaintainPool(ExchangeId),
     Sweep,
     ReconnectBus,
     ShutdownDeadline,
-    /// Another look at which connections of callers can be closed in a shutdown.
+    /// Looks in a shutdown for callers' connections that can be closed.
     DrainCallers,
 }
 
-/// A seizure that is out.
+/// A seizure that has not ended.
 #[derive(Debug)]
 pub struct OpenSeizure {
-    pub no: SeizureNumber,
-    pub to: ExchangeId,
-    /// None while its link is dialled.
+    pub number: SeizureNumber,
+    pub exchange: ExchangeId,
+    /// None until a link is available.
     pub link: Option<LinkId>,
-    pub since: Duration,
-    pub limit: Duration,
+    pub seized_at: Duration,
+    pub timeout: Duration,
 }
 
 /// Whether the caller still waits for the final answer.
@@ -89,22 +96,23 @@
     Settled,
 }
 
-/// A call that has no final answer, or whose seizure is out. Emptied by both ends.
+/// A call that has no final answer or has an open seizure. Removed once neither applies.
 #[derive(Debug)]
 pub struct Call {
     pub id: WireCallId,
     pub caller: CallerConnectionId,
-    /// Headers of the set-up that its answers repeat.
+    /// Via header of the set-up, repeated in the answer like the CSeq number.
     pub via: Box<str>,
     pub cseq: u32,
     pub call_type: Box<str>,
     pub number: Box<str>,
     pub description: Box<[u8]>,
     pub answer_state: AnswerState,
-    pub seizures: u8,
+    pub seizure_count: u8,
     pub open_seizure: Option<OpenSeizure>,
-    /// Links on which a seizure of this call was given up: what still comes there is not for a later one.
-    pub left: Vec<LinkId>,
+    /// Links on which a seizure of this call was given up. A late answer on one of them would be taken for the answer
+    /// to a later seizure, so no later one is sent there.
+    pub abandoned_links: Vec<LinkId>,
 }
 
 impl Call {
@@ -113,134 +121,123 @@
     }
 }
 
-/// A call that stands. Emptied by its release from either end, or the end of its exchange.
+/// A standing call. Removed when either side releases it or its exchange is given up.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct StandingCall {
     pub call: CallId,
     pub seizure: SeizureNumber,
     pub exchange: ExchangeId,
     pub caller: CallerConnectionId,
-    pub sent: Duration,
-    pub since: Duration,
+    pub seized_at: Duration,
+    pub answered_at: Duration,
 }
 
 /// One connection of a caller.
 #[derive(Debug)]
 pub struct Caller {
     pub decoder: sip::Decoder,
-    pub open: BTreeSet<CallId>,
-    pub heard: Duration,
-    /// Since when a message has come in part, or nothing at all.
+    pub open_calls: BTreeSet<CallId>,
+    pub last_received: Duration,
+    /// Since when a message has been incomplete, or the connection open without any message.
     pub partial_since: Option<Duration>,
-    /// Whether it has sent something that makes sense.
+    /// Whether it has sent a valid message.
     pub sent_valid: bool,
-    /// Whether a call of its has stood: no caller that only breaks things gets so far.
+    /// Whether one of its calls has been answered: a caller that only disrupts does not get this far.
     pub had_standing_call: bool,
-    /// Releases written lately that it has not confirmed, oldest first.
+    /// Releases written recently that it has not confirmed, oldest first.
     unconfirmed: VecDeque<(Duration, WireCallId, u8)>,
 }
 
 impl Caller {
-    /// Whether a release was written lately that it has not confirmed.
+    /// Whether a release was written recently that it has not confirmed.
     pub fn awaits_confirmation(&self, now: Duration) -> bool {
-        self.unconfirmed.iter().any(|(at, ..)| *at + CONFIRM_WITHIN > now)
+        self.unconfirmed.iter().any(|(at, ..)| *at + RELEASE_CONFIRM_WINDOW > now)
     }
 }
 
-#[derive(PartialEq, Eq)]
+#[derive(Debug, PartialEq, Eq)]
 pub enum LinkState {
     Connecting,
     Up,
-    /// Nothing came on it for long: no set-up goes there, but what still comes is read, a release perhaps.
+    /// Gets no more set-ups, since nothing was received on it for long, but is still read: a release may arrive.
     Draining {
         at: Duration,
     },
-    /// Closed in the direction to the exchange: read to its end, as a release may be on its way.
+    /// Closed in the direction to the exchange: read until the other side closes it, as a release may be on its way.
     HalfClosed {
         at: Duration,
     },
 }
 
-/// The log of calls holds `Connecting` as `Dialled` and `HalfClosed` as `Finishing`.
-impl fmt::Debug for LinkState {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Self::Connecting => f.write_str("Dialled"),
-            Self::Up => f.write_str("Up"),
-            Self::Draining { at } => f.debug_struct("Draining").field("at", at).finish(),
-            Self::HalfClosed { at } => f.debug_struct("Finishing").field("at", at).finish(),
-        }
-    }
-}
-
 /// One connection to an exchange.
 #[derive(Debug)]
 pub struct Link {
-    pub to: ExchangeId,
+    pub exchange: ExchangeId,
     pub state: LinkState,
     pub decoder: exchange_protocol::Decoder,
-    pub heard: Duration,
+    pub last_received: Duration,
     pub partial_since: Option<Duration>,
-    /// Set-ups out on it.
+    /// Set-ups sent on it whose seizure has not ended.
     pub open_set_ups: BTreeMap<WireCallId, CallId>,
-    /// The group's state that came last on it, while another link's is believed.
-    pub state_told: Option<CapacityReport>,
+    /// The last report of the group's state on this link, kept while the reports of an older link are the ones used.
+    pub last_report: Option<CapacityReport>,
 }
 
-/// One exchange. Emptied by the bus, once it is gone.
+/// One exchange. Removed when the event bus reports it gone.
 #[derive(Debug)]
 pub struct RemoteExchange {
     pub uid: Box<str>,
-    pub at: SocketAddr,
-    pub service: ExchangeStatus,
+    pub address: SocketAddr,
+    pub status: ExchangeStatus,
     pub started: Duration,
-    /// Dialled or up, oldest first.
+    /// Links that are connecting or up, oldest first.
     pub links: Vec<LinkId>,
-    /// Those that are only read on.
+    /// Links that are only read, oldest first.
     pub draining: VecDeque<LinkId>,
-    pub failures: u32,
-    pub next_dial: Duration,
+    pub connect_failures: u32,
+    pub next_connect: Duration,
     /// Set-ups that wait for a link.
     pub queued_set_ups: VecDeque<CallId>,
-    /// Calls to be released there once a link is up, and those whose release it has not confirmed, with their time.
-    pub releases: VecDeque<(Duration, WireCallId)>,
-    /// For how long it is believed to hold the calls that stand there.
+    /// Releases that wait for a link or that the exchange has not confirmed, with the time of each.
+    pub unconfirmed_releases: VecDeque<(Duration, WireCallId)>,
+    /// How long the exchange is assumed to hold its standing calls.
     pub lease: Lease,
-    /// When its last open link was lost by the other side: whoever listens there next may be another process.
-    pub all_links_lost: Option<Duration>,
-    /// Whether a connection is planned on which it repeats releases.
-    pub dials_for_releases: bool,
+    /// When the other side closed its last open link: the next process at the address may be a new one.
+    pub all_links_lost_at: Option<Duration>,
+    /// Whether [`Timer::ConnectForReleases`] is set.
+    pub release_connection_planned: bool,
 }
 
 pub struct PlatformState {
     pub now: Duration,
     pub calls: BTreeMap<CallId, Call>,
-    /// Calls whose answer is owed, by the id on the wire.
+    /// Calls without a final answer.
     pub unanswered: BTreeMap<WireCallId, CallId>,
-    pub standing: BTreeMap<WireCallId, Standing>,
+    pub standing: BTreeMap<WireCallId, StandingCall>,
     pub callers: BTreeMap<CallerConnectionId, Caller>,
     pub exchanges: BTreeMap<ExchangeId, RemoteExchange>,
     pub links: BTreeMap<LinkId, Link>,
     pub timers: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
-    /// Ends of seizures that the decisions are to be told.
-    pub ends: VecDeque<SeizureEnded>,
-    /// Releases for callers to whom no connection is open, oldest first.
+    /// Ended seizures of which the controller is yet to be told.
+    pub ended_seizures: VecDeque<SeizureEnded>,
+    /// Releases for callers that have no open connection, oldest first.
     pending_releases: VecDeque<(Duration, WireCallId, u8)>,
     /// Releases by exchanges of calls that are not known here, oldest first.
     unmatched_releases: VecDeque<(Duration, WireCallId, u8)>,
-    /// Octets of all descriptions and headers in `calls`.
-    pub held: usize,
-    pub links_each: usize,
-    /// Whether the process ends, and dials no further links.
+    /// Octets of all descriptions and Via headers in `calls`.
+    pub held_octets: usize,
+    pub links_per_exchange: usize,
+    /// Whether the process ends and opens no more links.
     pub links_closed: bool,
-    pub links_budget: usize,
+    /// Limit for the links to all exchanges together.
+    pub max_links: usize,
     pub connect_timeout: Duration,
-    chance: MwcRng,
-    next: u64,
+    random: MwcRng,
+    last_number: u64,
 }
 
 impl PlatformState {
-    pub fn new(now: Duration, seed: u64, links_budget: usize, connect_timeout: Duration) -> Self {
+    pub fn new(now: Duration, seed: u64, max_links: usize, connect_timeout: Duration) -> Self {
         Self {
             now,
             calls: BTreeMap::new(),
@@ -250,52 +247,54 @@
             exchanges: BTreeMap::new(),
             links: BTreeMap::new(),
             timers: BinaryHeap::new(),
-            ends: VecDeque::new(),
+            ended_seizures: VecDeque::new(),
             pending_releases: VecDeque::new(),
             unmatched_releases: VecDeque::new(),
-            held: 0,
-            links_each: 1,
+            held_octets: 0,
+            links_per_exchange: 1,
             links_closed: false,
-            links_budget,
+            max_links,
             connect_timeout,
-            chance: MwcRng::new(seed ^ 0x5eed),
-            next: 0,
+            random: MwcRng::new(seed ^ 0x5eed),
+            last_number: 0,
         }
     }
 
-    pub fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    /// The next of the numbers that identify calls and links and keep timers in order.
+    pub fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    pub fn set(&mut self, after: Duration, timer: Timer) {
-        let order = self.number();
+    pub fn set_timer(&mut self, after: Duration, timer: Timer) {
+        let order = self.next_number();
         self.timers.push(Reverse((self.now + after, order, timer)));
     }
 
-    /// A draw from the upper half of a span: what many lost together they do not ask for together.
+    /// A random duration from the upper half of a span, so that controllers that lose a connection at the same time
+    /// don't reconnect at the same time.
     pub fn jittered(&mut self, span: Duration) -> Duration {
-        span.mul_f64(0.5 + 0.5 * self.chance.next_f64())
+        span.mul_f64(0.5 + 0.5 * self.random.next_f64())
     }
 
     // Callers.
 
     pub fn caller_connected(&mut self, caller: CallerConnectionId) {
-        let fresh = Caller {
+        let new_caller = Caller {
             decoder: sip::Decoder::default(),
-            open: BTreeSet::new(),
-            heard: self.now,
+            open_calls: BTreeSet::new(),
+            last_received: self.now,
             partial_since: Some(self.now),
             sent_valid: false,
             had_standing_call: false,
             unconfirmed: VecDeque::new(),
         };
-        self.callers.insert(caller, fresh);
+        self.callers.insert(caller, new_caller);
     }
 }
 
-/// A span doubled with each failure, up to the last.
-pub fn exponential_backoff(first: Duration, failures: u32, last: Duration) -> Duration {
-    const MOST_DOUBLINGS: u32 = 8;
-    last.min(first * 2u32.pow(failures.min(MOST_DOUBLINGS)))
+/// A delay that doubles with each failure, limited to `max`.
+pub fn exponential_backoff(initial: Duration, failures: u32, max: Duration) -> Duration {
+    const MAX_DOUBLINGS: u32 = 8;
+    max.min(initial * 2u32.pow(failures.min(MAX_DOUBLINGS)))
 }
--- a/crates/platform/src/state/actions.rs
+++ b/crates/platform/src/state/actions.rs
@@ -1,4 +1,4 @@
-//! What the decisions ask for, carried out.
+//! The actions that the controller asks for.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
     CallId, Cause, ControllerActions, ExchangeId, ExchangeStatus, PeerId, SeizureNumber, TimerId,
 };
 
-use super::{OpenSeizure, PlatformState, SPARE_LINKS, Timer};
+use super::{MAX_EXTRA_LINKS, OpenSeizure, PlatformState, Timer};
 use crate::Transport;
 
-/// The decisions act through this.
+/// Carries out the controller's actions while it handles one event.
 pub struct EventContext<'a> {
     pub state: &'a mut PlatformState,
     pub transport: &'a mut dyn Transport,
@@ -19,39 +19,41 @@
     fn seize(&mut self, id: CallId, to: ExchangeId, limit: Duration) {
         let Self { state, transport } = self;
         let Some(call) = state.calls.get_mut(&id) else { return };
-        let no = SeizureNumber(call.seizures);
-        call.seizures = call.seizures.saturating_add(1);
-        call.open_seizure = Some(OpenSeizure { no, to, link: None, since: state.now, limit });
-        state.set(limit, Timer::SeizureTimeout(id, no));
+        let number = SeizureNumber(call.seizure_count);
+        call.seizure_count = call.seizure_count.saturating_add(1);
+        call.open_seizure =
+            Some(OpenSeizure { number, exchange: to, link: None, seized_at: state.now, timeout: limit });
+        state.set_timer(limit, Timer::SeizureTimeout(id, number));
         if state.send_set_up(*transport, id) {
             return;
         }
-        // No link is free: one is waited for while it is dialled, which a seizure is reason enough for.
-        let Some(far) = state.exchanges.get(&to).filter(|far| far.service == ExchangeStatus::Ready) else {
-            return state.end(id, Cause::Unreachable);
+        // No link is free: the set-up is queued while a link is connecting, and one is opened if none is.
+        let Some(remote) = state.exchanges.get(&to).filter(|remote| remote.status == ExchangeStatus::Ready)
+        else {
+            return state.end_seizure(id, Cause::Unreachable);
         };
-        if !state.dialling(far) && far.links.len() < state.links_each + SPARE_LINKS {
-            let at = far.at;
-            state.dial(*transport, to, at);
+        if !state.is_connecting(remote) && remote.links.len() < state.links_per_exchange + MAX_EXTRA_LINKS {
+            let at = remote.address;
+            state.connect(*transport, to, at);
         }
-        if let Some(far) = state.exchanges.get_mut(&to) {
-            far.queued_set_ups.push_back(id);
+        if let Some(remote) = state.exchanges.get_mut(&to) {
+            remote.queued_set_ups.push_back(id);
         }
-        state.unreached(to);
+        state.fail_unreachable_set_ups(to);
     }
 
     fn cancel(&mut self, id: CallId, seizure: SeizureNumber) {
-        let out = self.state.calls.get(&id).and_then(|call| call.open_seizure.as_ref());
-        if out.is_some_and(|out| out.no == seizure) {
-            self.state.give_up(self.transport, id, Cause::Cancelled);
+        let open_seizure = self.state.calls.get(&id).and_then(|call| call.open_seizure.as_ref());
+        if open_seizure.is_some_and(|open_seizure| open_seizure.number == seizure) {
+            self.state.give_up_seizure(self.transport, id, Cause::Cancelled);
         }
     }
 
     fn reject(&mut self, id: CallId, retry_after: Duration) {
         let wait = retry_after.as_millis().to_string();
-        let more = [("P-Back-Off", &*wait)];
-        let more = if retry_after.is_zero() { &more[..0] } else { &more[..] };
-        self.state.answer(self.transport, id, 503, more, b"");
+        let headers = [("P-Back-Off", &*wait)];
+        let headers = if retry_after.is_zero() { &headers[..0] } else { &headers[..] };
+        self.state.answer(self.transport, id, 503, headers, b"");
     }
 
     fn release(&mut self, id: CallId) {
@@ -59,15 +61,15 @@
     }
 
     fn set_timer(&mut self, after: Duration, timer: TimerId) {
-        self.state.set(after, Timer::Alarm(timer));
+        self.state.set_timer(after, Timer::Controller(timer));
     }
 
     fn send_to_peers(&mut self, _peer: Option<PeerId>, _message: &[u8]) {
-        // The platform has no way between controllers where its settings allow none, as they do so far.
+        // The platform's settings so far allow no messages between controllers, and it has no path for them.
     }
 
     fn subscribe(&mut self) {
-        // The bus sends all changes by itself on the connection that is kept open anyway.
+        // The event bus sends all changes unasked on its connection, which is always kept open.
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/platform/src/state/calls.rs
+++ b/crates/platform/src/state/calls.rs
@@ -1,4 +1,4 @@
-//! Calls without a final answer and their attempts.
+//! Calls without a final answer, and their seizures.
 
 use mintstall::interface::{CallId, Cause, SeizureEnded, SeizureNumber};
 use mintstall_sip as sip;
@@ -9,22 +9,22 @@
 use crate::{LinkId, Transport};
 
 impl PlatformState {
-    pub fn take(&mut self, id: CallId, call: Call) {
-        self.held += call.octets();
+    pub fn add_call(&mut self, id: CallId, call: Call) {
+        self.held_octets += call.octets();
         self.calls.insert(id, call);
     }
 
-    pub(super) fn drop_call(&mut self, id: CallId) {
-        self.held -= self.calls.remove(&id).map_or(0, |call| call.octets());
+    pub(super) fn remove_call(&mut self, id: CallId) {
+        self.held_octets -= self.calls.remove(&id).map_or(0, |call| call.octets());
     }
 
-    /// The final answer of a call: written once, and nothing after it.
+    /// Sends the final answer of a call, unless it has been sent or its caller no longer waits.
     pub fn answer(
         &mut self,
         transport: &mut dyn Transport,
         id: CallId,
         status: u16,
-        more: &[(&str, &str)],
+        extra_headers: &[(&str, &str)],
         body: &[u8],
     ) {
         let Some(call) = self.calls.get_mut(&id).filter(|call| call.answer_state == AnswerState::Pending)
@@ -32,140 +32,146 @@
             return;
         };
         call.answer_state = AnswerState::Settled;
-        let (cseq, wire) = (format!("{} INVITE", call.cseq), call.id.to_string());
-        let mut headers = vec![("Via", &*call.via), ("Call-ID", &wire), ("CSeq", &cseq)];
-        headers.extend_from_slice(more);
+        let (cseq, wire_id) = (format!("{} INVITE", call.cseq), call.id.to_string());
+        let mut headers = vec![("Via", &*call.via), ("Call-ID", &wire_id), ("CSeq", &cseq)];
+        headers.extend_from_slice(extra_headers);
         let (mut octets, caller) = (Vec::new(), call.caller);
         sip::encode_response(&mut octets, status, &headers, body);
         self.unanswered.remove(&call.id);
         if let Some(caller) = self.callers.get_mut(&caller) {
-            caller.open.remove(&id);
+            caller.open_calls.remove(&id);
         }
         if call.open_seizure.is_none() {
-            self.drop_call(id);
+            self.remove_call(id);
         }
         transport.send_to_caller(caller, &octets);
         metrics::counter!("final_answers", "status" => status.to_string()).increment(1);
-        transport.log_debug(format_args!("{wire} told {status} {more:?}"));
+        transport.log_debug(format_args!("{wire_id} answered: {status} {extra_headers:?}"));
     }
 
-    /// Nothing more is owed for a call; what is out of it goes on to its end.
+    /// The caller no longer waits for an answer. An open seizure of the call goes on until it ends.
     pub fn withdraw_call(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         if std::mem::replace(&mut call.answer_state, AnswerState::Settled) == AnswerState::Pending {
             self.unanswered.remove(&call.id);
             if let Some(caller) = self.callers.get_mut(&call.caller) {
-                caller.open.remove(&id);
+                caller.open_calls.remove(&id);
             }
         }
         if call.open_seizure.is_none() {
-            self.drop_call(id);
+            self.remove_call(id);
         }
     }
 
-    /// The link for a further set-up: the one with fewest out.
-    pub(super) fn pick(
+    /// The link for a set-up: of those that are free for this call, the one with the fewest open set-ups.
+    pub(super) fn pick_link(
         &self,
         transport: &dyn Transport,
-        far: &RemoteExchange,
+        remote: &RemoteExchange,
         call: &Call,
     ) -> Option<LinkId> {
-        let links = far.links.iter().filter_map(|no| self.links.get(no).map(|link| (no, link)));
-        let free = links.filter(|(no, link)| {
+        let links =
+            remote.links.iter().filter_map(|link_id| self.links.get(link_id).map(|link| (link_id, link)));
+        let free = links.filter(|(link_id, link)| {
             link.state == LinkState::Up
                 && link.partial_since.is_none()
-                && !call.left.contains(no)
-                && !transport.is_write_blocked(**no)
+                && !call.abandoned_links.contains(link_id)
+                && !transport.is_write_blocked(**link_id)
         });
-        free.min_by_key(|(_, link)| link.open_set_ups.len()).map(|(no, _)| *no)
+        free.min_by_key(|(_, link)| link.open_set_ups.len()).map(|(link_id, _)| *link_id)
     }
 
-    /// Sends the set-up of a call whose seizure waits, if a link is free.
+    /// Sends the set-up of a seizure that has no link yet. False if it has to wait for a free link.
     pub(super) fn send_set_up(&mut self, transport: &mut dyn Transport, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else { return true };
-        let Some(out) = call.open_seizure.as_ref().filter(|out| out.link.is_none()) else { return true };
-        let Some(far) = self.exchanges.get(&out.to) else { return false };
-        let Some(no) = self.pick(transport, far, call) else { return false };
-        let left = out.limit.saturating_sub(self.now.saturating_sub(out.since));
-        let patience = left.as_millis().to_string();
+        let Some(seizure) = call.open_seizure.as_ref().filter(|seizure| seizure.link.is_none()) else {
+            return true;
+        };
+        let Some(remote) = self.exchanges.get(&seizure.exchange) else { return false };
+        let Some(link_id) = self.pick_link(transport, remote, call) else { return false };
+        let remaining = seizure.timeout.saturating_sub(self.now.saturating_sub(seizure.seized_at));
+        let expires_ms = remaining.as_millis().to_string();
         let mut octets = Vec::with_capacity(64 + call.description.len());
         let parameters = [
             (parameter::CALL_TYPE, call.call_type.as_bytes()),
-            (parameter::PATIENCE_MS, patience.as_bytes()),
+            (parameter::EXPIRES_MS, expires_ms.as_bytes()),
             (parameter::NUMBER, call.number.as_bytes()),
             (parameter::DESCRIPTION, &call.description[..]),
         ];
         exchange_protocol::encode(&mut octets, MessageType::SetUp, call.id, &parameters);
-        let wire = call.id;
-        if let Some(link) = self.links.get_mut(&no) {
-            link.open_set_ups.insert(wire, id);
+        let wire_id = call.id;
+        if let Some(link) = self.links.get_mut(&link_id) {
+            link.open_set_ups.insert(wire_id, id);
         }
-        if let Some(out) = self.calls.get_mut(&id).and_then(|call| call.open_seizure.as_mut()) {
-            out.link = Some(no);
+        if let Some(seizure) = self.calls.get_mut(&id).and_then(|call| call.open_seizure.as_mut()) {
+            seizure.link = Some(link_id);
         }
-        transport.send_to_link(no, &octets);
-        transport.log_debug(format_args!("{wire} sent on link {} with {patience} ms", no.0));
+        transport.send_to_link(link_id, &octets);
+        transport.log_debug(format_args!("{wire_id} sent on link {} with {expires_ms} ms left", link_id.0));
         true
     }
 
-    /// A seizure has ended: taken off the books, to be told.
-    pub fn end(&mut self, id: CallId, cause: Cause) {
+    /// Removes a seizure that has ended and queues its end for the controller.
+    pub fn end_seizure(&mut self, id: CallId, cause: Cause) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = call.open_seizure.take() else { return };
+        let Some(seizure) = call.open_seizure.take() else { return };
         let closed = call.answer_state == AnswerState::Settled;
-        if let Some(link) = out.link.and_then(|no| self.links.get_mut(&no)) {
+        if let Some(link) = seizure.link.and_then(|link_id| self.links.get_mut(&link_id)) {
             link.open_set_ups.remove(&call.id);
         }
-        if out.link.is_none()
-            && let Some(far) = self.exchanges.get_mut(&out.to)
+        if seizure.link.is_none()
+            && let Some(remote) = self.exchanges.get_mut(&seizure.exchange)
         {
-            far.queued_set_ups.retain(|waits| *waits != id);
+            remote.queued_set_ups.retain(|queued| *queued != id);
         }
-        let after = self.now.saturating_sub(out.since);
+        let elapsed = self.now.saturating_sub(seizure.seized_at);
         metrics::counter!("attempts_ended", "cause" => cause_label(cause)).increment(1);
-        self.ends.push_back(SeizureEnded {
+        self.ended_seizures.push_back(SeizureEnded {
             call: id,
-            seizure: out.no,
-            exchange: out.to,
+            seizure: seizure.number,
+            exchange: seizure.exchange,
             cause,
-            elapsed: after,
+            elapsed,
             closed,
         });
         if closed {
-            self.drop_call(id);
+            self.remove_call(id);
         }
     }
 
-    /// Gives up a seizure: the exchange is told, and what still comes on that link is not for a later one.
-    pub fn give_up(&mut self, transport: &mut dyn Transport, id: CallId, cause: Cause) {
+    /// Gives up a seizure and releases it at the exchange. Later seizures of the call use other links, so that a late
+    /// answer is not taken for theirs.
+    pub fn give_up_seizure(&mut self, transport: &mut dyn Transport, id: CallId, cause: Cause) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = &call.open_seizure else { return };
-        // What never went out is not reached, and has not run.
-        let Some(link) = out.link else { return self.end(id, Cause::Unreachable) };
-        call.left.push(link);
+        let Some(seizure) = &call.open_seizure else { return };
+        // Without a link the set-up was never sent, so the exchange has not acted on it.
+        let Some(link) = seizure.link else { return self.end_seizure(id, Cause::Unreachable) };
+        call.abandoned_links.push(link);
         release_on(transport, link, call.id);
-        self.end(id, cause);
+        self.end_seizure(id, cause);
     }
 
-    /// The time of a seizure is up.
-    pub fn limit(&mut self, transport: &mut dyn Transport, id: CallId, no: SeizureNumber) {
-        let Some(out) = self.calls.get(&id).and_then(|call| call.open_seizure.as_ref()) else { return };
-        if out.no != no {
+    pub fn on_seizure_timeout(&mut self, transport: &mut dyn Transport, id: CallId, number: SeizureNumber) {
+        let Some(seizure) = self.calls.get(&id).and_then(|call| call.open_seizure.as_ref()) else { return };
+        if seizure.number != number {
             return;
         }
-        let (link, since) = (out.link, out.since);
-        self.give_up(transport, id, Cause::TimedOut);
-        // A link on which nothing came since is of no use to others either. It is read on for a while: closing it would
-        // lose a release that is on its way, and the set-ups that are out on it.
-        if let Some(no) = link
-            && self.links.get(&no).is_some_and(|link| link.state == LinkState::Up && link.heard < since)
+        let (link, since) = (seizure.link, seizure.seized_at);
+        self.give_up_seizure(transport, id, Cause::TimedOut);
+        // Nothing was received on the link since the seizure, so it gets no more set-ups. It is still read for a while:
+        // closing it would lose a release that is on its way, and the open set-ups on it.
+        if let Some(link_id) = link
+            && self
+                .links
+                .get(&link_id)
+                .is_some_and(|link| link.state == LinkState::Up && link.last_received < since)
         {
-            self.drain_link(transport, no);
+            self.drain_link(transport, link_id);
         }
     }
 }
 
-/// The label of an attempt's end in the metrics.
+/// The metric label of the cause of an ended seizure.
 const fn cause_label(cause: Cause) -> &'static str {
     match cause {
         Cause::Done => "done",
--- a/crates/platform/src/state/links.rs
+++ b/crates/platform/src/state/links.rs
@@ -7,278 +7,289 @@
 use mintstall::interface::{Cause, ExchangeId, ExchangeStatus};
 
 use super::{
-    DRAINING_FOR, FINISHED_WITHIN, Link, LinkState, MOST_LINKS, PlatformState, REDIAL_FIRST, REDIAL_LAST,
-    RemoteExchange, Timer, exponential_backoff,
+    DRAIN_PERIOD, HALF_CLOSE_TIMEOUT, LINK_RECONNECT_DELAY, Link, LinkState, MAX_LINK_RECONNECT_DELAY,
+    MAX_LINKS, PlatformState, RemoteExchange, Timer, exponential_backoff,
 };
 use crate::exchange_protocol::{self, MessageType, WireCallId, parameter};
 use crate::reasons::LinkLoss;
 use crate::{LinkId, Transport};
 
-/// The connection for releases that may have been lost is opened after this: the other side has noticed the loss, and a
-/// process that had hung has worked off what had piled up.
-const DIAL_FOR_RELEASES_AFTER: Duration = Duration::from_millis(250);
-/// The cause that a test carries.
-const TEST: u8 = 0;
-/// The longest pause before a further dial to an exchange whose calls may be over: it has to be reached, or given up,
-/// before its lease expires.
-const REDIAL_IN_DOUBT: Duration = Duration::from_millis(250);
+/// Delay before a connection is opened for releases that may have been lost. By then the other side has noticed the
+/// loss, and a process that had hung has worked off its backlog.
+const RELEASE_CONNECTION_DELAY: Duration = Duration::from_millis(250);
+/// Cause parameter of the test message that serves as heartbeat.
+const HEARTBEAT_CAUSE: u8 = 0;
+/// Upper limit of the reconnect delay for an exchange that is suspected to have failed: it has to be reached, or given
+/// up, before its lease expires.
+const MAX_SUSPECTED_RECONNECT_DELAY: Duration = Duration::from_millis(250);
 
 impl PlatformState {
-    /// Closes draining links whose time is over in our direction; gives those that the other side has not closed since.
+    /// Half-closes links whose drain period is over. Returns half-closed links that the other side has not closed in time.
     pub fn expire_links(&mut self, transport: &mut dyn Transport) -> Vec<LinkId> {
         let now = self.now;
         let (mut drained, mut expired) = (Vec::new(), Vec::new());
-        for (no, link) in &self.links {
+        for (link_id, link) in &self.links {
             match link.state {
-                LinkState::Draining { at } if at + DRAINING_FOR < now => drained.push(*no),
-                LinkState::HalfClosed { at } if at + FINISHED_WITHIN < now => expired.push(*no),
+                LinkState::Draining { at } if at + DRAIN_PERIOD < now => drained.push(*link_id),
+                LinkState::HalfClosed { at } if at + HALF_CLOSE_TIMEOUT < now => expired.push(*link_id),
                 _ => {}
             }
         }
-        drained.into_iter().for_each(|no| self.finish(transport, no));
+        drained.into_iter().for_each(|link_id| self.half_close_link(transport, link_id));
         expired
     }
 
-    /// Sends nothing new on a link, reads it on for a while, and has another dialled in its place.
-    pub fn drain_link(&mut self, transport: &mut dyn Transport, no: LinkId) {
-        let Some(link) = self.links.get_mut(&no) else { return };
-        let to = link.to;
+    /// Sends no more set-ups on a link, keeps reading it for a while, and opens another in its place.
+    pub fn drain_link(&mut self, transport: &mut dyn Transport, link_id: LinkId) {
+        let Some(link) = self.links.get_mut(&link_id) else { return };
+        let to = link.exchange;
         link.state = LinkState::Draining { at: self.now };
-        transport.log_debug(format_args!("link {} to exchange {} drained", no.0, to.0));
-        if let Some(far) = self.exchanges.get_mut(&to) {
-            far.links.retain(|known| *known != no);
-            far.draining.push_back(no);
+        transport.log_debug(format_args!("link {} to exchange {} draining", link_id.0, to.0));
+        if let Some(remote) = self.exchanges.get_mut(&to) {
+            remote.links.retain(|known| *known != link_id);
+            remote.draining.push_back(link_id);
         }
-        self.finish_oldest(transport, to);
+        self.limit_draining_links(transport, to);
         self.maintain_pool(transport, to);
     }
 
-    /// No more than some links of an exchange are read on.
-    fn finish_oldest(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
-        let draining = |no: &&LinkId| {
-            self.links.get(no).is_some_and(|link| matches!(link.state, LinkState::Draining { .. }))
+    /// Limits the number of an exchange's links that are only read, by closing the oldest.
+    fn limit_draining_links(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
+        let draining = |link_id: &&LinkId| {
+            self.links.get(link_id).is_some_and(|link| matches!(link.state, LinkState::Draining { .. }))
         };
         let Some(remote) = self.exchanges.get(&to) else { return };
-        let all: Vec<_> = remote.draining.iter().filter(draining).copied().collect();
+        let not_half_closed: Vec<_> = remote.draining.iter().filter(draining).copied().collect();
         let oldest = remote.draining.front().copied();
-        if remote.draining.len() > 2 * MOST_LINKS
+        if remote.draining.len() > 2 * MAX_LINKS
             && let Some(oldest) = oldest
         {
             self.remove_link(transport, oldest, LinkLoss::DrainExpired);
-        } else if all.len() > MOST_LINKS {
-            self.finish(transport, all[0]);
+        } else if not_half_closed.len() > MAX_LINKS {
+            self.half_close_link(transport, not_half_closed[0]);
         }
     }
 
-    /// Closes a link in our direction; it is read to its end.
-    fn finish(&mut self, transport: &mut dyn Transport, no: LinkId) {
-        if let Some(link) = self.links.get_mut(&no) {
+    /// Closes a link in the direction to the exchange. It is read until the other side closes it.
+    fn half_close_link(&mut self, transport: &mut dyn Transport, link_id: LinkId) {
+        if let Some(link) = self.links.get_mut(&link_id) {
             link.state = LinkState::HalfClosed { at: self.now };
-            transport.shutdown_link_write(no);
+            transport.shutdown_link_write(link_id);
         }
     }
 
-    /// Closes all links, and dials none any more. Exchanges repeat on the next connection what they have told meanwhile.
+    /// Closes all links for good. Exchanges repeat unconfirmed releases on the next connection, which is the successor's.
     pub fn close_links(&mut self, transport: &mut dyn Transport) {
         self.links_closed = true;
         let all: Vec<_> = self.links.keys().copied().collect();
-        for no in all {
-            self.remove_link(transport, no, LinkLoss::Shutdown);
+        for link_id in all {
+            self.remove_link(transport, link_id, LinkLoss::Shutdown);
         }
     }
 
-    /// A link that was dialled for the releases that another may have lost makes the oldest one superfluous.
+    /// Drains the oldest link if an additional one, opened for releases that may have been lost, has come up.
     fn drain_surplus(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
         let Some(remote) = self.exchanges.get(&to) else { return };
-        if self.up_links(remote).count() > self.links_each
+        if self.up_links(remote).count() > self.links_per_exchange
             && let Some(oldest) = self.oldest_open_link(to)
         {
             self.drain_link(transport, oldest);
         }
     }
 
-    /// Releases may have been lost with a link, or written to one of a former process. Exchanges repeat them on the next
-    /// connection that is opened, so one is before long, also where the pool is not short of any.
-    pub fn plan_dial_for_releases(&mut self, to: ExchangeId) {
+    /// Plans a connection to an exchange whose releases may have been lost with a link, or written to a link of a former
+    /// process. Exchanges repeat releases on the next connection that is opened, so one is opened soon even if the pool
+    /// is full.
+    pub fn plan_release_connection(&mut self, to: ExchangeId) {
         let Some(remote) = self.exchanges.get_mut(&to) else { return };
-        if !std::mem::replace(&mut remote.dials_for_releases, true) {
-            self.set(DIAL_FOR_RELEASES_AFTER, Timer::DialForReleases(to));
+        if !std::mem::replace(&mut remote.release_connection_planned, true) {
+            self.set_timer(RELEASE_CONNECTION_DELAY, Timer::ConnectForReleases(to));
         }
     }
 
-    pub fn dial_for_releases(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
+    pub fn connect_for_releases(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
         let Some(remote) = self.exchanges.get_mut(&to) else { return };
-        remote.dials_for_releases = false;
-        let (listed, at) = (remote.service != ExchangeStatus::Gone, remote.at);
+        remote.release_connection_planned = false;
+        let (listed, address) = (remote.status != ExchangeStatus::Gone, remote.address);
         if listed && self.standing.values().any(|call| call.exchange == to) {
-            self.dial(transport, to, at);
+            self.connect(transport, to, address);
         }
     }
 
-    /// Asks an exchange for a sign of life, if a link is up; a new one brings its own.
+    /// Sends a heartbeat if a link is up. Without one there is no need: an exchange sends a message on each new link.
     pub fn send_heartbeat(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
         let Some(link) = self.oldest_open_link(to) else { return };
         let mut octets = Vec::new();
         exchange_protocol::encode(
             &mut octets,
             MessageType::Test,
-            WireCallId(self.number()),
-            &[(parameter::CAUSE, &[TEST])],
+            WireCallId(self.next_number()),
+            &[(parameter::CAUSE, &[HEARTBEAT_CAUSE])],
         );
         transport.send_to_link(link, &octets);
         metrics::counter!("heartbeats_sent").increment(1);
     }
 
-    /// How many links an exchange gets, so that all fit the descriptors.
+    /// Divides `max_links`, a share of the process's descriptors, among the exchanges.
     pub fn share_links(&mut self) {
-        let ready = self.exchanges.values().filter(|far| far.service == ExchangeStatus::Ready).count();
-        self.links_each = (self.links_budget / ready.max(1)).clamp(1, MOST_LINKS);
+        let ready = self.exchanges.values().filter(|remote| remote.status == ExchangeStatus::Ready).count();
+        self.links_per_exchange = (self.max_links / ready.max(1)).clamp(1, MAX_LINKS);
     }
 
-    /// Dials what an exchange is short of links.
+    /// Opens the links that an exchange lacks: all at once at first, one at a time after a failure.
     pub fn maintain_pool(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
-        let Some(far) = self.exchanges.get(&to) else { return };
-        let wanted = match far.service {
-            ExchangeStatus::Ready => self.links_each,
+        let Some(remote) = self.exchanges.get(&to) else { return };
+        let wanted = match remote.status {
+            ExchangeStatus::Ready => self.links_per_exchange,
             ExchangeStatus::Draining => 1,
             ExchangeStatus::Gone => 0,
         };
-        let short = wanted.saturating_sub(far.links.len());
-        let (first, next_dial, at) = (far.failures == 0, far.next_dial, far.at);
-        if short == 0 || !first && self.dialling(far) {
+        let missing = wanted.saturating_sub(remote.links.len());
+        let (no_failures, next_connect, address) =
+            (remote.connect_failures == 0, remote.next_connect, remote.address);
+        if missing == 0 || !no_failures && self.is_connecting(remote) {
             return;
         }
-        if self.now < next_dial {
-            return self.set(next_dial - self.now, Timer::MaintainPool(to));
+        if self.now < next_connect {
+            return self.set_timer(next_connect - self.now, Timer::MaintainPool(to));
         }
-        (0..if first { short } else { 1 }).for_each(|_| self.dial(transport, to, at));
+        (0..if no_failures { missing } else { 1 }).for_each(|_| self.connect(transport, to, address));
     }
 
-    pub(super) fn dial(&mut self, transport: &mut dyn Transport, to: ExchangeId, at: SocketAddr) {
+    pub(super) fn connect(&mut self, transport: &mut dyn Transport, to: ExchangeId, address: SocketAddr) {
         if self.links_closed {
             return;
         }
-        let no = LinkId(self.number());
+        let link_id = LinkId(self.next_number());
         let (state, decoder) = (LinkState::Connecting, exchange_protocol::Decoder::default());
         let link = Link {
-            to,
+            exchange: to,
             state,
             decoder,
-            heard: self.now,
+            last_received: self.now,
             partial_since: None,
             open_set_ups: BTreeMap::new(),
-            state_told: None,
+            last_report: None,
         };
-        self.links.insert(no, link);
-        self.exchanges.entry(to).and_modify(|far| far.links.push(no));
-        self.set(self.connect_timeout, Timer::ConnectTimeout(no));
+        self.links.insert(link_id, link);
+        self.exchanges.entry(to).and_modify(|remote| remote.links.push(link_id));
+        self.set_timer(self.connect_timeout, Timer::ConnectTimeout(link_id));
         metrics::counter!("links_dialled").increment(1);
-        transport.log_debug(format_args!("link {} to exchange {} dialled at {at}", no.0, to.0));
-        transport.connect_link(no, at);
+        transport.log_debug(format_args!("link {} to exchange {} connecting to {address}", link_id.0, to.0));
+        transport.connect_link(link_id, address);
     }
 
-    /// Whether a link to an exchange is being dialled.
-    pub(super) fn dialling(&self, far: &RemoteExchange) -> bool {
-        far.links.iter().any(|no| self.links.get(no).is_some_and(|link| link.state == LinkState::Connecting))
+    /// Whether a link to an exchange is connecting.
+    pub(super) fn is_connecting(&self, remote: &RemoteExchange) -> bool {
+        remote
+            .links
+            .iter()
+            .any(|link_id| self.links.get(link_id).is_some_and(|link| link.state == LinkState::Connecting))
     }
 
-    pub fn link_connected(&mut self, transport: &mut dyn Transport, no: LinkId) {
-        let Some(link) = self.links.get_mut(&no) else { return };
-        (link.state, link.heard) = (LinkState::Up, self.now);
-        let to = link.to;
-        transport.log_debug(format_args!("link {} to exchange {} up", no.0, to.0));
-        let Some(far) = self.exchanges.get_mut(&to) else { return };
-        far.failures = 0;
-        let waiting = std::mem::take(&mut far.queued_set_ups);
-        let ready = far.service == ExchangeStatus::Ready;
-        self.repeat_releases(transport, to, no);
+    pub fn link_connected(&mut self, transport: &mut dyn Transport, link_id: LinkId) {
+        let Some(link) = self.links.get_mut(&link_id) else { return };
+        (link.state, link.last_received) = (LinkState::Up, self.now);
+        let to = link.exchange;
+        transport.log_debug(format_args!("link {} to exchange {} up", link_id.0, to.0));
+        let Some(remote) = self.exchanges.get_mut(&to) else { return };
+        remote.connect_failures = 0;
+        let queued = std::mem::take(&mut remote.queued_set_ups);
+        let ready = remote.status == ExchangeStatus::Ready;
+        self.repeat_releases(transport, to, link_id);
         self.drain_surplus(transport, to);
-        for id in waiting {
-            // One that began to drain meanwhile is sent nothing new.
+        for id in queued {
+            // An exchange that has begun to drain since gets no more set-ups.
             if !ready {
-                self.end(id, Cause::Unreachable);
+                self.end_seizure(id, Cause::Unreachable);
             } else if !self.send_set_up(transport, id) {
-                self.exchanges.entry(to).and_modify(|far| far.queued_set_ups.push_back(id));
+                self.exchanges.entry(to).and_modify(|remote| remote.queued_set_ups.push_back(id));
             }
         }
         self.maintain_pool(transport, to);
     }
 
-    /// A link has gone, or is closed here: every set-up on it was cut. Whether it had ever been up.
+    /// Removes a link that was lost, or closes it, and ends the seizures on it as cut. Returns its exchange and the state
+    /// that it was in.
     pub fn remove_link(
         &mut self,
         transport: &mut dyn Transport,
-        no: LinkId,
+        link_id: LinkId,
         reason: LinkLoss,
     ) -> Option<(ExchangeId, LinkState)> {
-        let link = self.links.remove(&no)?;
-        transport.close_link(no);
-        let (to, silent) = (link.to, self.now.saturating_sub(link.heard));
+        let link = self.links.remove(&link_id)?;
+        transport.close_link(link_id);
+        let (to, silent) = (link.exchange, self.now.saturating_sub(link.last_received));
         let was_open = link.state != LinkState::Connecting;
         metrics::counter!("links_lost", "reason" => reason.label()).increment(1);
         transport.log_debug(format_args!(
-            "link {} to exchange {} lost: {reason}, was {:?}, {} set-ups out, silent for {silent:?}",
-            no.0,
+            "link {} to exchange {} lost: {reason}, was {:?}, {} open set-ups, silent for {silent:?}",
+            link_id.0,
             to.0,
             link.state,
             link.open_set_ups.len(),
         ));
         for id in link.open_set_ups.into_values() {
-            self.end(id, Cause::Cut);
+            self.end_seizure(id, Cause::Cut);
         }
-        if let Some(far) = self.exchanges.get_mut(&to) {
-            far.links.retain(|known| *known != no);
-            far.draining.retain(|known| *known != no);
-            let open =
-                |no: &LinkId| self.links.get(no).is_some_and(|link| link.state != LinkState::Connecting);
-            let none_open = !far.links.iter().chain(&far.draining).any(open);
+        if let Some(remote) = self.exchanges.get_mut(&to) {
+            remote.links.retain(|known| *known != link_id);
+            remote.draining.retain(|known| *known != link_id);
+            let open = |link_id: &LinkId| {
+                self.links.get(link_id).is_some_and(|link| link.state != LinkState::Connecting)
+            };
+            let none_open = !remote.links.iter().chain(&remote.draining).any(open);
             if none_open && was_open && reason == LinkLoss::Disconnected {
-                far.all_links_lost = Some(self.now);
+                remote.all_links_lost_at = Some(self.now);
             }
         }
         if !was_open {
-            self.back_off(to);
+            self.schedule_reconnect(to);
         }
         self.maintain_pool(transport, to);
-        let read_to_its_end =
+        let read_to_end =
             matches!((&link.state, reason), (LinkState::HalfClosed { .. }, LinkLoss::Disconnected));
-        let dialled_since = self.exchanges.get(&to).is_some_and(|remote| self.dialling(remote));
-        if was_open && !read_to_its_end && !dialled_since {
-            self.plan_dial_for_releases(to);
+        let is_connecting = self.exchanges.get(&to).is_some_and(|remote| self.is_connecting(remote));
+        if was_open && !read_to_end && !is_connecting {
+            self.plan_release_connection(to);
         }
-        self.unreached(to);
+        self.fail_unreachable_set_ups(to);
         Some((to, link.state))
     }
 
-    /// A dial has failed: when the next may follow.
-    fn back_off(&mut self, to: ExchangeId) {
-        let Some(far) = self.exchanges.get_mut(&to) else { return };
-        far.failures = far.failures.saturating_add(1);
-        let last = if far.lease.is_suspected() { REDIAL_IN_DOUBT } else { REDIAL_LAST };
-        let ceiling = exponential_backoff(REDIAL_FIRST, far.failures, last);
-        let next_dial = self.now + self.jittered(ceiling);
-        self.exchanges.entry(to).and_modify(|far| far.next_dial = next_dial);
+    /// Sets the time of the next attempt after a link could not be connected.
+    fn schedule_reconnect(&mut self, to: ExchangeId) {
+        let Some(remote) = self.exchanges.get_mut(&to) else { return };
+        remote.connect_failures = remote.connect_failures.saturating_add(1);
+        let max_delay = if remote.lease.is_suspected() {
+            MAX_SUSPECTED_RECONNECT_DELAY
+        } else {
+            MAX_LINK_RECONNECT_DELAY
+        };
+        let delay = exponential_backoff(LINK_RECONNECT_DELAY, remote.connect_failures, max_delay);
+        let next_connect = self.now + self.jittered(delay);
+        self.exchanges.entry(to).and_modify(|remote| remote.next_connect = next_connect);
     }
 
-    /// Set-ups that wait for an exchange to which nothing is dialled are not reached.
-    pub(super) fn unreached(&mut self, to: ExchangeId) {
-        if self.exchanges.get(&to).is_some_and(|far| !self.dialling(far))
-            && let Some(far) = self.exchanges.get_mut(&to)
+    /// Ends seizures that wait for a link to an exchange as unreachable, unless a link is connecting.
+    pub(super) fn fail_unreachable_set_ups(&mut self, to: ExchangeId) {
+        if self.exchanges.get(&to).is_some_and(|remote| !self.is_connecting(remote))
+            && let Some(remote) = self.exchanges.get_mut(&to)
         {
-            for id in std::mem::take(&mut far.queued_set_ups) {
-                self.end(id, Cause::Unreachable);
+            for id in std::mem::take(&mut remote.queued_set_ups) {
+                self.end_seizure(id, Cause::Unreachable);
             }
         }
     }
 
     /// The links of an exchange that are up, oldest first.
     fn up_links(&self, of: &RemoteExchange) -> impl Iterator<Item = LinkId> {
-        let up = |no: &&LinkId| self.links.get(no).is_some_and(|link| link.state == LinkState::Up);
+        let up = |link_id: &&LinkId| self.links.get(link_id).is_some_and(|link| link.state == LinkState::Up);
         of.links.iter().filter(up).copied()
     }
 
-    /// The oldest link that is up. Its word of the group's state alone is believed: each link is told each change, and
-    /// a copy that comes after a further seizure would set the free circuits back up.
+    /// The oldest link that is up. Only its reports of the group's state are used: the exchange sends each change on
+    /// every link, and a copy that arrives after a further seizure would raise the number of free circuits again.
     pub fn oldest_open_link(&self, of: ExchangeId) -> Option<LinkId> {
         self.up_links(self.exchanges.get(&of)?).next()
     }
--- a/crates/platform/tests/fuzz.rs
+++ b/crates/platform/tests/fuzz.rs
@@ -1,15 +1,15 @@
-//! Fuzz targets: whatever comes on a link, from a caller or from the bus is read or told to be spoilt, never a panic.
+//! Fuzz targets: octets from a link or from the event bus are decoded or rejected, and never cause a panic.
 
 use mintstall_platform::event_bus::EventDecoder;
 use mintstall_platform::exchange_protocol::{Decoder, Message, MessageType, WireCallId, encode, parameter};
 
 #[test]
-fn whatever_is_read_from_a_link_is_written_back_the_same() {
+fn a_decoded_link_message_encodes_to_an_equal_one() {
     bolero::check!().with_iterations(20_000).for_each(|octets: &[u8]| {
         let mut decoder = Decoder::default();
         decoder.push(octets);
         while let Ok(Some(_)) = decoder.next_message() {}
-        let Ok(message) = Message::read(octets) else { return };
+        let Ok(message) = Message::decode(octets) else { return };
         let (cause, wait) =
             (message.cause.map(|cause| [cause]), message.wait_ms.map(|wait| wait.to_string()));
         let parameters = [
@@ -21,15 +21,15 @@
         ];
         let parameters: Vec<_> =
             parameters.into_iter().filter_map(|(code, value)| Some((code, value?))).collect();
-        let mut written = Vec::new();
-        encode(&mut written, message.kind, message.call, &parameters);
-        assert_eq!(Message::read(&written[2..]).as_ref(), Ok(&message));
+        let mut encoded = Vec::new();
+        encode(&mut encoded, message.kind, message.call, &parameters);
+        assert_eq!(Message::decode(&encoded[2..]).as_ref(), Ok(&message));
     });
 }
 
 #[test]
-fn a_message_with_one_octet_changed_is_read_or_told_to_be_spoilt() {
-    bolero::check!().with_iterations(20_000).with_type::<(usize, u8)>().for_each(|(at, octet)| {
+fn a_message_with_one_octet_changed_is_decoded_or_rejected() {
+    bolero::check!().with_iterations(20_000).with_type::<(usize, u8)>().for_each(|(position, octet)| {
         let mut octets = Vec::new();
         encode(
             &mut octets,
@@ -37,8 +37,8 @@
             WireCallId(7),
             &[(parameter::DESCRIPTION, b"v=0"), (parameter::REPORT, b"idle:1")],
         );
-        let at = at % octets.len();
-        octets[at] ^= octet;
+        let position = position % octets.len();
+        octets[position] ^= octet;
         let mut decoder = Decoder::default();
         decoder.push(&octets);
         while let Ok(Some(_)) = decoder.next_message() {}
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn whatever_the_bus_says_the_number_never_falls() {
+fn the_last_offset_never_falls_for_any_input_from_the_bus() {
     bolero::check!().with_iterations(20_000).for_each(|octets: &[u8]| {
         let mut bus = EventDecoder::new(3);
         let _ = bus.decode(octets, |_| ());
-        assert!(bus.last() >= 3);
+        assert!(bus.last_offset() >= 3);
     });
 }
