--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -102,7 +102,7 @@
             shutdown: Shutdown::NotRequested,
         };
         for event in &config.initial_events {
-            core.apply(transport, event);
+            core.apply_event(transport, event);
         }
         core.connect_to_bus(transport);
         core.state.set_timer(SWEEP_INTERVAL, Timer::Sweep);
@@ -155,7 +155,7 @@
             Timer::GuardTime(call) => self.fail_unanswered_call(transport, call, 408),
             Timer::ConnectTimeout(link) => {
                 if self.state.links.get(&link).is_some_and(|link| link.state == LinkState::Connecting) {
-                    self.remove_link(transport, link, LinkLoss::DialTimeout);
+                    self.remove_link(transport, link, LinkLoss::ConnectTimeout);
                 }
             }
             Timer::ConnectForReleases(exchange) => self.state.connect_for_releases(transport, exchange),
--- a/crates/platform/src/core/callers.rs
+++ b/crates/platform/src/core/callers.rs
@@ -89,8 +89,8 @@
         transport.close_caller_after_flush(connection);
     }
 
-    /// Sends final answers for the open calls of a connection that is about to be closed here: accepted calls are owed
-    /// one.
+    /// Sends final answers for the open calls of a connection that is about to be closed here, as each accepted call
+    /// gets one.
     fn fail_open_calls(&mut self, transport: &mut dyn Transport, connection: CallerConnectionId) {
         let open =
             self.state.callers.get(&connection).map(|caller| caller.open_calls.clone()).unwrap_or_default();
@@ -160,9 +160,9 @@
             Err(error) => return reply(transport, connection, message, 400, &error.to_string()),
         };
         match invite {
-            Invite::Stands { id, at } => {
+            Invite::Stands { id, exchange_uid } => {
                 self.mark_valid(transport, connection);
-                self.restore_standing_call(transport, connection, id, at);
+                self.restore_standing_call(transport, connection, id, exchange_uid);
             }
             Invite::Call(set_up) => {
                 if self.state.unanswered.contains_key(&set_up.id)
@@ -171,7 +171,7 @@
                     return reply(transport, connection, message, 400, "a call has this id");
                 }
                 self.mark_valid(transport, connection);
-                if self.draining() {
+                if self.is_draining() {
                     metrics::counter!("set_ups_refused", "reason" => "shutdown").increment(1);
                     return reply(transport, connection, message, 503, "this controller shuts down");
                 }
@@ -239,7 +239,7 @@
         transport: &mut dyn Transport,
         connection: CallerConnectionId,
         id: WireCallId,
-        at: &str,
+        exchange_uid: &str,
     ) {
         if self.state.standing.contains_key(&id) || self.state.standing.len() >= MAX_STANDING_CALLS {
             return;
@@ -250,7 +250,7 @@
                 .log_debug(format_args!("{id} ended: its exchange released it before its caller named it"));
             return self.state.notify_release(transport, Some(connection), id, cause, now);
         }
-        match self.uids.get(at) {
+        match self.uids.get(exchange_uid) {
             Some(exchange) => {
                 let call = CallId(self.state.next_number());
                 let (seizure, exchange) = (SeizureNumber(0), *exchange);
@@ -267,7 +267,7 @@
             // The exchange is no longer listed, so the call has ended with it.
             None => {
                 let reason = CallEnd::ExchangeUnknown;
-                transport.log_debug(format_args!("{id} ended: {reason} ({at})"));
+                transport.log_debug(format_args!("{id} ended: {reason} ({exchange_uid})"));
                 reason.count(1);
                 self.state.notify_release(transport, Some(connection), id, TEMPORARY_FAILURE, now);
             }
--- a/crates/platform/src/core/discovery.rs
+++ b/crates/platform/src/core/discovery.rs
@@ -50,7 +50,7 @@
         (self.bus_since, self.bus_failures) = (now, 0);
         let mut events = Vec::new();
         let result = self.bus_decoder.decode(octets, |event| events.push(event));
-        events.iter().for_each(|event| self.apply(transport, event));
+        events.iter().for_each(|event| self.apply_event(transport, event));
         if let Err(error) = result {
             transport.log_info(&format!(
                 "event bus: {error}; will resume from event {}",
@@ -71,7 +71,7 @@
         }
     }
 
-    pub(super) fn apply(&mut self, transport: &mut dyn Transport, event: &Event) {
+    pub(super) fn apply_event(&mut self, transport: &mut dyn Transport, event: &Event) {
         let Some(topology) = &event.topology else { return };
         let entries = self.exchange_entries(topology);
         let ended = self.apply_changes(transport, topology, &entries);
@@ -116,8 +116,8 @@
         entries
     }
 
-    /// Updates, adds and removes exchanges. Returns those whose calls have ended by it, if answered before the given time,
-    /// and why.
+    /// Updates, adds and removes exchanges. Returns those whose calls have ended by it, if answered before the given
+    /// time, and why.
     pub(super) fn apply_changes(
         &mut self,
         transport: &mut dyn Transport,
--- a/crates/platform/src/core/exchanges.rs
+++ b/crates/platform/src/core/exchanges.rs
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Checks the first report after all links were lost: a process with all its circuits free holds none of the standing
-    /// calls, so it is not the one with which they were set up.
+    /// Checks the first report after all links were lost: a process with all its circuits free holds none of the
+    /// standing calls, so it is not the one with which they were set up.
     fn end_calls_of_former_process(
         &mut self,
         transport: &mut dyn Transport,
@@ -151,7 +151,7 @@
         let remote = self.state.exchanges.get_mut(&exchange);
         let Some(lost_at) = remote.and_then(|remote| remote.all_links_lost_at.take()) else { return };
         if liveness::holds_no_calls(report) {
-            self.end_calls(transport, exchange, lost_at, CallEnd::ExchangeRestarted);
+            self.end_and_release_calls(transport, exchange, lost_at, CallEnd::ExchangeRestarted);
         }
     }
 
@@ -231,9 +231,9 @@
         self.report_standing_call_ended(transport, &call, seizure_cause);
     }
 
-    /// Ends the calls at an exchange that were answered before some time, for their callers and for the controller. They
-    /// are also released at the exchange, which may still hold them, as soon as it can be reached.
-    pub(super) fn end_calls(
+    /// Ends the calls at an exchange that were answered before some time, for their callers and for the controller.
+    /// They are also released at the exchange, which may still hold them, as soon as it can be reached.
+    pub(super) fn end_and_release_calls(
         &mut self,
         transport: &mut dyn Transport,
         exchange: ExchangeId,
--- a/crates/platform/src/core/leases.rs
+++ b/crates/platform/src/core/leases.rs
@@ -15,7 +15,7 @@
     pub(super) fn check_leases(&mut self, transport: &mut dyn Transport) {
         let exchanges: BTreeSet<ExchangeId> =
             self.state.standing.values().map(|call| call.exchange).collect();
-        let phase = if self.draining() { ProcessPhase::Terminating } else { ProcessPhase::Running };
+        let phase = if self.is_draining() { ProcessPhase::Terminating } else { ProcessPhase::Running };
         for exchange in exchanges {
             let Some(remote) = self.state.exchanges.get_mut(&exchange) else { continue };
             let quiet = self.state.now.saturating_sub(remote.lease.last_heard());
@@ -46,7 +46,7 @@
                 LeaseAction::Expired => {
                     transport
                         .log_info(&format!("exchange {} quiet for {quiet:?}: lease expired", exchange.0));
-                    self.end_calls(transport, exchange, Duration::MAX, CallEnd::LeaseExpired);
+                    self.end_and_release_calls(transport, exchange, Duration::MAX, CallEnd::LeaseExpired);
                 }
             }
         }
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -38,7 +38,8 @@
 }
 
 impl Core {
-    /// Starts the shutdown. Set-ups are accepted for a while yet, with time for their answers before the process is killed.
+    /// Starts the shutdown. Set-ups are still accepted for a while, with time for their answers before the process is
+    /// killed.
     pub fn stop(&mut self, now: Duration, transport: &mut dyn Transport) {
         self.state.now = now;
         if self.shutdown != Shutdown::NotRequested {
@@ -59,7 +60,7 @@
     }
 
     /// Whether set-ups are refused because the process is about to end.
-    pub(super) fn draining(&self) -> bool {
+    pub(super) fn is_draining(&self) -> bool {
         matches!(self.shutdown, Shutdown::Requested { at, .. } if at + SERVICE_PERIOD <= self.state.now)
     }
 
@@ -70,7 +71,7 @@
         service_over && self.state.unanswered.is_empty() && self.state.callers.is_empty()
     }
 
-    /// The deadline for answering a set-up, moved forward if the shutdown ends before it.
+    /// The deadline for answering a set-up, brought forward if the shutdown ends before it.
     pub(super) fn answer_deadline(&self, deadline: Duration) -> Duration {
         match self.shutdown {
             Shutdown::NotRequested => deadline,
@@ -104,8 +105,8 @@
         self.state.set_timer(DRAIN_INTERVAL, Timer::DrainCallers);
     }
 
-    /// The connections on which the releases of standing calls will be sent. A call whose own connection is closed needs
-    /// one of the others.
+    /// The connections on which the releases of standing calls will be sent. A call whose own connection is closed
+    /// needs one of the others.
     fn callers_awaiting_releases(&self) -> BTreeSet<CallerConnectionId> {
         let other = self.state.connection_for(None);
         let open = |connection: &CallerConnectionId| self.state.callers.contains_key(connection);
@@ -113,8 +114,9 @@
         self.state.standing.values().filter_map(release_connection).collect()
     }
 
-    /// The connection that can be closed to make room for another: the one without open set-ups that has been silent
-    /// longest. One that has sent valid messages is not closed in the middle of the next.
+    /// The connection that can be closed to make room for another: of those without open set-ups the one that has been
+    /// silent longest, and one that has sent no valid message before any other. A connection that has sent valid
+    /// messages is not closed in the middle of the next.
     pub fn least_active_caller(&self) -> Option<CallerConnectionId> {
         let closable = |caller: &Caller| {
             caller.open_calls.is_empty() && !(caller.sent_valid && caller.partial_since.is_some())
--- a/crates/platform/src/exchange_protocol.rs
+++ b/crates/platform/src/exchange_protocol.rs
@@ -1,7 +1,7 @@
 //! The binary protocol between controllers and exchanges: decoder and encoder of messages.
 //!
-//! A message consists of the length of the rest (two octets), the type, the call's id and parameters (code, two octets of
-//! length, value). It is checked completely before any of it is used.
+//! A message consists of the length of the rest (two octets), the type, the call's id and parameters (code, two octets
+//! of length, value). It is checked completely before any of it is used.
 
 use thiserror::Error;
 
--- a/crates/platform/src/invite.rs
+++ b/crates/platform/src/invite.rs
@@ -51,7 +51,7 @@
     /// Names a call that stands already and its exchange; it gets no answer.
     Stands {
         id: WireCallId,
-        at: &'a str,
+        exchange_uid: &'a str,
     },
 }
 
@@ -59,6 +59,7 @@
 /// the set-up takes time to arrive.
 const EXPIRES_TOLERANCE: Duration = Duration::from_secs(1);
 
+/// The value of a header that may be missing but must not be repeated.
 fn optional<'a>(message: &Message<'a>, name: &'static str) -> Result<Option<&'a str>, InviteError> {
     let mut all = message.headers(name);
     match (all.next(), all.next()) {
@@ -67,11 +68,12 @@
     }
 }
 
+/// The value of a header that must be there once and not be empty.
 fn required<'a>(message: &Message<'a>, name: &'static str) -> Result<&'a str, InviteError> {
     optional(message, name)?.filter(|value| !value.is_empty()).ok_or(InviteError::Missing(name))
 }
 
-/// The fields of `P-Trunk-Info`.
+/// The fields of `P-Trunk-Info`, as they are written there.
 #[derive(Default)]
 struct TrunkInfo<'a> {
     dest: Option<&'a str>,
@@ -85,7 +87,7 @@
 const TRUNK_INFO: &str = "P-Trunk-Info";
 
 impl<'a> TrunkInfo<'a> {
-    fn read(text: &'a str) -> Result<Self, InviteError> {
+    fn parse(text: &'a str) -> Result<Self, InviteError> {
         let mut info = Self::default();
         for part in text.split(';').map(str::trim).filter(|part| !part.is_empty()) {
             let (name, value) = part.split_once(':').ok_or(InviteError::Invalid(TRUNK_INFO))?;
@@ -106,11 +108,11 @@
     }
 }
 
-fn number(text: &str, min: i32) -> Result<u16, InviteError> {
+fn parse_number(text: &str, min: i32) -> Result<u16, InviteError> {
     text.parse().ok().filter(|number| i32::from(*number) >= min).ok_or(InviteError::Invalid(TRUNK_INFO))
 }
 
-fn flag(text: Option<&str>) -> Result<bool, InviteError> {
+fn parse_flag(text: Option<&str>) -> Result<bool, InviteError> {
     match text {
         None | Some("0") => Ok(false),
         Some("1") => Ok(true),
@@ -120,9 +122,9 @@
 
 pub fn parse<'a>(message: &Message<'a>, settings: &Settings) -> Result<Invite<'a>, InviteError> {
     let id = WireCallId::parse(required(message, "Call-ID")?).ok_or(InviteError::Invalid("Call-ID"))?;
-    let info = TrunkInfo::read(optional(message, TRUNK_INFO)?.unwrap_or_default())?;
-    if let Some(at) = info.at {
-        return Ok(Invite::Stands { id, at });
+    let info = TrunkInfo::parse(optional(message, TRUNK_INFO)?.unwrap_or_default())?;
+    if let Some(exchange_uid) = info.at {
+        return Ok(Invite::Stands { id, exchange_uid });
     }
     let user = message.user().ok_or(InviteError::Invalid("the address"))?;
     let dialled = WireCallId::parse(user).ok_or(InviteError::Invalid("the address"))?.0;
@@ -136,14 +138,17 @@
     let customer = customer.ok_or(InviteError::Unknown("P-Customer"))?;
     let expires = required(message, "Expires-Ms")?.parse().map_err(|_| InviteError::Invalid("Expires-Ms"))?;
     let expires = Duration::from_millis(expires);
-    let max_expires =
-        settings.controller.call_types.get(call_type).map_or(Duration::ZERO, |of| of.guard_time);
+    let max_expires = settings
+        .controller
+        .call_types
+        .get(call_type)
+        .map_or(Duration::ZERO, |call_type| call_type.guard_time);
     if expires.is_zero() || expires > max_expires.saturating_add(EXPIRES_TOLERANCE) {
         return Err(InviteError::Invalid("Expires-Ms"));
     }
     let advised = match info.via {
         None | Some("-1") => None,
-        Some(text) => Some(ExchangeNumber(number(text, 0)?)),
+        Some(text) => Some(ExchangeNumber(parse_number(text, 0)?)),
     };
     if message.body.is_empty() {
         return Err(InviteError::Missing("the description"));
@@ -160,10 +165,10 @@
         customer: CustomerId(customer as u16),
         dialled: DialledNumber(dialled),
         expires,
-        dest: ExchangeNumber(number(info.dest.ok_or(InviteError::Missing(TRUNK_INFO))?, 0)?),
-        width: info.width.map_or(Ok(1), |text| number(text, 1))?,
+        dest: ExchangeNumber(parse_number(info.dest.ok_or(InviteError::Missing(TRUNK_INFO))?, 0)?),
+        width: info.width.map_or(Ok(1), |text| parse_number(text, 1))?,
         advised,
-        transit: flag(info.transit)?,
-        was_cut: flag(info.again)?,
+        transit: parse_flag(info.transit)?,
+        was_cut: parse_flag(info.again)?,
     }))
 }
--- a/crates/platform/src/reasons.rs
+++ b/crates/platform/src/reasons.rs
@@ -10,7 +10,7 @@
     /// The other side closed or reset it, or the network failed.
     Disconnected,
     /// It did not come up in time.
-    DialTimeout,
+    ConnectTimeout,
     /// A message could not be decoded.
     Malformed,
     /// The rest of a message did not arrive in time.
@@ -30,7 +30,7 @@
         match self {
             Self::Refused => "refused",
             Self::Disconnected => "disconnected",
-            Self::DialTimeout => "dial_timeout",
+            Self::ConnectTimeout => "dial_timeout",
             Self::Malformed => "malformed",
             Self::IncompleteMessage => "incomplete_message",
             Self::DrainExpired => "drain_expired",
--- a/crates/platform/src/state.rs
+++ b/crates/platform/src/state.rs
@@ -1,8 +1,8 @@
-//! The state of calls, seizures, standing calls, callers' connections and links to exchanges, and the actions on it that
-//! the controller asks for.
+//! The state of calls, seizures, standing calls, callers' connections and links to exchanges, and the actions on it
+//! that the controller asks for.
 //!
-//! `calls` holds the calls without a final answer, `links` the pools of connections to exchanges, `releases` the releases
-//! of standing calls, and `actions` the [`mintstall::interface::ControllerActions`] of this platform.
+//! `calls` holds the calls without a final answer, `links` the pools of connections to exchanges, `releases` the
+//! releases of standing calls, and `actions` the [`mintstall::interface::ControllerActions`] of this platform.
 
 mod actions;
 mod calls;
@@ -145,13 +145,13 @@
     /// Whether one of its calls has been answered: a caller that only disrupts does not get this far.
     pub had_standing_call: bool,
     /// Releases written recently that it has not confirmed, oldest first.
-    unconfirmed: VecDeque<(Duration, WireCallId, u8)>,
+    unconfirmed_releases: VecDeque<(Duration, WireCallId, u8)>,
 }
 
 impl Caller {
     /// Whether a release was written recently that it has not confirmed.
     pub fn awaits_confirmation(&self, now: Duration) -> bool {
-        self.unconfirmed.iter().any(|(at, ..)| *at + RELEASE_CONFIRM_WINDOW > now)
+        self.unconfirmed_releases.iter().any(|(at, ..)| *at + RELEASE_CONFIRM_WINDOW > now)
     }
 }
 
@@ -287,7 +287,7 @@
             partial_since: Some(self.now),
             sent_valid: false,
             had_standing_call: false,
-            unconfirmed: VecDeque::new(),
+            unconfirmed_releases: VecDeque::new(),
         };
         self.callers.insert(caller, new_caller);
     }
--- a/crates/platform/src/state/actions.rs
+++ b/crates/platform/src/state/actions.rs
@@ -16,14 +16,14 @@
 }
 
 impl ControllerActions for EventContext<'_> {
-    fn seize(&mut self, id: CallId, to: ExchangeId, limit: Duration) {
+    fn seize(&mut self, id: CallId, to: ExchangeId, timeout: Duration) {
         let Self { state, transport } = self;
         let Some(call) = state.calls.get_mut(&id) else { return };
         let number = SeizureNumber(call.seizure_count);
         call.seizure_count = call.seizure_count.saturating_add(1);
         call.open_seizure =
-            Some(OpenSeizure { number, exchange: to, link: None, seized_at: state.now, timeout: limit });
-        state.set_timer(limit, Timer::SeizureTimeout(id, number));
+            Some(OpenSeizure { number, exchange: to, link: None, seized_at: state.now, timeout });
+        state.set_timer(timeout, Timer::SeizureTimeout(id, number));
         if state.send_set_up(*transport, id) {
             return;
         }
@@ -33,8 +33,8 @@
             return state.end_seizure(id, Cause::Unreachable);
         };
         if !state.is_connecting(remote) && remote.links.len() < state.links_per_exchange + MAX_EXTRA_LINKS {
-            let at = remote.address;
-            state.connect(*transport, to, at);
+            let address = remote.address;
+            state.connect(*transport, to, address);
         }
         if let Some(remote) = state.exchanges.get_mut(&to) {
             remote.queued_set_ups.push_back(id);
@@ -50,8 +50,8 @@
     }
 
     fn reject(&mut self, id: CallId, retry_after: Duration) {
-        let wait = retry_after.as_millis().to_string();
-        let headers = [("P-Back-Off", &*wait)];
+        let retry_after_ms = retry_after.as_millis().to_string();
+        let headers = [("P-Back-Off", &*retry_after_ms)];
         let headers = if retry_after.is_zero() { &headers[..0] } else { &headers[..] };
         self.state.answer(self.transport, id, 503, headers, b"");
     }
--- a/crates/platform/src/state/links.rs
+++ b/crates/platform/src/state/links.rs
@@ -24,7 +24,8 @@
 const MAX_SUSPECTED_RECONNECT_DELAY: Duration = Duration::from_millis(250);
 
 impl PlatformState {
-    /// Half-closes links whose drain period is over. Returns half-closed links that the other side has not closed in time.
+    /// Half-closes links whose drain period is over. Returns the half-closed links that the other side has not closed
+    /// in time.
     pub fn expire_links(&mut self, transport: &mut dyn Transport) -> Vec<LinkId> {
         let now = self.now;
         let (mut drained, mut expired) = (Vec::new(), Vec::new());
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Closes all links for good. Exchanges repeat unconfirmed releases on the next connection, which is the successor's.
+    /// Closes all links for good. Exchanges repeat unconfirmed releases on the next connection, which is the
+    /// successor's.
     pub fn close_links(&mut self, transport: &mut dyn Transport) {
         self.links_closed = true;
         let all: Vec<_> = self.links.keys().copied().collect();
@@ -97,9 +99,9 @@
         }
     }
 
-    /// Plans a connection to an exchange whose releases may have been lost with a link, or written to a link of a former
-    /// process. Exchanges repeat releases on the next connection that is opened, so one is opened soon even if the pool
-    /// is full.
+    /// Plans a connection to an exchange whose releases may have been lost with a link, or written to a link of a
+    /// former process. Exchanges repeat releases on the next connection that is opened, so one is opened soon even if
+    /// the pool is full.
     pub fn plan_release_connection(&mut self, to: ExchangeId) {
         let Some(remote) = self.exchanges.get_mut(&to) else { return };
         if !std::mem::replace(&mut remote.release_connection_planned, true) {
@@ -136,7 +138,7 @@
         self.links_per_exchange = (self.max_links / ready.max(1)).clamp(1, MAX_LINKS);
     }
 
-    /// Opens the links that an exchange lacks: all at once at first, one at a time after a failure.
+    /// Opens the links that an exchange lacks: all at once, or one at a time after a failure.
     pub fn maintain_pool(&mut self, transport: &mut dyn Transport, to: ExchangeId) {
         let Some(remote) = self.exchanges.get(&to) else { return };
         let wanted = match remote.status {
@@ -209,8 +211,8 @@
         self.maintain_pool(transport, to);
     }
 
-    /// Removes a link that was lost, or closes it, and ends the seizures on it as cut. Returns its exchange and the state
-    /// that it was in.
+    /// Removes a link that was lost, or closes it, and ends the seizures on it as cut. Returns its exchange and the
+    /// state that it was in.
     pub fn remove_link(
         &mut self,
         transport: &mut dyn Transport,
--- a/crates/platform/src/state/releases.rs
+++ b/crates/platform/src/state/releases.rs
@@ -39,21 +39,19 @@
         let mut octets = Vec::new();
         sip::encode(&mut octets, "BYE sip:peer@net SIP/2.0", &headers, b"");
         if let Some(caller) = self.callers.get_mut(&connection) {
-            while caller
-                .unconfirmed
-                .pop_front_if(|(at, ..)| *at + RELEASE_CONFIRM_WINDOW < self.now)
-                .is_some()
-            {}
-            if caller.unconfirmed.len() < MAX_PENDING_RELEASES {
-                caller.unconfirmed.push_back((self.now, id, cause));
+            let now = self.now;
+            let expired = |(at, ..): &mut (Duration, WireCallId, u8)| *at + RELEASE_CONFIRM_WINDOW < now;
+            while caller.unconfirmed_releases.pop_front_if(expired).is_some() {}
+            if caller.unconfirmed_releases.len() < MAX_PENDING_RELEASES {
+                caller.unconfirmed_releases.push_back((self.now, id, cause));
             }
         }
         transport.send_to_caller(connection, &octets);
         transport.log_debug(format_args!("{id} released: sent to caller {}, cause {cause}", connection.0));
     }
 
-    /// The connection for the release of a call: its caller's if open, else one of the others. Connections that have had
-    /// a standing call come first: a caller that only disrupts does not get that far.
+    /// The connection for the release of a call: its caller's if open, else one of the others. Connections that have
+    /// had a standing call come first: a caller that only disrupts does not get that far.
     pub fn connection_for(&self, caller: Option<CallerConnectionId>) -> Option<CallerConnectionId> {
         let has_sent_valid = |connection: &CallerConnectionId| {
             self.callers.get(connection).is_some_and(|caller| caller.sent_valid)
@@ -68,7 +66,7 @@
 
     pub fn release_confirmed(&mut self, caller: CallerConnectionId, id: WireCallId) {
         if let Some(caller) = self.callers.get_mut(&caller) {
-            caller.unconfirmed.retain(|(_, known, _)| *known != id);
+            caller.unconfirmed_releases.retain(|(_, known, _)| *known != id);
         }
     }
 
@@ -89,7 +87,7 @@
         connection: CallerConnectionId,
     ) -> Vec<CallId> {
         let Some(caller) = self.callers.remove(&connection) else { return Vec::new() };
-        for (at, id, cause) in caller.unconfirmed {
+        for (at, id, cause) in caller.unconfirmed_releases {
             if at + RELEASE_CONFIRM_WINDOW > self.now {
                 self.notify_release(transport, None, id, cause, at);
             }
@@ -105,9 +103,8 @@
         }
         let now = self.now;
         let Some(remote) = self.exchanges.get_mut(&to) else { return };
-        while remote.unconfirmed_releases.pop_front_if(|(at, _)| *at + RELEASE_REPEAT_WINDOW < now).is_some()
-        {
-        }
+        let expired = |(at, _): &mut (Duration, WireCallId)| *at + RELEASE_REPEAT_WINDOW < now;
+        while remote.unconfirmed_releases.pop_front_if(expired).is_some() {}
         if remote.unconfirmed_releases.len() == MAX_PENDING_RELEASES {
             remote.unconfirmed_releases.pop_front();
         }
