--- a/crates/platform/tests/stories.rs
+++ b/crates/platform/tests/stories.rs
@@ -1,6 +1,6 @@
-//! Tests of the core with a recording transport, in virtual time. All messages are checked against the rules as they are
-//! sent: one final answer per call, one open seizure per call at a time, no set-up to an exchange after its drain grace,
-//! no further set-up of a call within the release wait.
+//! Tests of the core with a recording transport, in virtual time. All messages are checked against the rules as they
+//! are sent: one final answer per call, one open seizure per call at a time, no set-up to an exchange after its drain
+//! grace, no further set-up of a call within the release wait.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Arguments;
