--- a/crates/cli/tests/calls.rs
+++ b/crates/cli/tests/calls.rs
@@ -89,7 +89,7 @@
 
     fn say(&mut self, text: &Value) -> std::io::Result<()> {
         self.end.send_text(&text.to_string());
-        self.stream.write_all(&std::mem::take(self.end.out()))
+        self.stream.write_all(&std::mem::take(self.end.output()))
     }
 
     /// The next text, or how the connection ended.
@@ -100,13 +100,13 @@
             // One octet at a time: no text that follows is taken with it.
             match self.stream.read(&mut buffer) {
                 Ok(1) => {}
-                other => panic!("{other:?}, {:?}", self.end.ended()),
+                other => panic!("{other:?}, {:?}", self.end.close_info()),
             }
             self.end.on_octets(&buffer, &mut |event| match event {
                 WebSocketEvent::Text(text) => texts.push(text),
                 WebSocketEvent::PingOrPong => {}
             });
-            if let Some(ended) = self.end.ended() {
+            if let Some(ended) = self.end.close_info() {
                 return Err(ended.clone());
             }
         }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -153,7 +153,7 @@
         offer: Offer,
     ) -> Result<(CallOutcome, Option<RedialDenied>), ClientError> {
         let until = self.now() + Duration::from_millis(offer.time_left_ms.into());
-        redial.first_offer();
+        redial.on_first_offer();
         let mut offers = 0;
         loop {
             let left = until.saturating_sub(self.now()).as_millis() as u32;
@@ -162,11 +162,11 @@
             let told = match outcome {
                 CallOutcome::Stands { .. } => return Ok((outcome, None)),
                 // It may stand unheard: only its caller can tell whether to ask again.
-                CallOutcome::Lost => return Ok((outcome, Some(RedialDenied::Time))),
+                CallOutcome::Lost => return Ok((outcome, Some(RedialDenied::TooLate))),
                 CallOutcome::Refused { retry_after } => Some(retry_after),
                 CallOutcome::Fails => None,
             };
-            match redial.again(self.now(), until, offers, told) {
+            match redial.next_offer_at(self.now(), until, offers, told) {
                 Err(why) => return Ok((outcome, Some(why))),
                 Ok(at) => self.rest_until(at),
             }
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -203,7 +203,7 @@
                 self.out.extend_from_slice(&request);
                 self.link = Link::Shaking(dialled);
                 // It is the only one.
-                let _ = self.vigil.came(now, ());
+                let _ = self.vigil.add(now, ());
             }
             Err(why) => self.lost(now, &why.to_string()),
         }
@@ -239,7 +239,7 @@
 
     /// Whether a call has been answered, and stands.
     pub fn stands(&self, call: u64) -> bool {
-        self.book.stands(call)
+        self.book.is_standing(call)
     }
 
     pub fn unanswered(&self) -> usize {
@@ -284,9 +284,9 @@
             return;
         }
         self.out.clear();
-        self.vigil.gone(());
+        self.vigil.remove(());
         self.settling = None;
-        self.book.cut();
+        self.book.on_disconnect();
         for (ask, asking) in std::mem::take(&mut self.asked) {
             if asking == Asking::Other {
                 let result = Err((0, format!("no reply came: {why}")));
@@ -294,7 +294,7 @@
             }
         }
         let kept = if self.key.is_some() { self.kept } else { Duration::ZERO };
-        self.link = Link::Down { dial_at: self.back.failed(now, told, kept) };
+        self.link = Link::Down { dial_at: self.back.on_failure(now, told, kept) };
         self.events.push_back(Event::Disconnected { why: why.to_string() });
     }
 
@@ -309,7 +309,7 @@
                 }
                 ClientHandshakeState::Open(mut end) => {
                     end.on_octets(&[], &mut |event| heard.push(event));
-                    self.vigil.opened(now, ());
+                    self.vigil.on_open(now, ());
                     self.link = Link::Greeting(end);
                     self.greet();
                 }
@@ -317,7 +317,7 @@
             Link::Greeting(end) | Link::Open(end) => end.on_octets(octets, &mut |event| heard.push(event)),
             Link::Down { .. } | Link::Dialling | Link::Closed => return,
         }
-        self.vigil.heard(now, ());
+        self.vigil.on_received(now, ());
         for event in heard {
             if let WebSocketEvent::Text(text) = event {
                 self.text(now, &text);
@@ -325,7 +325,7 @@
         }
         self.pump();
         if let Link::Greeting(end) | Link::Open(end) = &self.link
-            && let Some(ended) = end.ended()
+            && let Some(ended) = end.close_info()
         {
             let why = match ended.by_far_end {
                 true => format!("closed by the server ({}): {}", ended.code, ended.reason),
@@ -361,7 +361,7 @@
         match heard {
             ServerMessage::Answered(answered) => self.answered(answered),
             ServerMessage::Ended(CallEndedNotification { call, how }) => {
-                if self.book.over(call) {
+                if self.book.remove(call) {
                     self.events.push_back(Event::Ended { call, how: Some(how) });
                 }
             }
@@ -386,7 +386,7 @@
     }
 
     fn answered(&mut self, answered: OfferResult) {
-        if self.book.answered(answered.call, answered.answer == FinalAnswer::Stands) {
+        if self.book.on_answer(answered.call, answered.answer == FinalAnswer::Stands) {
             self.events.push_back(Event::Answered(answered));
         }
     }
@@ -397,7 +397,7 @@
             let answer = FinalAnswer::Refused { come_back_ms };
             return self.answered(OfferResult { call, exchange_call: 0, answer });
         }
-        if self.book.over(call) {
+        if self.book.remove(call) {
             self.events.push_back(Event::Fault { call, code, why });
         }
     }
@@ -443,7 +443,7 @@
         };
         let Link::Greeting(end) = std::mem::replace(&mut self.link, Link::Dialling) else { return };
         self.link = Link::Open(end);
-        self.back.opened(now);
+        self.back.on_open(now);
         let resumed = self.key.is_some() && self.key == welcome.session;
         self.key = welcome.session.clone();
         self.kept = Duration::from_millis(welcome.limits.kept_ms);
@@ -453,7 +453,7 @@
         match resumed {
             true => self.settling = Some((owed, there)),
             false => {
-                let settled = self.book.begun_anew(now);
+                let settled = self.book.on_new_session(now);
                 self.carry_out(now, settled, &BTreeMap::new());
             }
         }
@@ -470,11 +470,11 @@
             _ => ServerCallState::Unanswered,
         };
         let states = there.iter().map(|(call, state)| (*call, in_hand(state))).collect();
-        let settled = self.book.taken_up(now, &states);
+        let settled = self.book.on_resumed(now, &states);
         // Hung up here while there was no connection to say so.
-        let forgotten: Vec<u64> = there.keys().copied().filter(|call| !self.book.knows(*call)).collect();
+        let forgotten: Vec<u64> = there.keys().copied().filter(|call| !self.book.contains(*call)).collect();
         for call in
-            forgotten.into_iter().filter(|call| !settled.over.contains(call) && !settled.lost.contains(call))
+            forgotten.into_iter().filter(|call| !settled.ended.contains(call) && !settled.lost.contains(call))
         {
             self.give_up(call);
         }
@@ -482,8 +482,8 @@
     }
 
     fn carry_out(&mut self, now: Duration, settled: ReconciledCalls, there: &BTreeMap<u64, CallState>) {
-        let ReconciledCalls { send, stand, over, lost } = settled;
-        for call in stand {
+        let ReconciledCalls { to_send, standing, ended, lost } = settled;
+        for call in standing {
             let exchange_call = there.get(&call).map_or(0, |state| state.exchange_call);
             self.events.push_back(Event::Answered(OfferResult {
                 call,
@@ -491,11 +491,11 @@
                 answer: FinalAnswer::Stands,
             }));
         }
-        self.events.extend(over.into_iter().map(|call| Event::Ended { call, how: None }));
+        self.events.extend(ended.into_iter().map(|call| Event::Ended { call, how: None }));
         self.events.extend(lost.into_iter().map(|call| Event::Lost { call }));
-        send.into_iter().for_each(|call| self.send(now, call));
+        to_send.into_iter().for_each(|call| self.send(now, call));
         for call in std::mem::take(&mut self.cancels) {
-            if self.book.knows(call) {
+            if self.book.contains(call) {
                 self.say(Asking::GiveUp, Request::Cancel(Cancel { call }));
             }
         }
@@ -522,25 +522,25 @@
     }
 
     fn send(&mut self, now: Duration, call: u64) {
-        let Some((offer, left)) = self.book.asked(now, call) else { return };
+        let Some((offer, left)) = self.book.offer_and_time_left(now, call) else { return };
         let offer = Offer { time_left_ms: left.as_millis() as u32, ..offer.clone() };
         let Link::Open(end) = &mut self.link else { return };
         end.send_text(&RequestMessage { id: Some(json!(call)), request: Request::Offer(offer) }.text());
-        self.book.sent(call);
+        self.book.mark_sent(call);
     }
 
     /// Ends a call that stands, or gives it up; without a connection it is forgotten here, and over there when the session
     /// is taken up or its time is over.
     pub fn hang_up(&mut self, call: u64) {
         self.give_up(call);
-        self.book.over(call);
+        self.book.remove(call);
         self.pump();
     }
 
     /// Gives up a call that has no answer; it gets `fails` at once, or when there is a connection again.
     pub fn cancel(&mut self, call: u64) {
         if !self.is_open() || self.settling.is_some() {
-            self.cancels.extend(self.book.knows(call).then_some(call));
+            self.cancels.extend(self.book.contains(call).then_some(call));
             return;
         }
         self.say(Asking::GiveUp, Request::Cancel(Cancel { call }));
@@ -591,13 +591,13 @@
             end.close(close::NORMAL, "done");
         }
         self.pump();
-        self.vigil.gone(());
+        self.vigil.remove(());
         self.link = Link::Closed;
     }
 
     fn pump(&mut self) {
         if let Link::Greeting(end) | Link::Open(end) = &mut self.link {
-            self.out.append(end.out());
+            self.out.append(end.output());
         }
     }
 }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -221,18 +221,18 @@
     fn default() -> Self {
         let limits = Limits::default();
         Self {
-            sessions: limits.sessions,
+            sessions: limits.max_sessions,
             opens_per_s: limits.opens_per_s,
-            opens_at_once: limits.opens_at_once,
-            calls_a_session: limits.calls_a_session,
-            calls_a_customer: limits.calls_a_customer,
+            opens_at_once: limits.open_burst,
+            calls_a_session: limits.max_calls_per_session,
+            calls_a_customer: limits.max_calls_per_customer,
             offers_per_s: limits.offers_per_s,
-            offers_at_once: limits.offers_at_once,
+            offers_at_once: limits.offer_burst,
             requests_per_s: limits.requests_per_s,
-            requests_at_once: limits.requests_at_once,
-            unanswered: limits.unanswered,
-            waiting: limits.waiting,
-            wait_share: limits.wait_share,
+            requests_at_once: limits.request_burst,
+            unanswered: limits.max_unanswered,
+            waiting: limits.max_waiting,
+            wait_share: limits.max_wait_share,
             resume_ms: 30_000,
             resume_sessions: 10_000,
             resume_texts: 1_000,
@@ -246,18 +246,18 @@
 impl LimitsConfig {
     pub fn limits(&self) -> Limits {
         Limits {
-            sessions: self.sessions,
+            max_sessions: self.sessions,
             opens_per_s: self.opens_per_s,
-            opens_at_once: self.opens_at_once,
-            calls_a_session: self.calls_a_session,
-            calls_a_customer: self.calls_a_customer,
+            open_burst: self.opens_at_once,
+            max_calls_per_session: self.calls_a_session,
+            max_calls_per_customer: self.calls_a_customer,
             offers_per_s: self.offers_per_s,
-            offers_at_once: self.offers_at_once,
+            offer_burst: self.offers_at_once,
             requests_per_s: self.requests_per_s,
-            requests_at_once: self.requests_at_once,
-            unanswered: self.unanswered,
-            waiting: self.waiting,
-            wait_share: self.wait_share,
+            request_burst: self.requests_at_once,
+            max_unanswered: self.unanswered,
+            max_waiting: self.waiting,
+            max_wait_share: self.wait_share,
         }
     }
 }
@@ -364,7 +364,7 @@
 /// Reads a file of tokens.
 pub fn read_tokens(path: &Path) -> Result<Tokens, ConfigError> {
     let file: TokenFile = read_json(path)?;
-    Tokens::read(&file).map_err(|faults| ConfigError::Faults { path: path.into(), faults })
+    Tokens::from_file(&file).map_err(|faults| ConfigError::Faults { path: path.into(), faults })
 }
 
 /// Reads any JSON file of ours, with the place of what makes no sense in it.
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -205,7 +205,7 @@
         Self {
             office: CallControl::new(now, &config.plan(), incarnation, seed),
             admission: Admission::new(now, config.limits.limits(), shares.collect(), seed),
-            tokens: Tokens::open(),
+            tokens: Tokens::unrestricted(),
             resumable: ResumableSessions::new(
                 Duration::from_millis(config.limits.resume_ms),
                 config.limits.resume_sessions,
@@ -248,7 +248,7 @@
                 let text = result_text(id, answered);
                 self.say(port, line, None, text);
             }
-            self.repeats.answered(now, session, answered.call, answered);
+            self.repeats.insert(now, session, answered.call, answered);
             let event = CallEvent {
                 exchange_call: call.0,
                 customer: customer.0,
@@ -256,7 +256,7 @@
             };
             self.news.push(customer, event);
             let log = &mut |line: &str| port.log_info(line);
-            self.ready.extend(self.admission.answered(now, session, customer, stands, log));
+            self.ready.extend(self.admission.on_answer(now, session, customer, stands, log));
             if !stands {
                 self.forget(call);
             }
@@ -280,8 +280,8 @@
         let Some(held) = self.lines.get_mut(&line) else { return };
         let Some(backlog) = &mut held.backlog else { return port.send_to_line(line, &text) };
         let kept = match about {
-            Some(call) => backlog.note(call, text),
-            None => backlog.answer(text),
+            Some(call) => backlog.push_notification(call, text),
+            None => backlog.push_answer(text),
         };
         if let Err(overflow) = kept {
             port.log_info(&format!("session {} is over: {overflow}", held.session.0));
@@ -292,7 +292,7 @@
     fn forget(&mut self, call: CallId) -> Option<Asker> {
         let asker = self.askers.remove(&call)?;
         if asker.progress == Progress::Stands {
-            self.admission.over(asker.session, asker.customer);
+            self.admission.end_call(asker.session, asker.customer);
         }
         if let Some(line) = self.lines.get_mut(&asker.line) {
             line.calls.remove(&asker.call);
@@ -324,7 +324,7 @@
         for (pending, refusal) in self.admission.on_timer(now, &mut |text| port.log_info(text)) {
             self.refuse(port, &pending, refusal);
         }
-        let over = self.resumable.expired(now);
+        let over = self.resumable.take_expired(now);
         if !over.is_empty() {
             self.end_sessions(now, port, &over);
         }
@@ -356,7 +356,7 @@
 
     /// A connection for calls, if there is room for one more.
     pub fn line_open(&mut self, now: Duration) -> Result<LineId, LineOpenError> {
-        match self.admission.open(now) {
+        match self.admission.open_session(now) {
             OpenOutcome::Open(SessionId(no)) => {
                 let line = Line {
                     cutter: LineDecoder::new(MAX_MESSAGE_OCTETS),
@@ -378,12 +378,12 @@
     /// nobody is told.
     pub fn line_closed(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
         let Some(held) = self.lines.get_mut(&line) else { return };
-        match self.resumable.cut(now, held.session) {
-            DisconnectOutcome::Over => self.end_line(now, port, line),
-            DisconnectOutcome::Kept { displaced, .. } => {
+        match self.resumable.on_disconnect(now, held.session) {
+            DisconnectOutcome::Ended => self.end_line(now, port, line),
+            DisconnectOutcome::Kept { evicted, .. } => {
                 held.backlog = Some(Backlog::new(self.resume_texts));
                 held.cutter = LineDecoder::new(MAX_MESSAGE_OCTETS);
-                self.end_sessions(now, port, &displaced);
+                self.end_sessions(now, port, &evicted);
             }
         }
         self.take_ready(now, port);
@@ -406,17 +406,17 @@
     fn end_line(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
         let Some(Line { calls, session, .. }) = self.lines.remove(&line) else { return };
         self.sessions.remove(&session);
-        self.resumable.forget(session);
-        self.repeats.over(session);
-        self.news.leave(session);
-        self.admission.close(now, session, &mut |text| port.log_info(text));
+        self.resumable.remove(session);
+        self.repeats.remove_session(session);
+        self.news.remove_watcher(session);
+        self.admission.close_session(now, session, &mut |text| port.log_info(text));
         for held in calls.into_values() {
             let Held::With(call) = held else { continue };
             let asker = self.askers.remove(&call);
             self.with(now, port, |office, wire| office.hang_up(now, wire, call));
             if let Some(asker) = asker.filter(|asker| asker.progress == Progress::Unanswered) {
                 let log = &mut |text: &str| port.log_info(text);
-                let next = self.admission.answered(now, session, asker.customer, false, log);
+                let next = self.admission.on_answer(now, session, asker.customer, false, log);
                 self.ready.extend(next);
             }
         }
@@ -465,7 +465,7 @@
             }
         });
         self.sessions.remove(&fresh);
-        self.admission.close(now, fresh, &mut |text| port.log_info(text));
+        self.admission.close_session(now, fresh, &mut |text| port.log_info(text));
         let calls = calls.into_iter().map(|(call, held)| self.call_state(call, held)).collect();
         // Said after the welcome: the client must know whose they are.
         let mut backlog = before.backlog;
@@ -496,11 +496,11 @@
 
     /// Whether a token allows something on the admin port.
     pub fn admin_may(&self, token: Option<&str>) -> Result<(), AuthError> {
-        if !self.tokens.asks() {
+        if !self.tokens.are_required() {
             return Ok(());
         }
-        let grant = self.tokens.present(token.ok_or(AuthError::NoToken)?)?;
-        if grant.may(Scope::Admin) { Ok(()) } else { Err(AuthError::Scope) }
+        let grant = self.tokens.lookup(token.ok_or(AuthError::NoToken)?)?;
+        if grant.allows(Scope::Admin) { Ok(()) } else { Err(AuthError::Scope) }
     }
 
     fn hello(
@@ -512,9 +512,9 @@
     ) -> Result<HelloResult, RpcError> {
         let held =
             self.lines.get_mut(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
-        if self.tokens.asks() {
+        if self.tokens.are_required() {
             let token = hello.token.as_deref().ok_or(AuthError::NoToken);
-            let grant = token.and_then(|token| self.tokens.present(token));
+            let grant = token.and_then(|token| self.tokens.lookup(token));
             let grant = grant.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
             held.token = Some(grant.name.clone());
         }
@@ -530,19 +530,19 @@
             self.resumable.register(held.session, key, held.token.clone());
             session = Some(format!("{:032x}", key.0));
         }
-        let limits = self.admission.gate.limits();
+        let limits = self.admission.session_limiter.limits();
         Ok(HelloResult {
             server: "mintstall".into(),
             version: env!("CARGO_PKG_VERSION").into(),
             exchange: self.office.own().0,
             token: held.token.clone(),
             limits: SessionLimits {
-                calls_a_session: limits.calls_a_session,
-                calls_a_customer: limits.calls_a_customer,
+                calls_a_session: limits.max_calls_per_session,
+                calls_a_customer: limits.max_calls_per_customer,
                 offers_per_s: limits.offers_per_s,
                 requests_per_s: limits.requests_per_s,
                 text_octets: MAX_MESSAGE_OCTETS,
-                kept_ms: self.resumable.span().as_millis() as u64,
+                kept_ms: self.resumable.retention().as_millis() as u64,
                 repeat_ms: self.repeat_ms,
             },
             session,
@@ -578,7 +578,10 @@
         let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
         allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
-        let sees = self.tokens.named(held.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
+        let sees = self
+            .tokens
+            .grant_named(held.token.as_deref())
+            .map_or(CustomerFilter::All, Grant::customer_filter);
         let cursor = self.news.watch(held.session, cursor, sees);
         cursor.map_err(|error| RpcError::new(code::INVALID_PARAMS, error.to_string()))
     }
@@ -589,11 +592,11 @@
         if self.news.watchers() == 0 {
             return;
         }
-        for session in self.news.behind() {
+        for session in self.news.lagging_sessions() {
             let there = |line: &LineId| self.lines.get(line).is_some_and(|line| line.backlog.is_none());
             let line = self.sessions.get(&session).copied().filter(there);
             let Some(line) = line.filter(|line| port.has_room(*line)) else { continue };
-            let told = self.news.tell(session, AT_ONCE);
+            let told = self.news.next_batch(session, AT_ONCE);
             if told.missed > 0 {
                 port.send_to_line(
                     line,
@@ -616,7 +619,7 @@
         let Some(held) = self.lines.get_mut(&line) else {
             // Its line closed as its turn came: its place goes on.
             let log = &mut |text: &str| port.log_info(text);
-            let next = self.admission.answered(now, session, customer, false, log);
+            let next = self.admission.on_answer(now, session, customer, false, log);
             return self.ready.extend(next);
         };
         let call = self.office.next_call();
@@ -661,7 +664,7 @@
 
     fn text(&mut self, now: Duration, port: &mut dyn Transport, line: LineId, text: &[u8]) {
         let Some(session) = self.lines.get(&line).map(|line| line.session) else { return };
-        let allowed = self.admission.gate.request(now, session);
+        let allowed = self.admission.session_limiter.check_request(now, session);
         let RequestMessage { id, request } = match RequestMessage::read(text) {
             Ok(asked) => asked,
             Err((id, fault)) => return port.send_to_line(line, &error_text(&id, &fault)),
@@ -717,7 +720,7 @@
         let allowed =
             self.tokens.check(held.token.as_deref(), Scope::Offer, Some(CustomerId(offer.customer)));
         allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
-        if let CachedAnswer::Answered(answered) = self.repeats.offer(now, held.session, offer.call) {
+        if let CachedAnswer::Answered(answered) = self.repeats.on_offer(now, held.session, offer.call) {
             id.iter().for_each(|id| port.send_to_line(line, &result_text(id, answered)));
             return Ok(());
         }
@@ -817,7 +820,10 @@
         let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
         allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
-        let sees = self.tokens.named(held.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
+        let sees = self
+            .tokens
+            .grant_named(held.token.as_deref())
+            .map_or(CustomerFilter::All, Grant::customer_filter);
         let mut traces = self.traces(get.origin, get.exchange_call);
         traces.retain(|trace| sees.includes(CustomerId(trace.customer)));
         if traces.is_empty() {
@@ -975,13 +981,13 @@
                 })
             })
             .collect();
-        let in_hand = self.admission.gate.greediest(10).into_iter();
+        let in_hand = self.admission.session_limiter.customers_by_calls(10).into_iter();
         let in_hand: Vec<_> =
             in_hand.map(|(no, calls)| json!({ "customer": no.0, "calls": calls })).collect();
         json!({
             "exchange": own.0, "calls": calls, "owed": owed, "timers": timers, "traces": traces, "lines": self.lines.len(),
             "admission": { "unanswered": self.admission.unanswered(), "waiting": self.admission.waiting(),
-                "kept_sessions": self.resumable.kept(), "repeats_told": self.repeats.told(),
+                "kept_sessions": self.resumable.kept_count(), "repeats_told": self.repeats.hits(),
                 "in_hand": in_hand },
             "roster": { "version": self.roster.version(), "entries": self.roster.entries().count(),
                 "turned_down": self.roster.rejected_updates() },
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -162,20 +162,20 @@
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let Purpose::Calls { end, .. } = &mut connection.purpose else { return };
-        let out = std::mem::take(end.out());
-        match end.ended().is_some() || end.closing() && !connection.out.is_last() {
+        let out = std::mem::take(end.output());
+        match end.close_info().is_some() || end.is_closing() && !connection.out.is_last() {
             true => connection.out.push_last(&out),
             false => connection.out.push(&out),
         }
         if connection.out.overrun() {
             end.close(close::POLICY, "reads too slowly");
-            connection.out.push_last(end.out());
-            end.out().clear();
+            connection.out.push_last(end.output());
+            end.output().clear();
         }
-        if end.closing() {
-            self.clients.closing(now, token);
+        if end.is_closing() {
+            self.clients.start_close(now, token);
         }
-        if end.ended().is_some() {
+        if end.close_info().is_some() {
             self.leave(token);
         }
         self.dirty.push(token);
@@ -184,7 +184,7 @@
     /// The connection goes once what waits is written; nothing is read any more.
     fn leave(&mut self, token: Token) {
         let now = self.now();
-        self.clients.closing(now, token);
+        self.clients.start_close(now, token);
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.leaving = true;
         self.dirty.push(token);
@@ -605,8 +605,8 @@
             }
             let now = self.now();
             let came = match on {
-                LINKS_IN => self.wires.strangers.came(now, token),
-                CALLS_IN => self.wires.clients.came(now, token),
+                LINKS_IN => self.wires.strangers.add(now, token),
+                CALLS_IN => self.wires.clients.add(now, token),
                 _ => Ok(()),
             };
             if let Err(why) = came {
@@ -616,7 +616,7 @@
                         retry_after_s: Some(1),
                         ..HandshakeRejection::new(503, why.to_string())
                     };
-                    self.wires.push(Some(token), &[&busy.octets()]);
+                    self.wires.push(Some(token), &[&busy.to_octets()]);
                     self.wires.flush(token);
                 }
                 self.wires.close(Some(token), &why.to_string());
@@ -780,7 +780,7 @@
                         connection.purpose =
                             Purpose::Calls { line, end: Box::new(wish.accept(MAX_MESSAGE_OCTETS)) };
                         self.wires.lines.insert(line, token);
-                        self.wires.clients.opened(now, token);
+                        self.wires.clients.on_open(now, token);
                         self.client_octets(now, token, &[]);
                     }
                     Err(why) => {
@@ -817,7 +817,7 @@
                         .close(Some(token), "does not say which exchange it is, or none with a link here");
                 };
                 connection.purpose = Purpose::Link(from);
-                self.wires.strangers.gone(token);
+                self.wires.strangers.remove(token);
                 self.link_open(token, from);
                 self.exchange.link_octets(now, &mut self.wires, from, &held);
             }
@@ -842,7 +842,7 @@
 
     /// Octets of a client over WebSocket.
     fn client_octets(&mut self, now: Duration, token: Token, octets: &[u8]) {
-        self.wires.clients.heard(now, token);
+        self.wires.clients.on_received(now, token);
         let Some(connection) = self.wires.connections.get_mut(&token) else { return };
         let Purpose::Calls { line, end } = &mut connection.purpose else { return };
         let line = *line;
@@ -859,10 +859,10 @@
     }
 
     fn turn_away(&mut self, token: Token, why: &HandshakeRejection) {
-        debug!(target: LOG_TARGET, status = why.status, "client turned away: {}", why.why);
+        debug!(target: LOG_TARGET, status = why.status, "client turned away: {}", why.reason);
         if let Some(connection) = self.wires.connections.get_mut(&token) {
             connection.purpose = Purpose::Leaving;
-            connection.out.push_last(&why.octets());
+            connection.out.push_last(&why.to_octets());
             self.wires.leave(token);
         }
     }
@@ -881,8 +881,8 @@
         let Some(mut connection) = self.wires.connections.remove(&token) else { return };
         let _ = self.wires.poll.registry().deregister(&mut connection.stream);
         let now = self.now();
-        self.wires.strangers.gone(token);
-        self.wires.clients.gone(token);
+        self.wires.strangers.remove(token);
+        self.wires.clients.remove(token);
         match connection.purpose {
             Purpose::Dialling(dialled) => self.redial_later(dialled),
             Purpose::Link(to) => {
@@ -896,9 +896,9 @@
             }
             Purpose::Calls { line, end } => {
                 self.wires.lines.remove(&line);
-                let why = end.ended().map_or(why, |ended| ended.reason.as_str());
-                debug!(target: LOG_TARGET, line = line.0, code = end.ended().map(|ended| ended.code), "line closed: {why}");
-                match end.ended() {
+                let why = end.close_info().map_or(why, |ended| ended.reason.as_str());
+                debug!(target: LOG_TARGET, line = line.0, code = end.close_info().map(|ended| ended.code), "line closed: {why}");
+                match end.close_info() {
                     Some(ended) if ended.by_far_end && ended.code == close::NORMAL => {
                         self.exchange.line_over(now, &mut self.wires, line);
                     }
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -120,7 +120,7 @@
                 && let Server::Open(_, end) = &mut wire.server
             {
                 end.send_text(&text);
-                wire.to_client.push_back(std::mem::take(end.out()));
+                wire.to_client.push_back(std::mem::take(end.output()));
             }
         }
         for line in std::mem::take(&mut self.wires.closed) {
@@ -191,7 +191,7 @@
                 let mut end = Box::new(wish.accept(MAX_MESSAGE_OCTETS));
                 end.on_octets(&[], &mut hear);
                 let line = self.exchange.line_open(now).unwrap();
-                wire.to_client.push_back(std::mem::take(end.out()));
+                wire.to_client.push_back(std::mem::take(end.output()));
                 wire.server = Server::Open(line, end);
                 line
             }
--- a/crates/lab/benches/ordinary_call.rs
+++ b/crates/lab/benches/ordinary_call.rs
@@ -139,7 +139,7 @@
             }
             Self::WebSocket(end) => {
                 end.send_text(text);
-                out.append(end.out());
+                out.append(end.output());
             }
         }
     }
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -59,7 +59,8 @@
     fn begin(&mut self, now: Duration, no: ClientId) {
         self.seed = self.seed.wrapping_add(1);
         // Cuts are the script's and say nothing of the controller: what is judged is not how long a client stays away.
-        let reconnect = ReconnectPolicy { steady: Duration::from_millis(200), ..ReconnectPolicy::default() };
+        let reconnect =
+            ReconnectPolicy { stable_after: Duration::from_millis(200), ..ReconnectPolicy::default() };
         let plan = SessionConfig { reconnect, ..SessionConfig::named(format!("day {}.{}", no.0, no.1)) };
         self.sessions.insert(no, Session::new(now, plan, self.seed));
     }
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -267,7 +267,7 @@
             (wish.offers, wish.at) = (wish.offers + 1, Duration::MAX);
             let (left, again) = (wish.until.saturating_sub(net.now), wish.offers > 1);
             if !again {
-                redial.first_offer();
+                redial.on_first_offer();
             }
             let name = no + u64::from(wish.offers);
             of_call.entry(no).or_default().0 += 1;
@@ -285,7 +285,7 @@
                 FinalAnswer::Refused { come_back_ms } => Some(Duration::from_millis(come_back_ms.into())),
                 FinalAnswer::Fails => None,
             };
-            match redial.again(net.now, wish.until, wish.offers, told) {
+            match redial.next_offer_at(net.now, wish.until, wish.offers, told) {
                 Ok(at) => wish.at = at,
                 Err(_) => _ = wishes.remove(&no),
             }
--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -37,7 +37,7 @@
 
 #[derive(Debug)]
 pub struct Admission<T> {
-    pub gate: SessionLimiter,
+    pub session_limiter: SessionLimiter,
     turns: FairQueue<Offered<T>>,
     unanswered: usize,
     mode: Mode,
@@ -48,8 +48,13 @@
 
 impl<T> Admission<T> {
     pub fn new(now: Duration, limits: Limits, shares: BTreeMap<CustomerId, f64>, seed: u64) -> Self {
-        let turns = FairQueue::new(limits.waiting, shares);
-        Self { gate: SessionLimiter::new(now, limits, seed), turns, unanswered: 0, mode: Mode::AtEase }
+        let turns = FairQueue::new(limits.max_waiting, shares);
+        Self {
+            session_limiter: SessionLimiter::new(now, limits, seed),
+            turns,
+            unanswered: 0,
+            mode: Mode::AtEase,
+        }
     }
 
     pub fn waiting(&self) -> usize {
@@ -60,8 +65,8 @@
         self.unanswered
     }
 
-    pub fn open(&mut self, now: Duration) -> OpenOutcome {
-        self.gate.open(now)
+    pub fn open_session(&mut self, now: Duration) -> OpenOutcome {
+        self.session_limiter.open(now)
     }
 
     /// An offer whose caller waits for `left`. What it displaces is refused in its place, and comes beside the verdict.
@@ -74,10 +79,10 @@
         item: T,
         log: &mut dyn FnMut(&str),
     ) -> (AdmissionDecision<T>, Option<(T, AdmissionError)>) {
-        if let Err(refusal) = self.gate.offer(now, session, customer) {
+        if let Err(refusal) = self.session_limiter.admit_offer(now, session, customer) {
             return (AdmissionDecision::Refused(item, refusal), None);
         }
-        if self.unanswered < self.gate.limits().unanswered && self.turns.is_empty() {
+        if self.unanswered < self.session_limiter.limits().max_unanswered && self.turns.is_empty() {
             self.unanswered += 1;
             return (AdmissionDecision::Admit(item), None);
         }
@@ -88,20 +93,23 @@
         if let Mode::Pressed { waited, .. } = &mut self.mode {
             *waited += 1;
         }
-        let until = now + left.mul_f64(self.gate.limits().wait_share.clamp(0.0, 1.0));
+        let until = now + left.mul_f64(self.session_limiter.limits().max_wait_share.clamp(0.0, 1.0));
         let displaced = self.turns.push(customer, 1.0, until, Offered { session, customer, item });
         let displaced = displaced.map(|displaced| self.refuse(displaced.0));
         (AdmissionDecision::Queued, displaced)
     }
 
     fn refuse(&mut self, offered: Offered<T>) -> (T, AdmissionError) {
-        self.gate.over(offered.session, offered.customer);
-        (offered.item, AdmissionError::Overloaded { retry_after: self.gate.with_jitter(COME_BACK) })
+        self.session_limiter.end_call(offered.session, offered.customer);
+        (
+            offered.item,
+            AdmissionError::Overloaded { retry_after: self.session_limiter.with_jitter(COME_BACK) },
+        )
     }
 
     /// An offer that was with the decisions has its final answer; `stands`: the call stays in hand. What has its turn
     /// now goes to the decisions.
-    pub fn answered(
+    pub fn on_answer(
         &mut self,
         now: Duration,
         session: SessionId,
@@ -111,10 +119,10 @@
     ) -> Vec<T> {
         self.unanswered = self.unanswered.saturating_sub(1);
         if !stands {
-            self.gate.over(session, customer);
+            self.session_limiter.end_call(session, customer);
         }
         let mut next = Vec::new();
-        while self.unanswered < self.gate.limits().unanswered
+        while self.unanswered < self.session_limiter.limits().max_unanswered
             && let Some(offered) = self.turns.pop()
         {
             self.unanswered += 1;
@@ -125,15 +133,15 @@
     }
 
     /// A standing call has ended.
-    pub fn over(&mut self, session: SessionId, customer: CustomerId) {
-        self.gate.over(session, customer);
+    pub fn end_call(&mut self, session: SessionId, customer: CustomerId) {
+        self.session_limiter.end_call(session, customer);
     }
 
     /// The session is gone. What it had waiting is dropped; what of it is with the decisions is still answered, and
     /// counts until then.
-    pub fn close(&mut self, now: Duration, session: SessionId, log: &mut dyn FnMut(&str)) -> Vec<T> {
+    pub fn close_session(&mut self, now: Duration, session: SessionId, log: &mut dyn FnMut(&str)) -> Vec<T> {
         let dropped = self.turns.remove(|offered| offered.session == session);
-        self.gate.close(session);
+        self.session_limiter.close(session);
         self.at_ease(now, log);
         dropped.into_iter().map(|offered| offered.item).collect()
     }
@@ -147,7 +155,7 @@
     ) -> Option<T> {
         let mut gone = self.turns.remove(|offered| which(&offered.item));
         let offered = gone.pop()?;
-        self.gate.over(offered.session, offered.customer);
+        self.session_limiter.end_call(offered.session, offered.customer);
         self.at_ease(now, log);
         Some(offered.item)
     }
@@ -205,13 +213,13 @@
 
     impl Desk {
         fn new(unanswered: usize, waiting: usize) -> Self {
-            let limits = Limits { unanswered, waiting, ..Limits::default() };
+            let limits = Limits { max_unanswered: unanswered, max_waiting: waiting, ..Limits::default() };
             let now = Duration::from_secs(1);
             Self { admission: Admission::new(now, limits, BTreeMap::new(), 1), now, log: Vec::new() }
         }
 
         fn open(&mut self) -> SessionId {
-            let OpenOutcome::Open(no) = self.admission.open(self.now) else { panic!("not opened") };
+            let OpenOutcome::Open(no) = self.admission.open_session(self.now) else { panic!("not opened") };
             no
         }
 
@@ -225,9 +233,9 @@
             self.admission.offer(self.now, session, customer, LEFT, no, log)
         }
 
-        fn answered(&mut self, session: SessionId, customer: CustomerId, stands: bool) -> Vec<u64> {
+        fn on_answer(&mut self, session: SessionId, customer: CustomerId, stands: bool) -> Vec<u64> {
             let log = &mut |line: &str| self.log.push(line.to_string());
-            self.admission.answered(self.now, session, customer, stands, log)
+            self.admission.on_answer(self.now, session, customer, stands, log)
         }
     }
 
@@ -238,7 +246,7 @@
         assert_eq!(desk.offer(session, ONE, 1).0, AdmissionDecision::Admit(1));
         assert_eq!(desk.offer(session, ONE, 2).0, AdmissionDecision::Admit(2));
         assert_eq!(desk.offer(session, ONE, 3).0, AdmissionDecision::Queued);
-        assert_eq!(desk.answered(session, ONE, true), [3]);
+        assert_eq!(desk.on_answer(session, ONE, true), [3]);
         assert_eq!((desk.admission.unanswered(), desk.admission.waiting(), desk.log.len()), (2, 0, 2));
         assert!(desk.log[0].contains("pressed") && desk.log[1].contains("at ease"), "{:?}", desk.log);
     }
@@ -250,7 +258,7 @@
         desk.offer(greedy, ONE, 0);
         (1..500).for_each(|no| _ = desk.offer(greedy, ONE, no));
         desk.offer(quiet, TWO, 1000);
-        let first: Vec<_> = (0..3).flat_map(|_| desk.answered(greedy, ONE, false)).collect();
+        let first: Vec<_> = (0..3).flat_map(|_| desk.on_answer(greedy, ONE, false)).collect();
         assert!(first.contains(&1000), "{first:?}");
     }
 
@@ -266,7 +274,10 @@
         assert!(
             matches!(refused[..], [(2, AdmissionError::Overloaded { retry_after })] if retry_after >= COME_BACK)
         );
-        assert_eq!((desk.admission.gate.calls(ONE), desk.admission.next_timer()), (1, None));
+        assert_eq!(
+            (desk.admission.session_limiter.customer_calls(ONE), desk.admission.next_timer()),
+            (1, None)
+        );
     }
 
     #[test]
@@ -276,11 +287,17 @@
         desk.offer(gone, ONE, 1);
         desk.offer(gone, ONE, 2);
         desk.offer(stays, TWO, 3);
-        assert_eq!(desk.admission.close(desk.now, gone, &mut |_| {}), [2]);
+        assert_eq!(desk.admission.close_session(desk.now, gone, &mut |_| {}), [2]);
         // What it had with the decisions still counts until its answer.
         assert_eq!(desk.admission.unanswered(), 1);
-        assert_eq!(desk.answered(gone, ONE, false), [3]);
-        assert_eq!((desk.admission.gate.calls(ONE), desk.admission.gate.calls(TWO)), (0, 1));
+        assert_eq!(desk.on_answer(gone, ONE, false), [3]);
+        assert_eq!(
+            (
+                desk.admission.session_limiter.customer_calls(ONE),
+                desk.admission.session_limiter.customer_calls(TWO)
+            ),
+            (0, 1)
+        );
     }
 
     #[test]
@@ -295,11 +312,11 @@
                 ends.push(no);
             }
         }
-        ends.extend(desk.answered(session, ONE, false));
+        ends.extend(desk.on_answer(session, ONE, false));
         desk.now += LEFT;
         ends.extend(desk.admission.on_timer(desk.now, &mut |_| {}).into_iter().map(|(no, _)| no));
         ends.sort_unstable();
         assert_eq!(ends, [0, 1, 2, 3, 4, 5]);
-        assert_eq!(desk.admission.gate.calls(ONE), 1, "the one with the decisions");
+        assert_eq!(desk.admission.session_limiter.customer_calls(ONE), 1, "the one with the decisions");
     }
 }
--- a/crates/limits/src/answer_cache.rs
+++ b/crates/limits/src/answer_cache.rs
@@ -42,12 +42,12 @@
     }
 
     /// Offers that were told the answer of an earlier one.
-    pub fn told(&self) -> u64 {
+    pub fn hits(&self) -> u64 {
         self.told
     }
 
     /// An offer comes.
-    pub fn offer(&mut self, now: Duration, session: SessionId, number: u64) -> CachedAnswer<A> {
+    pub fn on_offer(&mut self, now: Duration, session: SessionId, number: u64) -> CachedAnswer<A> {
         self.forget(now);
         match self.answers.get(&(session, number)) {
             Some((_, answer)) => {
@@ -65,7 +65,7 @@
     }
 
     /// An offer has its final answer.
-    pub fn answered(&mut self, now: Duration, session: SessionId, number: u64, answer: A) {
+    pub fn insert(&mut self, now: Duration, session: SessionId, number: u64, answer: A) {
         self.forget(now);
         if self.most == 0 || self.span.is_zero() {
             return;
@@ -79,7 +79,7 @@
     }
 
     /// The session is over: its numbers mean nothing any more.
-    pub fn over(&mut self, session: SessionId) {
+    pub fn remove_session(&mut self, session: SessionId) {
         let of = (session, 0)..=(session, u64::MAX);
         let keys: Vec<_> = self.answers.range(of).map(|(key, _)| *key).collect();
         keys.iter().for_each(|key| _ = self.answers.remove(key));
@@ -116,35 +116,39 @@
     #[test]
     fn a_repeat_is_told_the_first_answer_for_a_while_and_then_is_a_call_of_its_own() {
         let mut repeats = AnswerCache::new(at(30), 100);
-        assert_eq!(repeats.offer(at(1), ONE, 7), CachedAnswer::Fresh);
-        repeats.answered(at(2), ONE, 7, "stands");
-        assert_eq!(repeats.offer(at(31), ONE, 7), CachedAnswer::Answered("stands"));
-        assert_eq!(repeats.offer(at(31), SessionId(2), 7), CachedAnswer::Fresh, "another session's number");
-        assert_eq!(repeats.offer(at(32), ONE, 7), CachedAnswer::Fresh);
-        assert_eq!((repeats.len(), repeats.told()), (0, 1));
+        assert_eq!(repeats.on_offer(at(1), ONE, 7), CachedAnswer::Fresh);
+        repeats.insert(at(2), ONE, 7, "stands");
+        assert_eq!(repeats.on_offer(at(31), ONE, 7), CachedAnswer::Answered("stands"));
+        assert_eq!(
+            repeats.on_offer(at(31), SessionId(2), 7),
+            CachedAnswer::Fresh,
+            "another session's number"
+        );
+        assert_eq!(repeats.on_offer(at(32), ONE, 7), CachedAnswer::Fresh);
+        assert_eq!((repeats.len(), repeats.hits()), (0, 1));
     }
 
     #[test]
     fn memory_is_bounded_by_count_and_freed_with_the_session() {
         let mut repeats = AnswerCache::new(at(30), 10);
-        (0..100).for_each(|number| repeats.answered(at(1), ONE, number, number));
+        (0..100).for_each(|number| repeats.insert(at(1), ONE, number, number));
         assert_eq!((repeats.len(), repeats.ages.len()), (10, 10));
-        assert_eq!(repeats.offer(at(2), ONE, 89), CachedAnswer::Fresh);
-        assert_eq!(repeats.offer(at(2), ONE, 90), CachedAnswer::Answered(90));
-        repeats.answered(at(2), SessionId(2), 1, 1);
-        repeats.over(ONE);
+        assert_eq!(repeats.on_offer(at(2), ONE, 89), CachedAnswer::Fresh);
+        assert_eq!(repeats.on_offer(at(2), ONE, 90), CachedAnswer::Answered(90));
+        repeats.insert(at(2), SessionId(2), 1, 1);
+        repeats.remove_session(ONE);
         assert_eq!((repeats.len(), repeats.ages.len()), (1, 1));
         let mut none = AnswerCache::new(Duration::ZERO, 10);
-        none.answered(at(1), ONE, 1, 1);
+        none.insert(at(1), ONE, 1, 1);
         assert!(none.is_empty());
     }
 
     #[test]
     fn a_number_used_again_keeps_its_younger_answer() {
         let mut repeats = AnswerCache::new(at(30), 10);
-        repeats.answered(at(1), ONE, 7, "first");
-        repeats.answered(at(20), ONE, 7, "second");
-        assert_eq!(repeats.offer(at(40), ONE, 7), CachedAnswer::Answered("second"));
-        assert_eq!(repeats.offer(at(50), ONE, 7), CachedAnswer::Fresh);
+        repeats.insert(at(1), ONE, 7, "first");
+        repeats.insert(at(20), ONE, 7, "second");
+        assert_eq!(repeats.on_offer(at(40), ONE, 7), CachedAnswer::Answered("second"));
+        assert_eq!(repeats.on_offer(at(50), ONE, 7), CachedAnswer::Fresh);
     }
 }
--- a/crates/limits/src/auth.rs
+++ b/crates/limits/src/auth.rs
@@ -55,19 +55,19 @@
 }
 
 impl Grant {
-    pub fn may(&self, scope: Scope) -> bool {
+    pub fn allows(&self, scope: Scope) -> bool {
         self.scopes.contains(&scope)
     }
 
     /// The customers whose calls it may see.
-    pub fn sees(&self) -> CustomerFilter {
+    pub fn customer_filter(&self) -> CustomerFilter {
         match &self.customers {
             None => CustomerFilter::All,
             Some(customers) => CustomerFilter::Only(customers.iter().copied().map(CustomerId).collect()),
         }
     }
 
-    pub fn calls_for(&self, customer: CustomerId) -> bool {
+    pub fn covers_customer(&self, customer: CustomerId) -> bool {
         self.customers.as_ref().is_none_or(|customers| customers.contains(&customer.0))
     }
 }
@@ -98,12 +98,12 @@
 
 impl Tokens {
     /// Nobody is asked for a token.
-    pub fn open() -> Self {
+    pub fn unrestricted() -> Self {
         Self::default()
     }
 
     /// Every fault of the file, each with its place; or the tokens.
-    pub fn read(file: &TokenFile) -> Result<Self, Vec<String>> {
+    pub fn from_file(file: &TokenFile) -> Result<Self, Vec<String>> {
         let (mut held, mut faults, mut names) = (Vec::new(), Vec::new(), BTreeSet::new());
         if file.tokens.len() > MOST {
             faults.push(format!("tokens: {} are more than {MOST}", file.tokens.len()));
@@ -126,12 +126,12 @@
         if faults.is_empty() { Ok(Self { held: Some(held) }) } else { Err(faults) }
     }
 
-    pub fn asks(&self) -> bool {
+    pub fn are_required(&self) -> bool {
         self.held.is_some()
     }
 
     /// The token that somebody presents. All are compared, whichever fits.
-    pub fn present(&self, token: &str) -> Result<&Grant, AuthError> {
+    pub fn lookup(&self, token: &str) -> Result<&Grant, AuthError> {
         let digest = Sha256::digest(token.as_bytes());
         let held = self.held.as_deref().unwrap_or_default();
         let mut found = None;
@@ -144,7 +144,7 @@
     }
 
     /// The token of a name, if it is in force.
-    pub fn named(&self, name: Option<&str>) -> Option<&Grant> {
+    pub fn grant_named(&self, name: Option<&str>) -> Option<&Grant> {
         let held = self.held.as_deref().unwrap_or_default();
         held.iter().map(|(_, grant)| grant).find(|grant| Some(grant.name.as_str()) == name)
     }
@@ -159,10 +159,10 @@
         let Some(held) = &self.held else { return Ok(()) };
         let name = name.ok_or(AuthError::NoToken)?;
         let (_, grant) = held.iter().find(|(_, grant)| grant.name == name).ok_or(AuthError::Withdrawn)?;
-        if !grant.may(scope) {
+        if !grant.allows(scope) {
             return Err(AuthError::Scope);
         }
-        match customer.filter(|customer| !grant.calls_for(*customer)) {
+        match customer.filter(|customer| !grant.covers_customer(*customer)) {
             Some(customer) => Err(AuthError::Customer(customer.0)),
             None => Ok(()),
         }
@@ -205,14 +205,14 @@
     fn two() -> Tokens {
         let apps = entry("apps", "secret-a", &[Scope::Offer], Some(&[1]));
         let staff = entry("staff", "secret-s", &[Scope::Watch, Scope::Admin], None);
-        Tokens::read(&TokenFile { tokens: vec![apps, staff] }).unwrap()
+        Tokens::from_file(&TokenFile { tokens: vec![apps, staff] }).unwrap()
     }
 
     #[test]
     fn a_token_allows_its_scopes_and_customers_and_nothing_else() {
         let tokens = two();
-        assert_eq!(tokens.present("secret-a").unwrap().name, "apps");
-        assert_eq!(tokens.present("secret-"), Err(AuthError::Unknown));
+        assert_eq!(tokens.lookup("secret-a").unwrap().name, "apps");
+        assert_eq!(tokens.lookup("secret-"), Err(AuthError::Unknown));
         let check = |name, scope, customer: u16| tokens.check(name, scope, Some(CustomerId(customer)));
         assert_eq!(check(Some("apps"), Scope::Offer, 1), Ok(()));
         assert_eq!(check(Some("apps"), Scope::Offer, 2), Err(AuthError::Customer(2)));
@@ -224,7 +224,7 @@
     #[test]
     fn a_token_withdrawn_ends_what_its_sessions_may_do() {
         let rest =
-            Tokens::read(&TokenFile { tokens: vec![entry("staff", "secret-s", &[Scope::Watch], None)] })
+            Tokens::from_file(&TokenFile { tokens: vec![entry("staff", "secret-s", &[Scope::Watch], None)] })
                 .unwrap();
         assert_eq!(two().check(Some("apps"), Scope::Offer, None), Ok(()));
         assert_eq!(rest.check(Some("apps"), Scope::Offer, None), Err(AuthError::Withdrawn));
@@ -233,7 +233,7 @@
             Err(AuthError::Scope),
             "and narrowed ones are narrowed"
         );
-        assert_eq!(Tokens::open().check(None, Scope::Admin, None), Ok(()));
+        assert_eq!(Tokens::unrestricted().check(None, Scope::Admin, None), Ok(()));
     }
 
     #[test]
@@ -241,7 +241,7 @@
         let bad = TokenEntry { sha256: "zz".repeat(32), ..entry("", "x", &[], None) };
         let twice = entry("apps", "secret-a", &[], None);
         let file = TokenFile { tokens: vec![bad, twice.clone(), twice] };
-        let faults = Tokens::read(&file).unwrap_err();
+        let faults = Tokens::from_file(&file).unwrap_err();
         let places: Vec<_> = faults.iter().map(|fault| fault.split(": ").next().unwrap()).collect();
         assert_eq!(places, ["tokens[0].sha256", "tokens[0].name", "tokens[2].sha256", "tokens[2].name"]);
     }
--- a/crates/limits/src/backlog.rs
+++ b/crates/limits/src/backlog.rs
@@ -9,10 +9,10 @@
 
 /// The session can't be kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{waiting} texts wait to be said, at most {most} are kept")]
+#[error("{waiting} texts wait to be said, at most {max} are kept")]
 pub struct BacklogFull {
     pub waiting: usize,
-    pub most: usize,
+    pub max: usize,
 }
 
 /// What is said about one call.
@@ -22,17 +22,17 @@
     Note(u64, T),
 }
 
-/// Texts waiting for one session, at most `most`.
+/// Texts waiting for one session, at most `max`.
 #[derive(Debug)]
 pub struct Backlog<T> {
-    most: usize,
+    max: usize,
     waiting: VecDeque<Said<T>>,
     merged: u64,
 }
 
 impl<T> Backlog<T> {
-    pub fn new(most: usize) -> Self {
-        Self { most: most.max(1), waiting: VecDeque::new(), merged: 0 }
+    pub fn new(max: usize) -> Self {
+        Self { max: max.max(1), waiting: VecDeque::new(), merged: 0 }
     }
 
     pub fn len(&self) -> usize {
@@ -48,13 +48,13 @@
         self.merged
     }
 
-    pub fn answer(&mut self, answer: T) -> Result<(), BacklogFull> {
+    pub fn push_answer(&mut self, answer: T) -> Result<(), BacklogFull> {
         self.waiting.push_back(Said::Answer(answer));
         self.check()
     }
 
     /// A notification about a call takes the place of one that still waits.
-    pub fn note(&mut self, call: u64, note: T) -> Result<(), BacklogFull> {
+    pub fn push_notification(&mut self, call: u64, note: T) -> Result<(), BacklogFull> {
         let before = self.waiting.iter().position(|said| matches!(said, Said::Note(of, _) if *of == call));
         if let Some(before) = before {
             self.waiting.remove(before);
@@ -65,8 +65,8 @@
     }
 
     fn check(&self) -> Result<(), BacklogFull> {
-        let (waiting, most) = (self.waiting.len(), self.most);
-        if waiting > most { Err(BacklogFull { waiting, most }) } else { Ok(()) }
+        let (waiting, max) = (self.waiting.len(), self.max);
+        if waiting > max { Err(BacklogFull { waiting, max }) } else { Ok(()) }
     }
 
     /// The next to be said.
@@ -84,13 +84,13 @@
     #[test]
     fn notes_about_a_call_are_merged_and_answers_are_not() {
         let mut backlog = Backlog::new(4);
-        backlog.note(1, "one rings").unwrap();
-        backlog.answer("two stands").unwrap();
-        backlog.note(1, "one ended").unwrap();
-        backlog.answer("three fails").unwrap();
+        backlog.push_notification(1, "one rings").unwrap();
+        backlog.push_answer("two stands").unwrap();
+        backlog.push_notification(1, "one ended").unwrap();
+        backlog.push_answer("three fails").unwrap();
         assert_eq!((backlog.len(), backlog.merged()), (3, 1));
-        backlog.note(4, "four").unwrap();
-        assert_eq!(backlog.answer("five"), Err(BacklogFull { waiting: 5, most: 4 }));
+        backlog.push_notification(4, "four").unwrap();
+        assert_eq!(backlog.push_answer("five"), Err(BacklogFull { waiting: 5, max: 4 }));
         assert_eq!(backlog.pop(), Some("two stands"));
         assert_eq!((backlog.pop(), backlog.pop()), (Some("one ended"), Some("three fails")));
     }
--- a/crates/limits/src/call_table.rs
+++ b/crates/limits/src/call_table.rs
@@ -28,11 +28,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReconciledCalls {
     /// To be sent, with the caller's time as it is now.
-    pub send: Vec<u64>,
+    pub to_send: Vec<u64>,
     /// They stand: their answer was lost on the way.
-    pub stand: Vec<u64>,
+    pub standing: Vec<u64>,
     /// They stood, and are over.
-    pub over: Vec<u64>,
+    pub ended: Vec<u64>,
     /// Nobody can tell what became of them, or their caller's time is up.
     pub lost: Vec<u64>,
 }
@@ -82,12 +82,12 @@
         self.calls.len() >= self.most
     }
 
-    pub fn knows(&self, number: u64) -> bool {
+    pub fn contains(&self, number: u64) -> bool {
         self.calls.contains_key(&number)
     }
 
     /// Whether it has been answered, and stands.
-    pub fn stands(&self, number: u64) -> bool {
+    pub fn is_standing(&self, number: u64) -> bool {
         self.calls.get(&number).is_some_and(|entry| entry.progress == Progress::Stands)
     }
 
@@ -110,11 +110,11 @@
     }
 
     /// What was asked for, with the time that its caller has left.
-    pub fn asked(&self, now: Duration, number: u64) -> Option<(&O, Duration)> {
+    pub fn offer_and_time_left(&self, now: Duration, number: u64) -> Option<(&O, Duration)> {
         self.calls.get(&number).map(|entry| (&entry.offer, entry.until.saturating_sub(now)))
     }
 
-    pub fn sent(&mut self, number: u64) {
+    pub fn mark_sent(&mut self, number: u64) {
         if let Some(entry) = self.calls.get_mut(&number)
             && entry.progress != Progress::Stands
         {
@@ -123,7 +123,7 @@
     }
 
     /// An answer came. `false`: it is of no call that waits for one, and is passed over.
-    pub fn answered(&mut self, number: u64, stands: bool) -> bool {
+    pub fn on_answer(&mut self, number: u64, stands: bool) -> bool {
         let waits = |entry: &&mut Entry<O>| entry.progress != Progress::Stands;
         let Some(entry) = self.calls.get_mut(&number).filter(waits) else { return false };
         self.due.remove(&(entry.until + self.grace, number));
@@ -135,14 +135,14 @@
     }
 
     /// A call is over, or given up here. `false`: it was not known.
-    pub fn over(&mut self, number: u64) -> bool {
+    pub fn remove(&mut self, number: u64) -> bool {
         let Some(entry) = self.calls.remove(&number) else { return false };
         self.due.remove(&(entry.until + self.grace, number));
         true
     }
 
     /// The connection is gone.
-    pub fn cut(&mut self) {
+    pub fn on_disconnect(&mut self) {
         for entry in self.calls.values_mut().filter(|entry| entry.progress == Progress::Sent) {
             entry.progress = Progress::InDoubt;
         }
@@ -150,29 +150,29 @@
 
     /// The session was taken up, and the server has these calls in hand. Calls are settled once what was said meanwhile
     /// has been heard.
-    pub fn taken_up(&mut self, now: Duration, there: &BTreeMap<u64, ServerCallState>) -> ReconciledCalls {
+    pub fn on_resumed(&mut self, now: Duration, there: &BTreeMap<u64, ServerCallState>) -> ReconciledCalls {
         let mut settled = ReconciledCalls::default();
         for (number, entry) in &mut self.calls {
             match (entry.progress, there.get(number)) {
                 (Progress::Stands, Some(_)) => {}
-                (Progress::Stands, None) => settled.over.push(*number),
+                (Progress::Stands, None) => settled.ended.push(*number),
                 (_, Some(ServerCallState::Unanswered)) => entry.progress = Progress::Sent,
-                (_, Some(ServerCallState::Standing)) => settled.stand.push(*number),
+                (_, Some(ServerCallState::Standing)) => settled.standing.push(*number),
                 (Progress::ToSend, None) if entry.until <= now => settled.lost.push(*number),
                 // With no time left it only asks for the answer that was lost: no call comes of it.
-                (_, None) => settled.send.push(*number),
+                (_, None) => settled.to_send.push(*number),
             }
         }
         self.settle(settled)
     }
 
     /// The session is over, and this is another: what was sent on the old one is lost, and what stood is over.
-    pub fn begun_anew(&mut self, now: Duration) -> ReconciledCalls {
+    pub fn on_new_session(&mut self, now: Duration) -> ReconciledCalls {
         let mut settled = ReconciledCalls::default();
         for (number, entry) in &self.calls {
             match entry.progress {
-                Progress::Stands => settled.over.push(*number),
-                Progress::ToSend if entry.until > now => settled.send.push(*number),
+                Progress::Stands => settled.ended.push(*number),
+                Progress::ToSend if entry.until > now => settled.to_send.push(*number),
                 _ => settled.lost.push(*number),
             }
         }
@@ -180,8 +180,8 @@
     }
 
     fn settle(&mut self, settled: ReconciledCalls) -> ReconciledCalls {
-        settled.stand.iter().for_each(|number| _ = self.answered(*number, true));
-        settled.over.iter().chain(&settled.lost).for_each(|number| _ = self.over(*number));
+        settled.standing.iter().for_each(|number| _ = self.on_answer(*number, true));
+        settled.ended.iter().chain(&settled.lost).for_each(|number| _ = self.remove(*number));
         settled
     }
 
@@ -196,7 +196,7 @@
         while let Some((due, number)) = self.due.first().copied()
             && due <= now
         {
-            self.over(number);
+            self.remove(number);
             lost.push(number);
         }
         lost
@@ -212,14 +212,14 @@
     }
 
     /// Calls 1 to 4, waiting until 10 s: not sent, in doubt, in doubt, standing.
-    fn cut() -> CallTable<&'static str> {
+    fn disconnected_calls() -> CallTable<&'static str> {
         let mut book = CallTable::new(10, at(1));
         for (number, offer) in [(1, "new"), (2, "sent"), (3, "sent"), (4, "sent")] {
             book.offer(number, offer, at(10)).unwrap();
         }
-        (2..=4).for_each(|number| book.sent(number));
-        assert!(book.answered(4, true));
-        book.cut();
+        (2..=4).for_each(|number| book.mark_sent(number));
+        assert!(book.on_answer(4, true));
+        book.on_disconnect();
         book
     }
 
@@ -229,20 +229,23 @@
         book.offer(1, "", at(10)).unwrap();
         assert_eq!(book.offer(1, "", at(10)), Err(CallNumberInUse(1)));
         assert_eq!(
-            (book.answered(1, true), book.answered(1, true), book.answered(2, true)),
+            (book.on_answer(1, true), book.on_answer(1, true), book.on_answer(2, true)),
             (true, false, false)
         );
-        assert_eq!((book.unanswered(), book.len(), book.over(1), book.over(1)), (0, 1, true, false));
+        assert_eq!((book.unanswered(), book.len(), book.remove(1), book.remove(1)), (0, 1, true, false));
         book.offer(1, "", at(10)).unwrap();
-        assert_eq!((book.answered(1, false), book.len(), book.is_full()), (true, 0, false));
+        assert_eq!((book.on_answer(1, false), book.len(), book.is_full()), (true, 0, false));
     }
 
     #[test]
     fn a_session_taken_up_settles_what_was_in_doubt() {
-        let mut book = cut();
+        let mut book = disconnected_calls();
         let there = [(2, ServerCallState::Unanswered), (3, ServerCallState::Standing)].into();
-        let settled = book.taken_up(at(2), &there);
-        assert_eq!(settled, ReconciledCalls { send: vec![1], stand: vec![3], over: vec![4], lost: vec![] });
+        let settled = book.on_resumed(at(2), &there);
+        assert_eq!(
+            settled,
+            ReconciledCalls { to_send: vec![1], standing: vec![3], ended: vec![4], lost: vec![] }
+        );
         // What is still waited for is lost only when its time is up.
         assert_eq!((book.next_timer(), book.on_timer(at(10))), (Some(at(11)), vec![]));
         assert_eq!((book.on_timer(at(11)), book.len()), (vec![1, 2], 1));
@@ -250,18 +253,18 @@
 
     #[test]
     fn what_the_server_does_not_have_is_sent_again() {
-        assert_eq!(cut().taken_up(at(2), &BTreeMap::new()).send, [1, 2, 3]);
-        let late = cut().taken_up(at(10), &BTreeMap::new());
-        assert_eq!((late.send, late.lost), (vec![2, 3], vec![1]), "what was sent may have been answered");
+        assert_eq!(disconnected_calls().on_resumed(at(2), &BTreeMap::new()).to_send, [1, 2, 3]);
+        let late = disconnected_calls().on_resumed(at(10), &BTreeMap::new());
+        assert_eq!((late.to_send, late.lost), (vec![2, 3], vec![1]), "what was sent may have been answered");
     }
 
     #[test]
     fn a_session_that_is_over_took_its_calls_with_it() {
-        let mut book = cut();
-        let settled = book.begun_anew(at(2));
+        let mut book = disconnected_calls();
+        let settled = book.on_new_session(at(2));
         assert_eq!(
             settled,
-            ReconciledCalls { send: vec![1], stand: vec![], over: vec![4], lost: vec![2, 3] }
+            ReconciledCalls { to_send: vec![1], standing: vec![], ended: vec![4], lost: vec![2, 3] }
         );
         assert_eq!((book.len(), book.unanswered()), (1, 1));
     }
--- a/crates/limits/src/connection_monitor.rs
+++ b/crates/limits/src/connection_monitor.rs
@@ -38,11 +38,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TimeoutCause {
     #[error("has not opened in time")]
-    NotOpened,
+    Handshake,
     #[error("gives no sign of life")]
-    Silent,
+    Pong,
     #[error("does not close")]
-    NotClosed,
+    Close,
 }
 
 /// What is to be done about a connection.
@@ -97,29 +97,29 @@
     }
 
     /// Those that have not said who they are.
-    pub fn opening(&self) -> usize {
+    pub fn handshakes(&self) -> usize {
         self.opening
     }
 
     /// A connection came in.
-    pub fn came(&mut self, now: Duration, key: K) -> Result<(), TooManyHandshakes> {
+    pub fn add(&mut self, now: Duration, key: K) -> Result<(), TooManyHandshakes> {
         if self.opening >= self.patience.max_handshakes {
             return Err(TooManyHandshakes(self.opening));
         }
-        self.gone(key);
+        self.remove(key);
         self.set(key, State::Opening, now + self.patience.handshake_timeout);
         Ok(())
     }
 
     /// It has said who it is.
-    pub fn opened(&mut self, now: Duration, key: K) {
+    pub fn on_open(&mut self, now: Duration, key: K) {
         if self.watched.get(&key).is_some_and(|watched| watched.state == State::Opening) {
             self.set(key, State::Open { heard: now }, now + self.patience.idle_timeout);
         }
     }
 
     /// Something came on it.
-    pub fn heard(&mut self, now: Duration, key: K) {
+    pub fn on_received(&mut self, now: Duration, key: K) {
         let Some(watched) = self.watched.get_mut(&key) else { return };
         match watched.state {
             State::Open { .. } => watched.state = State::Open { heard: now },
@@ -129,13 +129,13 @@
     }
 
     /// It was told to close.
-    pub fn closing(&mut self, now: Duration, key: K) {
+    pub fn start_close(&mut self, now: Duration, key: K) {
         if self.watched.get(&key).is_some_and(|watched| watched.state != State::Closing) {
             self.set(key, State::Closing, now + self.patience.close_timeout);
         }
     }
 
-    pub fn gone(&mut self, key: K) {
+    pub fn remove(&mut self, key: K) {
         if let Some(watched) = self.watched.remove(&key) {
             self.due.remove(&(watched.due, key));
             self.opening -= usize::from(watched.state == State::Opening);
@@ -143,7 +143,7 @@
     }
 
     fn set(&mut self, key: K, state: State, due: Duration) {
-        self.gone(key);
+        self.remove(key);
         self.opening += usize::from(state == State::Opening);
         self.watched.insert(key, Watched { state, due });
         self.due.insert((due, key));
@@ -154,7 +154,7 @@
         self.due.first().map(|(due, _)| *due)
     }
 
-    /// What has fallen due. What is to be dropped is still watched until it is [`ConnectionMonitor::gone`], and told once.
+    /// What has fallen due. What is to be dropped is still watched until it is [`ConnectionMonitor::remove`], and told once.
     pub fn on_timer(&mut self, now: Duration) -> Vec<MonitorAction<K>> {
         let mut all = Vec::new();
         while let Some((due, key)) = self.due.first().copied()
@@ -170,9 +170,9 @@
                     self.set(key, State::Asked, now + self.patience.pong_timeout);
                     all.push(MonitorAction::Ping(key));
                 }
-                State::Opening => all.push(MonitorAction::Drop(key, TimeoutCause::NotOpened)),
-                State::Asked => all.push(MonitorAction::Drop(key, TimeoutCause::Silent)),
-                State::Closing => all.push(MonitorAction::Drop(key, TimeoutCause::NotClosed)),
+                State::Opening => all.push(MonitorAction::Drop(key, TimeoutCause::Handshake)),
+                State::Asked => all.push(MonitorAction::Drop(key, TimeoutCause::Pong)),
+                State::Closing => all.push(MonitorAction::Drop(key, TimeoutCause::Close)),
             }
         }
         all
@@ -194,46 +194,46 @@
     #[test]
     fn one_that_never_says_who_it_is_is_dropped_and_leaves_its_place() {
         let mut vigil = vigil();
-        vigil.came(at(1), 1).unwrap();
-        vigil.came(at(2), 2).unwrap();
-        assert_eq!(vigil.came(at(2), 3), Err(TooManyHandshakes(2)));
-        vigil.opened(at(2), 2);
-        assert_eq!((vigil.opening(), vigil.came(at(3), 3)), (1, Ok(())));
+        vigil.add(at(1), 1).unwrap();
+        vigil.add(at(2), 2).unwrap();
+        assert_eq!(vigil.add(at(2), 3), Err(TooManyHandshakes(2)));
+        vigil.on_open(at(2), 2);
+        assert_eq!((vigil.handshakes(), vigil.add(at(3), 3)), (1, Ok(())));
         assert_eq!(vigil.next_timer(), Some(at(6)));
-        assert_eq!(vigil.on_timer(at(6)), [MonitorAction::Drop(1, TimeoutCause::NotOpened)]);
+        assert_eq!(vigil.on_timer(at(6)), [MonitorAction::Drop(1, TimeoutCause::Handshake)]);
         assert_eq!(vigil.on_timer(at(7)), [], "told once");
-        vigil.gone(1);
-        assert_eq!((vigil.opening(), vigil.len()), (1, 2));
+        vigil.remove(1);
+        assert_eq!((vigil.handshakes(), vigil.len()), (1, 2));
     }
 
     #[test]
     fn a_silent_one_is_asked_and_dropped_a_busy_one_is_neither() {
         let mut vigil = vigil();
         for key in 1..=2 {
-            vigil.came(at(0), key).unwrap();
-            vigil.opened(at(0), key);
+            vigil.add(at(0), key).unwrap();
+            vigil.on_open(at(0), key);
         }
-        vigil.heard(at(19), 2);
+        vigil.on_received(at(19), 2);
         assert_eq!(vigil.on_timer(at(20)), [MonitorAction::Ping(1)]);
         assert_eq!(
             vigil.on_timer(at(39)),
-            [MonitorAction::Drop(1, TimeoutCause::Silent), MonitorAction::Ping(2)]
+            [MonitorAction::Drop(1, TimeoutCause::Pong), MonitorAction::Ping(2)]
         );
-        vigil.gone(1);
-        vigil.heard(at(40), 2);
+        vigil.remove(1);
+        vigil.on_received(at(40), 2);
         assert_eq!((vigil.on_timer(at(59)), vigil.on_timer(at(60))), (vec![], vec![MonitorAction::Ping(2)]));
     }
 
     #[test]
     fn one_told_to_close_is_given_so_long_whatever_it_still_says() {
         let mut vigil = vigil();
-        vigil.came(at(0), 1).unwrap();
-        vigil.opened(at(0), 1);
-        vigil.closing(at(1), 1);
-        vigil.heard(at(2), 1);
-        vigil.closing(at(2), 1);
-        assert_eq!(vigil.on_timer(at(3)), [MonitorAction::Drop(1, TimeoutCause::NotClosed)]);
-        vigil.gone(1);
+        vigil.add(at(0), 1).unwrap();
+        vigil.on_open(at(0), 1);
+        vigil.start_close(at(1), 1);
+        vigil.on_received(at(2), 1);
+        vigil.start_close(at(2), 1);
+        assert_eq!(vigil.on_timer(at(3)), [MonitorAction::Drop(1, TimeoutCause::Close)]);
+        vigil.remove(1);
         assert_eq!((vigil.is_empty(), vigil.next_timer()), (true, None));
     }
 }
--- a/crates/limits/src/event_log.rs
+++ b/crates/limits/src/event_log.rs
@@ -66,7 +66,7 @@
     }
 
     /// The number of the next event.
-    pub fn upcoming(&self) -> u64 {
+    pub fn next_number(&self) -> u64 {
         self.first + self.kept.len() as u64
     }
 
@@ -90,7 +90,7 @@
         cursor: Option<u64>,
         sees: CustomerFilter,
     ) -> Result<u64, CursorError> {
-        let (oldest, next) = (self.first, self.upcoming());
+        let (oldest, next) = (self.first, self.next_number());
         let cursor = match cursor {
             None => next,
             Some(cursor) if cursor < oldest => return Err(CursorError::Gap { oldest }),
@@ -101,19 +101,19 @@
         Ok(cursor)
     }
 
-    pub fn leave(&mut self, session: SessionId) {
+    pub fn remove_watcher(&mut self, session: SessionId) {
         self.watchers.remove(&session);
     }
 
     /// Sessions that have not been told all that there is.
-    pub fn behind(&self) -> Vec<SessionId> {
-        let next = self.upcoming();
+    pub fn lagging_sessions(&self) -> Vec<SessionId> {
+        let next = self.next_number();
         self.watchers.iter().filter(|(_, watcher)| watcher.next < next).map(|(session, _)| *session).collect()
     }
 
     /// What a watcher is told now, at most so many events. What it may not see is passed over without a word.
-    pub fn tell(&mut self, session: SessionId, room: usize) -> EventBatch<E> {
-        let (first, end) = (self.first, self.upcoming());
+    pub fn next_batch(&mut self, session: SessionId, room: usize) -> EventBatch<E> {
+        let (first, end) = (self.first, self.next_number());
         let mut told = EventBatch { missed: 0, events: Vec::new() };
         let Some(watcher) = self.watchers.get_mut(&session) else { return told };
         if watcher.next < first {
@@ -153,12 +153,18 @@
     fn a_watcher_follows_on_from_its_cursor_as_it_has_room() {
         let mut news = news(100, 10);
         assert_eq!(news.watch(ONE, Some(4), CustomerFilter::All), Ok(4));
-        assert_eq!(numbers(&news.tell(ONE, 3)), [4, 5, 6]);
-        assert_eq!(news.behind(), [ONE]);
-        assert_eq!(numbers(&news.tell(ONE, 100)), [7, 8, 9, 10]);
-        assert_eq!((news.behind(), news.watch(SessionId(2), None, CustomerFilter::All)), (vec![], Ok(11)));
+        assert_eq!(numbers(&news.next_batch(ONE, 3)), [4, 5, 6]);
+        assert_eq!(news.lagging_sessions(), [ONE]);
+        assert_eq!(numbers(&news.next_batch(ONE, 100)), [7, 8, 9, 10]);
+        assert_eq!(
+            (news.lagging_sessions(), news.watch(SessionId(2), None, CustomerFilter::All)),
+            (vec![], Ok(11))
+        );
         news.push(CustomerId(0), 11);
-        assert_eq!((numbers(&news.tell(ONE, 9)), numbers(&news.tell(SessionId(2), 9))), (vec![11], vec![11]));
+        assert_eq!(
+            (numbers(&news.next_batch(ONE, 9)), numbers(&news.next_batch(SessionId(2), 9))),
+            (vec![11], vec![11])
+        );
     }
 
     #[test]
@@ -168,7 +174,7 @@
         assert_eq!(news.watch(ONE, Some(12), CustomerFilter::All), Err(CursorError::Ahead { next: 11 }));
         assert_eq!(news.watch(ONE, Some(6), CustomerFilter::All), Ok(6));
         (11..=13).for_each(|event| news.push(CustomerId(0), event));
-        let told = news.tell(ONE, 100);
+        let told = news.next_batch(ONE, 100);
         assert_eq!((told.missed, numbers(&told)), (3, vec![9, 10, 11, 12, 13]));
     }
 
@@ -177,10 +183,10 @@
         let mut news = news(100, 10);
         let odd = CustomerFilter::Only([CustomerId(1)].into());
         news.watch(ONE, Some(1), odd).unwrap();
-        assert_eq!(numbers(&news.tell(ONE, 3)), [1, 3, 5]);
-        assert_eq!(numbers(&news.tell(ONE, 9)), [7, 9]);
-        assert!(news.behind().is_empty());
-        news.leave(ONE);
-        assert_eq!((news.watchers(), news.tell(ONE, 9).events.len()), (0, 0));
+        assert_eq!(numbers(&news.next_batch(ONE, 3)), [1, 3, 5]);
+        assert_eq!(numbers(&news.next_batch(ONE, 9)), [7, 9]);
+        assert!(news.lagging_sessions().is_empty());
+        news.remove_watcher(ONE);
+        assert_eq!((news.watchers(), news.next_batch(ONE, 9).events.len()), (0, 0));
     }
 }
--- a/crates/limits/src/resumable_sessions.rs
+++ b/crates/limits/src/resumable_sessions.rs
@@ -25,10 +25,10 @@
 /// What becomes of a session whose connection is gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DisconnectOutcome {
-    /// It is over at once.
-    Over,
+    /// The session is over at once.
+    Ended,
     /// It is kept until then; these others had to go for it, the oldest first.
-    Kept { until: Duration, displaced: Vec<SessionId> },
+    Kept { until: Duration, evicted: Vec<SessionId> },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -36,7 +36,7 @@
     #[error("no such session is kept: it was never opened, or is over")]
     Unknown,
     #[error("the session was opened with another token")]
-    NotYours,
+    WrongToken,
 }
 
 #[derive(Debug)]
@@ -72,40 +72,40 @@
         Self { span, most_cut, known, keys, cut: VecDeque::new(), cut_count: 0 }
     }
 
-    pub fn span(&self) -> Duration {
+    pub fn retention(&self) -> Duration {
         self.span
     }
 
     /// Sessions kept without a connection.
-    pub fn kept(&self) -> usize {
+    pub fn kept_count(&self) -> usize {
         self.cut_count
     }
 
     /// A session asks to be resumable, under a key that was just drawn.
     pub fn register(&mut self, session: SessionId, key: SessionKey, owner: Option<String>) {
-        self.forget(session);
+        self.remove(session);
         self.keys.insert(key, session);
         self.known.insert(session, Known { key, owner, state: State::Open });
     }
 
     /// Its connection is gone.
-    pub fn cut(&mut self, now: Duration, session: SessionId) -> DisconnectOutcome {
+    pub fn on_disconnect(&mut self, now: Duration, session: SessionId) -> DisconnectOutcome {
         let until = now + self.span;
         let Some(known) = self.known.get_mut(&session).filter(|known| known.state == State::Open) else {
-            return DisconnectOutcome::Over;
+            return DisconnectOutcome::Ended;
         };
         if self.most_cut == 0 {
-            self.forget(session);
-            return DisconnectOutcome::Over;
+            self.remove(session);
+            return DisconnectOutcome::Ended;
         }
         known.state = State::Cut { until };
         self.cut.push_back((until, session));
         self.cut_count += 1;
-        let mut displaced = Vec::new();
+        let mut evicted = Vec::new();
         while self.cut_count > self.most_cut {
-            displaced.extend(self.oldest());
+            evicted.extend(self.oldest());
         }
-        DisconnectOutcome::Kept { until, displaced }
+        DisconnectOutcome::Kept { until, evicted }
     }
 
     /// Somebody comes back for a session. Its connection may still be open for all that is known here: whoever lost it
@@ -119,7 +119,7 @@
         let session = *self.keys.get(&key).ok_or(ResumeError::Unknown)?;
         let known = self.known.get_mut(&session).ok_or(ResumeError::Unknown)?;
         if known.owner.as_deref() != owner {
-            return Err(ResumeError::NotYours);
+            return Err(ResumeError::WrongToken);
         }
         match known.state {
             State::Open => Ok(session),
@@ -133,21 +133,21 @@
     }
 
     /// The session is over.
-    pub fn forget(&mut self, session: SessionId) {
+    pub fn remove(&mut self, session: SessionId) {
         if let Some(known) = self.known.remove(&session) {
             self.keys.remove(&known.key);
             self.cut_count -= usize::from(known.state != State::Open);
         }
     }
 
-    /// When [`ResumableSessions::expired`] is next to be asked.
+    /// When [`ResumableSessions::take_expired`] is next to be asked.
     pub fn next_timer(&self) -> Option<Duration> {
         let live = |(until, session): &&(Duration, SessionId)| self.is_cut(*session, *until);
         self.cut.iter().find(live).map(|(until, _)| *until)
     }
 
     /// Sessions that nobody came back for; they are over.
-    pub fn expired(&mut self, now: Duration) -> Vec<SessionId> {
+    pub fn take_expired(&mut self, now: Duration) -> Vec<SessionId> {
         let mut over = Vec::new();
         while self.cut.front().is_some_and(|(until, session)| *until <= now || !self.is_cut(*session, *until))
         {
@@ -163,7 +163,7 @@
     /// Takes the oldest cut off; none where that was resumed or is over already.
     fn oldest(&mut self) -> Option<SessionId> {
         let (until, session) = self.cut.pop_front()?;
-        self.is_cut(session, until).then(|| self.forget(session)).map(|()| session)
+        self.is_cut(session, until).then(|| self.remove(session)).map(|()| session)
     }
 }
 
@@ -192,57 +192,64 @@
             "open still, for all that is known here"
         );
         assert_eq!(
-            sessions.cut(at(1), SessionId(1)),
-            DisconnectOutcome::Kept { until: at(31), displaced: vec![] }
+            sessions.on_disconnect(at(1), SessionId(1)),
+            DisconnectOutcome::Kept { until: at(31), evicted: vec![] }
         );
         assert_eq!(sessions.resume(at(2), SessionKey(12), Some("apps")), Err(ResumeError::Unknown));
-        assert_eq!(sessions.resume(at(2), SessionKey(11), None), Err(ResumeError::NotYours));
+        assert_eq!(sessions.resume(at(2), SessionKey(11), None), Err(ResumeError::WrongToken));
         assert_eq!(sessions.resume(at(2), SessionKey(11), Some("apps")), Ok(SessionId(1)));
-        assert_eq!((sessions.kept(), sessions.next_timer()), (0, None));
-        assert_eq!(sessions.expired(at(99)), []);
+        assert_eq!((sessions.kept_count(), sessions.next_timer()), (0, None));
+        assert_eq!(sessions.take_expired(at(99)), []);
     }
 
     #[test]
     fn one_that_nobody_comes_back_for_is_over_once() {
         let mut sessions = one();
-        sessions.cut(at(1), SessionId(1));
+        sessions.on_disconnect(at(1), SessionId(1));
         assert_eq!(sessions.next_timer(), Some(at(31)));
-        assert_eq!(sessions.expired(at(30)), []);
+        assert_eq!(sessions.take_expired(at(30)), []);
         assert_eq!(
             sessions.resume(at(31), SessionKey(11), Some("apps")),
             Err(ResumeError::Unknown),
             "too late"
         );
-        assert_eq!(sessions.expired(at(31)), [SessionId(1)]);
-        assert_eq!((sessions.expired(at(32)), sessions.known.len(), sessions.keys.len()), (vec![], 0, 0));
+        assert_eq!(sessions.take_expired(at(31)), [SessionId(1)]);
+        assert_eq!(
+            (sessions.take_expired(at(32)), sessions.known.len(), sessions.keys.len()),
+            (vec![], 0, 0)
+        );
     }
 
     #[test]
     fn cut_again_after_resuming_counts_from_the_second_cut() {
         let mut sessions = one();
-        sessions.cut(at(1), SessionId(1));
+        sessions.on_disconnect(at(1), SessionId(1));
         sessions.resume(at(20), SessionKey(11), Some("apps")).unwrap();
-        sessions.cut(at(25), SessionId(1));
-        assert_eq!((sessions.expired(at(40)), sessions.next_timer()), (vec![], Some(at(55))));
+        sessions.on_disconnect(at(25), SessionId(1));
+        assert_eq!((sessions.take_expired(at(40)), sessions.next_timer()), (vec![], Some(at(55))));
     }
 
     #[test]
     fn too_many_cut_sessions_displace_the_oldest() {
         let mut sessions = ResumableSessions::new(SPAN, 2);
         (1..=4).for_each(|no| sessions.register(SessionId(no), SessionKey(no.into()), None));
-        sessions.cut(at(1), SessionId(1));
-        sessions.cut(at(2), SessionId(2));
+        sessions.on_disconnect(at(1), SessionId(1));
+        sessions.on_disconnect(at(2), SessionId(2));
+        assert_eq!(
+            sessions.on_disconnect(at(3), SessionId(3)),
+            DisconnectOutcome::Kept { until: at(33), evicted: vec![SessionId(1)] }
+        );
+        sessions.remove(SessionId(2));
         assert_eq!(
-            sessions.cut(at(3), SessionId(3)),
-            DisconnectOutcome::Kept { until: at(33), displaced: vec![SessionId(1)] }
+            sessions.on_disconnect(at(4), SessionId(4)),
+            DisconnectOutcome::Kept { until: at(34), evicted: vec![] }
         );
-        sessions.forget(SessionId(2));
+        assert_eq!(sessions.kept_count(), 2);
         assert_eq!(
-            sessions.cut(at(4), SessionId(4)),
-            DisconnectOutcome::Kept { until: at(34), displaced: vec![] }
+            sessions.on_disconnect(at(5), SessionId(9)),
+            DisconnectOutcome::Ended,
+            "never asked to be kept"
         );
-        assert_eq!(sessions.kept(), 2);
-        assert_eq!(sessions.cut(at(5), SessionId(9)), DisconnectOutcome::Over, "never asked to be kept");
         assert_eq!(format!("{:?}", SessionKey(u128::MAX)), "SessionKey(ffff..)");
     }
 }
--- a/crates/limits/src/session_limiter.rs
+++ b/crates/limits/src/session_limiter.rs
@@ -16,41 +16,41 @@
 /// What may be in hand, and how fast it may come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    pub sessions: usize,
+    pub max_sessions: usize,
     /// Sessions opened a second, and at once: an accept storm is paced, those already open keep their service.
     pub opens_per_s: f64,
-    pub opens_at_once: f64,
-    pub calls_a_session: usize,
-    pub calls_a_customer: usize,
+    pub open_burst: f64,
+    pub max_calls_per_session: usize,
+    pub max_calls_per_customer: usize,
     /// Offers of one session a second, and at once.
     pub offers_per_s: f64,
-    pub offers_at_once: f64,
+    pub offer_burst: f64,
     /// Requests of one session of any kind, a second and at once.
     pub requests_per_s: f64,
-    pub requests_at_once: f64,
+    pub request_burst: f64,
     /// Offers that may be with the decisions, not answered yet; what comes beyond takes turns.
-    pub unanswered: usize,
+    pub max_unanswered: usize,
     /// Offers that may wait for their turn, and for which share of their callers' time.
-    pub waiting: usize,
-    pub wait_share: f64,
+    pub max_waiting: usize,
+    pub max_wait_share: f64,
 }
 
 impl Default for Limits {
     /// For a release night on one controller: ten thousand sessions, of which a client that behaves notices nothing.
     fn default() -> Self {
         Self {
-            sessions: 10_000,
+            max_sessions: 10_000,
             opens_per_s: 2_000.0,
-            opens_at_once: 4_000.0,
-            calls_a_session: 10_000,
-            calls_a_customer: 20_000,
+            open_burst: 4_000.0,
+            max_calls_per_session: 10_000,
+            max_calls_per_customer: 20_000,
             offers_per_s: 1_000.0,
-            offers_at_once: 2_000.0,
+            offer_burst: 2_000.0,
             requests_per_s: 4_000.0,
-            requests_at_once: 8_000.0,
-            unanswered: 4_000,
-            waiting: 8_000,
-            wait_share: 0.25,
+            request_burst: 8_000.0,
+            max_unanswered: 4_000,
+            max_waiting: 8_000,
+            max_wait_share: 0.25,
         }
     }
 }
@@ -62,10 +62,10 @@
     NoSession,
     #[error("too fast on this session, come back in {} ms", .retry_after.as_millis() + 1)]
     RateLimited { retry_after: Duration },
-    #[error("{most} calls are in hand on this session")]
-    SessionCalls { most: usize },
-    #[error("{most} calls are in hand for this customer")]
-    CustomerCalls { most: usize },
+    #[error("{max} calls are in hand on this session")]
+    SessionCalls { max: usize },
+    #[error("{max} calls are in hand for this customer")]
+    CustomerCalls { max: usize },
     #[error("more calls are offered than can be worked on")]
     Overloaded { retry_after: Duration },
 }
@@ -94,7 +94,7 @@
     chance: MwcRng,
     opens: TokenBucket,
     next: u64,
-    /// Emptied as sessions close; at most `limits.sessions`.
+    /// Emptied as sessions close; at most `limits.max_sessions`.
     sessions: BTreeMap<SessionId, Session>,
     /// Calls in hand. Emptied as calls end.
     customers: BTreeMap<CustomerId, usize>,
@@ -106,7 +106,7 @@
 impl SessionLimiter {
     pub fn new(now: Duration, limits: Limits, seed: u64) -> Self {
         Self {
-            opens: TokenBucket::new(now, limits.opens_per_s, limits.opens_at_once),
+            opens: TokenBucket::new(now, limits.opens_per_s, limits.open_burst),
             limits,
             chance: MwcRng::new(seed),
             next: 0,
@@ -123,12 +123,12 @@
         self.sessions.len()
     }
 
-    pub fn calls(&self, customer: CustomerId) -> usize {
+    pub fn customer_calls(&self, customer: CustomerId) -> usize {
         self.customers.get(&customer).copied().unwrap_or(0)
     }
 
     pub fn open(&mut self, now: Duration) -> OpenOutcome {
-        if self.sessions.len() >= self.limits.sessions {
+        if self.sessions.len() >= self.limits.max_sessions {
             return OpenOutcome::Full;
         }
         if let Err(wait) = self.opens.take(now) {
@@ -136,38 +136,38 @@
         }
         self.next += 1;
         let no = SessionId(self.next);
-        let offers = TokenBucket::new(now, self.limits.offers_per_s, self.limits.offers_at_once);
-        let requests = TokenBucket::new(now, self.limits.requests_per_s, self.limits.requests_at_once);
+        let offers = TokenBucket::new(now, self.limits.offers_per_s, self.limits.offer_burst);
+        let requests = TokenBucket::new(now, self.limits.requests_per_s, self.limits.request_burst);
         self.sessions.insert(no, Session { offers, requests, calls: BTreeMap::new() });
         OpenOutcome::Open(no)
     }
 
     /// A request of any kind: read, or turned down with the wait until the next is.
-    pub fn request(&mut self, now: Duration, session: SessionId) -> Result<(), AdmissionError> {
+    pub fn check_request(&mut self, now: Duration, session: SessionId) -> Result<(), AdmissionError> {
         let held = self.sessions.get_mut(&session).ok_or(AdmissionError::NoSession)?;
         held.requests
             .take(now)
             .map_err(|wait| AdmissionError::RateLimited { retry_after: self.with_jitter(wait) })
     }
 
-    /// An offer: taken in hand, or refused. What is taken is given back by [`SessionLimiter::over`].
-    pub fn offer(
+    /// An offer: taken in hand, or refused. What is taken is given back by [`SessionLimiter::end_call`].
+    pub fn admit_offer(
         &mut self,
         now: Duration,
         session: SessionId,
         customer: CustomerId,
     ) -> Result<(), AdmissionError> {
-        let (in_session, in_all) = (self.limits.calls_a_session, self.limits.calls_a_customer);
-        let of_customer = self.calls(customer);
+        let (in_session, in_all) = (self.limits.max_calls_per_session, self.limits.max_calls_per_customer);
+        let of_customer = self.customer_calls(customer);
         let held = self.sessions.get_mut(&session).ok_or(AdmissionError::NoSession)?;
         if let Err(wait) = held.offers.take(now) {
             return Err(AdmissionError::RateLimited { retry_after: self.with_jitter(wait) });
         }
         if held.calls.values().sum::<usize>() >= in_session {
-            return Err(AdmissionError::SessionCalls { most: in_session });
+            return Err(AdmissionError::SessionCalls { max: in_session });
         }
         if of_customer >= in_all {
-            return Err(AdmissionError::CustomerCalls { most: in_all });
+            return Err(AdmissionError::CustomerCalls { max: in_all });
         }
         *held.calls.entry(customer).or_default() += 1;
         *self.customers.entry(customer).or_default() += 1;
@@ -175,7 +175,7 @@
     }
 
     /// A call that was taken in hand is over.
-    pub fn over(&mut self, session: SessionId, customer: CustomerId) {
+    pub fn end_call(&mut self, session: SessionId, customer: CustomerId) {
         let Some(held) = self.sessions.get_mut(&session) else { return };
         if less(&mut held.calls, customer, 1) {
             less(&mut self.customers, customer, 1);
@@ -183,16 +183,16 @@
     }
 
     /// What a session has in hand, by customer, for a look from outside.
-    pub fn in_hand(&self, session: SessionId) -> impl Iterator<Item = (CustomerId, usize)> {
+    pub fn calls_by_customer(&self, session: SessionId) -> impl Iterator<Item = (CustomerId, usize)> {
         let calls = self.sessions.get(&session).map(|held| &held.calls);
         calls.into_iter().flatten().map(|(customer, count)| (*customer, *count))
     }
 
-    /// Customers by how much they have in hand, most first: who presses.
-    pub fn greediest(&self, most: usize) -> Vec<(CustomerId, usize)> {
+    /// Customers by how much they have in hand, max first: who presses.
+    pub fn customers_by_calls(&self, max: usize) -> Vec<(CustomerId, usize)> {
         let mut all: Vec<_> = self.customers.iter().map(|(customer, count)| (*customer, *count)).collect();
         all.sort_by_key(|(customer, count)| (std::cmp::Reverse(*count), *customer));
-        all.truncate(most);
+        all.truncate(max);
         all
     }
 
@@ -242,7 +242,7 @@
     #[test]
     fn an_accept_storm_is_paced_and_ends_at_the_limit() {
         let mut gate =
-            gate(|limits| (limits.sessions, limits.opens_per_s, limits.opens_at_once) = (30, 10.0, 20.0));
+            gate(|limits| (limits.max_sessions, limits.opens_per_s, limits.open_burst) = (30, 10.0, 20.0));
         let opened = (0..100).filter(|_| matches!(gate.open(NOW), OpenOutcome::Open(_))).count();
         assert_eq!(opened, 20);
         let OpenOutcome::RateLimited(wait) = gate.open(NOW) else { panic!("not paced") };
@@ -254,13 +254,13 @@
 
     #[test]
     fn a_session_at_ten_times_its_rate_is_held_to_it_and_the_quiet_one_is_not() {
-        let mut gate = gate(|limits| (limits.offers_per_s, limits.offers_at_once) = (10.0, 10.0));
+        let mut gate = gate(|limits| (limits.offers_per_s, limits.offer_burst) = (10.0, 10.0));
         let (greedy, quiet) = (open(&mut gate), open(&mut gate));
         let (mut of_greedy, mut of_quiet) = (0, 0);
         for ms in 0..10_000 {
             let now = NOW + Duration::from_millis(ms);
-            of_greedy += u32::from(ms % 10 == 0 && gate.offer(now, greedy, ONE).is_ok());
-            of_quiet += u32::from(ms % 200 == 0 && gate.offer(now, quiet, ONE).is_ok());
+            of_greedy += u32::from(ms % 10 == 0 && gate.admit_offer(now, greedy, ONE).is_ok());
+            of_quiet += u32::from(ms % 200 == 0 && gate.admit_offer(now, quiet, ONE).is_ok());
         }
         assert!((105..=111).contains(&of_greedy), "{of_greedy}");
         assert_eq!(of_quiet, 50);
@@ -268,21 +268,21 @@
 
     #[test]
     fn what_a_session_had_in_hand_is_given_back_when_it_goes() {
-        let mut gate = gate(|limits| (limits.calls_a_session, limits.calls_a_customer) = (3, 5));
+        let mut gate = gate(|limits| (limits.max_calls_per_session, limits.max_calls_per_customer) = (3, 5));
         let (one, other) = (open(&mut gate), open(&mut gate));
-        assert!((0..3).all(|_| gate.offer(NOW, one, ONE).is_ok()));
-        assert_eq!(gate.offer(NOW, one, ONE), Err(AdmissionError::SessionCalls { most: 3 }));
-        assert!((0..2).all(|_| gate.offer(NOW, other, ONE).is_ok()));
-        assert_eq!(gate.offer(NOW, other, ONE), Err(AdmissionError::CustomerCalls { most: 5 }));
+        assert!((0..3).all(|_| gate.admit_offer(NOW, one, ONE).is_ok()));
+        assert_eq!(gate.admit_offer(NOW, one, ONE), Err(AdmissionError::SessionCalls { max: 3 }));
+        assert!((0..2).all(|_| gate.admit_offer(NOW, other, ONE).is_ok()));
+        assert_eq!(gate.admit_offer(NOW, other, ONE), Err(AdmissionError::CustomerCalls { max: 5 }));
         assert_eq!(
-            (gate.in_hand(other).collect::<Vec<_>>(), gate.greediest(3)),
+            (gate.calls_by_customer(other).collect::<Vec<_>>(), gate.customers_by_calls(3)),
             (vec![(ONE, 2)], vec![(ONE, 5)])
         );
-        gate.over(other, ONE);
-        gate.over(other, CustomerId(9));
+        gate.end_call(other, ONE);
+        gate.end_call(other, CustomerId(9));
         gate.close(one);
-        assert_eq!((gate.calls(ONE), gate.sessions()), (1, 1));
-        assert_eq!(gate.offer(NOW, one, ONE), Err(AdmissionError::NoSession));
+        assert_eq!((gate.customer_calls(ONE), gate.sessions()), (1, 1));
+        assert_eq!(gate.admit_offer(NOW, one, ONE), Err(AdmissionError::NoSession));
         gate.close(other);
         assert!(gate.customers.is_empty());
     }
--- a/crates/websocket/src/client_handshake.rs
+++ b/crates/websocket/src/client_handshake.rs
@@ -14,10 +14,10 @@
 /// The server does not let this client in.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ClientHandshakeError {
-    #[error("turned away with status {status}: {why}")]
-    Status { status: u16, why: String, retry_after: Option<Duration> },
+    #[error("turned away with status {status}: {reason}")]
+    Status { status: u16, reason: String, retry_after: Option<Duration> },
     #[error("what answers is no server of calls: {0}")]
-    NoServer(String),
+    InvalidResponse(String),
 }
 
 impl ClientHandshakeError {
@@ -25,7 +25,7 @@
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::Status { retry_after, .. } => *retry_after,
-            Self::NoServer(_) => None,
+            Self::InvalidResponse(_) => None,
         }
     }
 }
@@ -44,12 +44,12 @@
 pub struct ClientHandshake {
     accept: String,
     head: Vec<u8>,
-    longest_text: usize,
+    max_text_octets: usize,
 }
 
 impl ClientHandshake {
     /// With the request, to be written first.
-    pub fn new(to: SocketAddr, longest_text: usize) -> Result<(Self, Vec<u8>), ClientHandshakeError> {
+    pub fn new(to: SocketAddr, max_text_octets: usize) -> Result<(Self, Vec<u8>), ClientHandshakeError> {
         let key = generate_key();
         let request = Request::builder()
             .uri(PATH)
@@ -60,15 +60,16 @@
             .header("Sec-WebSocket-Key", key)
             .header("Sec-WebSocket-Protocol", SUBPROTOCOL)
             .body(())
-            .map_err(|error| ClientHandshakeError::NoServer(error.to_string()))?;
-        let (octets, key) =
-            generate_request(request).map_err(|error| ClientHandshakeError::NoServer(error.to_string()))?;
-        Ok((Self { accept: derive_accept_key(key.as_bytes()), head: Vec::new(), longest_text }, octets))
+            .map_err(|error| ClientHandshakeError::InvalidResponse(error.to_string()))?;
+        let (octets, key) = generate_request(request)
+            .map_err(|error| ClientHandshakeError::InvalidResponse(error.to_string()))?;
+        Ok((Self { accept: derive_accept_key(key.as_bytes()), head: Vec::new(), max_text_octets }, octets))
     }
 
     pub fn push(&mut self, octets: &[u8]) -> ClientHandshakeState {
         self.head.extend_from_slice(octets);
-        let no_server = |why: String| ClientHandshakeState::Rejected(ClientHandshakeError::NoServer(why));
+        let no_server =
+            |reason: String| ClientHandshakeState::Rejected(ClientHandshakeError::InvalidResponse(reason));
         let (length, response) = match Response::try_parse(&self.head) {
             Ok(Some(parsed)) => parsed,
             Ok(None) if self.head.len() > MAX_HEAD_OCTETS => return no_server("its head is too long".into()),
@@ -84,9 +85,13 @@
             }
             let retry_after =
                 field("Retry-After").and_then(|wait| wait.parse().ok()).map(Duration::from_secs);
-            let why = String::from_utf8_lossy(rest).trim().to_string();
+            let reason = String::from_utf8_lossy(rest).trim().to_string();
             let status = response.status().as_u16();
-            return ClientHandshakeState::Rejected(ClientHandshakeError::Status { status, why, retry_after });
+            return ClientHandshakeState::Rejected(ClientHandshakeError::Status {
+                status,
+                reason,
+                retry_after,
+            });
         }
         if field("Sec-WebSocket-Accept") != Some(&self.accept) {
             return no_server("its Sec-WebSocket-Accept is not of this request".into());
@@ -95,6 +100,6 @@
             return no_server(format!("it does not speak {SUBPROTOCOL}"));
         }
         let rest = self.head.split_off(length);
-        ClientHandshakeState::Open(Box::new(WebSocketConnection::client(rest, self.longest_text)))
+        ClientHandshakeState::Open(Box::new(WebSocketConnection::client(rest, self.max_text_octets)))
     }
 }
--- a/crates/websocket/src/connection.rs
+++ b/crates/websocket/src/connection.rs
@@ -64,30 +64,30 @@
 }
 
 impl WebSocketConnection {
-    pub(crate) fn server(out: Vec<u8>, early: Vec<u8>, longest_text: usize) -> Self {
-        Self::new(Role::Server, out, early, longest_text)
+    pub(crate) fn server(out: Vec<u8>, early: Vec<u8>, max_text_octets: usize) -> Self {
+        Self::new(Role::Server, out, early, max_text_octets)
     }
 
-    pub(crate) fn client(early: Vec<u8>, longest_text: usize) -> Self {
-        Self::new(Role::Client, Vec::new(), early, longest_text)
+    pub(crate) fn client(early: Vec<u8>, max_text_octets: usize) -> Self {
+        Self::new(Role::Client, Vec::new(), early, max_text_octets)
     }
 
-    fn new(role: Role, out: Vec<u8>, early: Vec<u8>, longest_text: usize) -> Self {
+    fn new(role: Role, out: Vec<u8>, early: Vec<u8>, max_text_octets: usize) -> Self {
         // Small: thousands of ends lie idle at a time. What is written goes to memory, and needs no buffer before it.
         let config = WebSocketConfig::default()
             .read_buffer_size(1 << 10)
             .write_buffer_size(0)
-            .max_message_size(Some(longest_text))
-            .max_frame_size(Some(longest_text));
+            .max_message_size(Some(max_text_octets))
+            .max_frame_size(Some(max_text_octets));
         Self { context: WebSocketContext::new(role, Some(config)), out, early, said_why: None, ended: None }
     }
 
     /// What is to be written now; its owner takes it.
-    pub fn out(&mut self) -> &mut Vec<u8> {
+    pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.out
     }
 
-    pub fn ended(&self) -> Option<&CloseInfo> {
+    pub fn close_info(&self) -> Option<&CloseInfo> {
         self.ended.as_ref()
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Whether it has begun to close.
-    pub fn closing(&self) -> bool {
+    pub fn is_closing(&self) -> bool {
         self.said_why.is_some() || self.ended.is_some()
     }
 }
--- a/crates/websocket/src/server_handshake.rs
+++ b/crates/websocket/src/server_handshake.rs
@@ -15,18 +15,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HandshakeRejection {
     pub status: u16,
-    pub why: String,
+    pub reason: String,
     /// Seconds to stay away, rounded up.
     pub retry_after_s: Option<u64>,
 }
 
 impl HandshakeRejection {
-    pub fn new(status: u16, why: impl Into<String>) -> Self {
-        Self { status, why: why.into(), retry_after_s: None }
+    pub fn new(status: u16, reason: impl Into<String>) -> Self {
+        Self { status, reason: reason.into(), retry_after_s: None }
     }
 
     /// The whole response. The connection is closed after it.
-    pub fn octets(&self) -> Vec<u8> {
+    pub fn to_octets(&self) -> Vec<u8> {
         let phrase = match self.status {
             400 => "Bad Request",
             403 => "Forbidden",
@@ -47,8 +47,8 @@
             "HTTP/1.1 {} {phrase}\r\nConnection: close\r\n{more}Content-Type: text/plain; charset=utf-8\r\n\
              Content-Length: {}\r\n\r\n{}\n",
             self.status,
-            self.why.len() + 1,
-            self.why
+            self.reason.len() + 1,
+            self.reason
         )
         .into_bytes()
     }
@@ -74,11 +74,11 @@
 
 impl UpgradeRequest {
     /// The open end, with the response first in what it has to write.
-    pub fn accept(self, longest_text: usize) -> WebSocketConnection {
+    pub fn accept(self, max_text_octets: usize) -> WebSocketConnection {
         let mut out = Vec::new();
         // Into memory, of a response built here: it has no way to fail.
         let _ = write_response(&mut out, &self.response);
-        WebSocketConnection::server(out, self.rest, longest_text)
+        WebSocketConnection::server(out, self.rest, max_text_octets)
     }
 }
 
@@ -114,7 +114,7 @@
                 response,
                 rest: self.head.split_off(length),
             })),
-            Err(why) => ServerHandshakeState::Rejected(why),
+            Err(reason) => ServerHandshakeState::Rejected(reason),
         }
     }
 }
@@ -170,8 +170,8 @@
         let origins = ["https://ours.example".to_string()].into();
         match ServerHandshake::default().push(head.as_bytes(), &origins) {
             ServerHandshakeState::Incomplete => panic!("not whole"),
-            ServerHandshakeState::Valid(wish) => Ok(std::mem::take(wish.accept(100).out())),
-            ServerHandshakeState::Rejected(why) => Err(why),
+            ServerHandshakeState::Valid(wish) => Ok(std::mem::take(wish.accept(100).output())),
+            ServerHandshakeState::Rejected(reason) => Err(reason),
         }
     }
 
@@ -197,7 +197,7 @@
 
     #[test]
     fn each_fault_of_a_handshake_has_its_status() {
-        let status = |head: &str| knock(head).map_err(|why| why.status).unwrap_err();
+        let status = |head: &str| knock(head).map_err(|reason| reason.status).unwrap_err();
         assert_eq!(status(&HEAD.replace("/calls", "/")), 404);
         assert_eq!(status(&HEAD.replace("GET", "POST")), 405);
         assert_eq!(status(&HEAD.replace("Upgrade: websocket\r\n", "")), 426);
@@ -221,8 +221,8 @@
 
     #[test]
     fn who_is_turned_away_is_told_when_to_come_back() {
-        let why = HandshakeRejection { status: 503, why: "full".into(), retry_after_s: Some(2) };
-        let text = String::from_utf8(why.octets()).unwrap();
+        let reason = HandshakeRejection { status: 503, reason: "full".into(), retry_after_s: Some(2) };
+        let text = String::from_utf8(reason.to_octets()).unwrap();
         assert!(
             text.contains("\r\nRetry-After: 2\r\n") && text.ends_with("Content-Length: 5\r\n\r\nfull\n"),
             "{text}"
--- a/crates/websocket/tests/both_ends.rs
+++ b/crates/websocket/tests/both_ends.rs
@@ -26,7 +26,7 @@
     server.send_text("first");
     let mut client = None;
     let mut early = Vec::new();
-    for part in std::mem::take(server.out()).chunks(cut) {
+    for part in std::mem::take(server.output()).chunks(cut) {
         match (&mut client, dialled_push(&mut dialled, &early, part)) {
             (None, Some(mut open)) => {
                 open.on_octets(&[], &mut |event| early.push(event));
@@ -57,7 +57,7 @@
 
 fn pass(from: &mut WebSocketConnection, to: &mut WebSocketConnection, cut: usize) -> Vec<WebSocketEvent> {
     let mut heard = Vec::new();
-    for part in std::mem::take(from.out()).chunks(cut) {
+    for part in std::mem::take(from.output()).chunks(cut) {
         to.on_octets(part, &mut |event| heard.push(event));
     }
     heard
@@ -85,14 +85,14 @@
     let (mut server, mut client) = open(4096);
     server.close(close::GOING_AWAY, &"ä".repeat(100));
     server.send_text("too late");
-    assert!(server.closing() && server.ended().is_none());
+    assert!(server.is_closing() && server.close_info().is_none());
     pass(&mut server, &mut client, 4096);
-    let told = client.ended().unwrap();
+    let told = client.close_info().unwrap();
     assert_eq!((told.code, told.by_far_end, told.reason.as_str()), (1001, true, "ä".repeat(61).as_str()));
     pass(&mut client, &mut server, 4096);
-    assert!(!server.ended().unwrap().by_far_end);
+    assert!(!server.close_info().unwrap().by_far_end);
     server.send_text("nothing after the end");
-    assert_eq!(server.out(), &Vec::<u8>::new());
+    assert_eq!(server.output(), &Vec::<u8>::new());
 }
 
 /// A frame as a client sends it, masked with noughts (clause 5.2).
@@ -118,8 +118,8 @@
     let (mut server, _) = open(4096);
     let mut heard = Vec::new();
     server.on_octets(octets, &mut |event| heard.push(event));
-    let out = std::mem::take(server.out());
-    (heard, server.ended().cloned(), out)
+    let out = std::mem::take(server.output());
+    (heard, server.close_info().cloned(), out)
 }
 
 #[test]
@@ -165,20 +165,23 @@
 #[test]
 fn a_client_is_told_why_it_is_turned_away() {
     let (mut dialled, _) = ClientHandshake::new("127.0.0.1:9".parse().unwrap(), LONGEST).unwrap();
-    let why =
-        mintstall_websocket::HandshakeRejection { status: 503, why: "full".into(), retry_after_s: Some(3) };
-    let octets = why.octets();
+    let why = mintstall_websocket::HandshakeRejection {
+        status: 503,
+        reason: "full".into(),
+        retry_after_s: Some(3),
+    };
+    let octets = why.to_octets();
     assert!(matches!(dialled.push(&octets[..octets.len() - 2]), ClientHandshakeState::Incomplete));
     let ClientHandshakeState::Rejected(turned) = dialled.push(&octets[octets.len() - 2..]) else {
         panic!("not turned away")
     };
     assert_eq!(turned.retry_after(), Some(std::time::Duration::from_secs(3)));
-    assert!(matches!(turned, ClientHandshakeError::Status { status: 503, why, .. } if why == "full"));
+    assert!(matches!(turned, ClientHandshakeError::Status { status: 503, reason, .. } if reason == "full"));
     for answer in ["nonsense\r\n\r\n", "HTTP/1.1 101 x\r\nSec-WebSocket-Accept: other\r\n\r\n"] {
         let (mut dialled, _) = ClientHandshake::new("127.0.0.1:9".parse().unwrap(), LONGEST).unwrap();
         assert!(matches!(
             dialled.push(answer.as_bytes()),
-            ClientHandshakeState::Rejected(ClientHandshakeError::NoServer(_))
+            ClientHandshakeState::Rejected(ClientHandshakeError::InvalidResponse(_))
         ));
     }
 }
