--- a/crates/limits/src/backlog.rs
+++ b/crates/limits/src/backlog.rs
@@ -1,32 +1,33 @@
-//! What is to be said to a session that was cut, once it is taken up.
+//! Messages kept for a session that lost its connection, until the session is resumed.
 //!
-//! Bounded: a session that would have to hear more than is kept is over, and is told so when its client comes back. Nothing that
-//! it was owed is left out without a word. Notifications about one call are merged to the last.
+//! The number of messages is bounded. A session that exceeds it can't be kept: it ends, and its client is told so when it
+//! tries to resume. No message is dropped silently. Of the notifications about one call only the last is kept.
 
 use std::collections::VecDeque;
 
 use thiserror::Error;
 
-/// The session can't be kept.
+/// The session has more messages than are kept, and must end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{waiting} texts wait to be said, at most {max} are kept")]
+#[error("{waiting} messages wait for the session, at most {max} are kept")]
 pub struct BacklogFull {
     pub waiting: usize,
     pub max: usize,
 }
 
-/// What is said about one call.
+/// A message to the client of the session.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Said<T> {
+enum Message<T> {
     Answer(T),
-    Note(u64, T),
+    /// With the number of the call.
+    Notification(u64, T),
 }
 
-/// Texts waiting for one session, at most `max`.
+/// Messages waiting for one session, at most `max`.
 #[derive(Debug)]
 pub struct Backlog<T> {
     max: usize,
-    waiting: VecDeque<Said<T>>,
+    waiting: VecDeque<Message<T>>,
     merged: u64,
 }
 
@@ -43,36 +44,39 @@
         self.waiting.is_empty()
     }
 
-    /// Notifications that a later one about the same call took the place of.
+    /// How many notifications were replaced by a later one about the same call.
     pub fn merged(&self) -> u64 {
         self.merged
     }
 
     pub fn push_answer(&mut self, answer: T) -> Result<(), BacklogFull> {
-        self.waiting.push_back(Said::Answer(answer));
-        self.check()
+        self.waiting.push_back(Message::Answer(answer));
+        self.check_size()
     }
 
-    /// A notification about a call takes the place of one that still waits.
-    pub fn push_notification(&mut self, call: u64, note: T) -> Result<(), BacklogFull> {
-        let before = self.waiting.iter().position(|said| matches!(said, Said::Note(of, _) if *of == call));
-        if let Some(before) = before {
-            self.waiting.remove(before);
+    /// Replaces a waiting notification about the same call.
+    pub fn push_notification(&mut self, call: u64, notification: T) -> Result<(), BacklogFull> {
+        let earlier = self
+            .waiting
+            .iter()
+            .position(|message| matches!(message, Message::Notification(about, _) if *about == call));
+        if let Some(earlier) = earlier {
+            self.waiting.remove(earlier);
             self.merged += 1;
         }
-        self.waiting.push_back(Said::Note(call, note));
-        self.check()
+        self.waiting.push_back(Message::Notification(call, notification));
+        self.check_size()
     }
 
-    fn check(&self) -> Result<(), BacklogFull> {
+    fn check_size(&self) -> Result<(), BacklogFull> {
         let (waiting, max) = (self.waiting.len(), self.max);
         if waiting > max { Err(BacklogFull { waiting, max }) } else { Ok(()) }
     }
 
-    /// The next to be said.
+    /// Removes the oldest message.
     pub fn pop(&mut self) -> Option<T> {
-        self.waiting.pop_front().map(|said| match said {
-            Said::Answer(text) | Said::Note(_, text) => text,
+        self.waiting.pop_front().map(|message| match message {
+            Message::Answer(text) | Message::Notification(_, text) => text,
         })
     }
 }
@@ -82,7 +86,7 @@
     use super::*;
 
     #[test]
-    fn notes_about_a_call_are_merged_and_answers_are_not() {
+    fn notifications_about_a_call_are_merged_and_answers_are_not() {
         let mut backlog = Backlog::new(4);
         backlog.push_notification(1, "one rings").unwrap();
         backlog.push_answer("two stands").unwrap();
--- a/crates/limits/src/connection_monitor.rs
+++ b/crates/limits/src/connection_monitor.rs
@@ -1,24 +1,26 @@
-//! Which connections are still there: those that never say who they are, that fall silent, or that do not close when told.
+//! Timeouts of connections: the opening handshake, idle time with pings, and the closing handshake.
 //!
-//! A connection that is cut without a word (a phone out of reach, a machine without power) looks open for as long as nobody
-//! writes to it. One that has been silent is asked for a sign of life, and dropped when none comes. Times are looked at when
-//! they fall due, not when something is heard, so that a busy connection costs nothing here.
+//! A connection whose peer vanished without closing it (a phone out of reach, a machine without power) looks open for as long
+//! as nothing is written to it. An idle connection is therefore pinged, and dropped when no answer comes. Deadlines are checked
+//! when they expire and not moved on each receipt, so that a busy connection costs almost nothing here.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// How long each state of a connection may last.
+/// How long each state of a connection may last, and how many connections may be in the opening handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionTimeouts {
-    /// For the opening handshake, and how many may be at it at a time.
+    /// Time for the opening handshake.
     pub handshake_timeout: Duration,
+    /// Connections that may be in the opening handshake at a time.
     pub max_handshakes: usize,
-    /// Silence after which a sign of life is asked for, and how long it may take.
+    /// Time without received data after which a ping is sent.
     pub idle_timeout: Duration,
+    /// Time for anything to be received after a ping.
     pub pong_timeout: Duration,
-    /// For the closing handshake.
+    /// Time for the closing handshake.
     pub close_timeout: Duration,
 }
 
@@ -34,7 +36,7 @@
     }
 }
 
-/// Why a connection is dropped.
+/// Which timeout of a connection expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TimeoutCause {
     #[error("has not opened in time")]
@@ -45,14 +47,14 @@
     Close,
 }
 
-/// What is to be done about a connection.
+/// What the owner of a connection has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MonitorAction<K> {
     Ping(K),
     Drop(K, TimeoutCause),
 }
 
-/// So many are opening already.
+/// A connection is not accepted: this many are in the opening handshake already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{0} connections are opening already")]
 pub struct TooManyHandshakes(pub usize);
@@ -61,121 +63,124 @@
 enum State {
     Opening,
     Open {
-        heard: Duration,
+        last_received: Duration,
     },
-    /// Asked for a sign of life, none heard since.
-    Asked,
+    /// A ping was sent and nothing was received since.
+    PingSent,
     Closing,
 }
 
 #[derive(Debug)]
-struct Watched {
+struct Connection {
     state: State,
-    due: Duration,
+    deadline: Duration,
 }
 
-/// All connections of one kind. Emptied as they go.
+/// All connections of one kind, until they are removed.
 #[derive(Debug)]
 pub struct ConnectionMonitor<K> {
-    patience: ConnectionTimeouts,
-    watched: BTreeMap<K, Watched>,
-    due: BTreeSet<(Duration, K)>,
-    opening: usize,
+    timeouts: ConnectionTimeouts,
+    connections: BTreeMap<K, Connection>,
+    deadlines: BTreeSet<(Duration, K)>,
+    handshakes: usize,
 }
 
 impl<K: Copy + Ord> ConnectionMonitor<K> {
-    pub fn new(patience: ConnectionTimeouts) -> Self {
-        Self { patience, watched: BTreeMap::new(), due: BTreeSet::new(), opening: 0 }
+    pub fn new(timeouts: ConnectionTimeouts) -> Self {
+        Self { timeouts, connections: BTreeMap::new(), deadlines: BTreeSet::new(), handshakes: 0 }
     }
 
     pub fn len(&self) -> usize {
-        self.watched.len()
+        self.connections.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.watched.is_empty()
+        self.connections.is_empty()
     }
 
-    /// Those that have not said who they are.
+    /// Connections in the opening handshake.
     pub fn handshakes(&self) -> usize {
-        self.opening
+        self.handshakes
     }
 
-    /// A connection came in.
+    /// Starts the timeout of the opening handshake of a new connection.
     pub fn add(&mut self, now: Duration, key: K) -> Result<(), TooManyHandshakes> {
-        if self.opening >= self.patience.max_handshakes {
-            return Err(TooManyHandshakes(self.opening));
+        if self.handshakes >= self.timeouts.max_handshakes {
+            return Err(TooManyHandshakes(self.handshakes));
         }
         self.remove(key);
-        self.set(key, State::Opening, now + self.patience.handshake_timeout);
+        self.set(key, State::Opening, now + self.timeouts.handshake_timeout);
         Ok(())
     }
 
-    /// It has said who it is.
+    /// The opening handshake of a connection is complete.
     pub fn on_open(&mut self, now: Duration, key: K) {
-        if self.watched.get(&key).is_some_and(|watched| watched.state == State::Opening) {
-            self.set(key, State::Open { heard: now }, now + self.patience.idle_timeout);
+        if self.connections.get(&key).is_some_and(|connection| connection.state == State::Opening) {
+            self.set(key, State::Open { last_received: now }, now + self.timeouts.idle_timeout);
         }
     }
 
-    /// Something came on it.
+    /// Data was received on a connection.
     pub fn on_received(&mut self, now: Duration, key: K) {
-        let Some(watched) = self.watched.get_mut(&key) else { return };
-        match watched.state {
-            State::Open { .. } => watched.state = State::Open { heard: now },
-            State::Asked => self.set(key, State::Open { heard: now }, now + self.patience.idle_timeout),
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        match connection.state {
+            State::Open { .. } => connection.state = State::Open { last_received: now },
+            State::PingSent => {
+                self.set(key, State::Open { last_received: now }, now + self.timeouts.idle_timeout)
+            }
             State::Opening | State::Closing => {}
         }
     }
 
-    /// It was told to close.
+    /// Starts the timeout of the closing handshake.
     pub fn start_close(&mut self, now: Duration, key: K) {
-        if self.watched.get(&key).is_some_and(|watched| watched.state != State::Closing) {
-            self.set(key, State::Closing, now + self.patience.close_timeout);
+        if self.connections.get(&key).is_some_and(|connection| connection.state != State::Closing) {
+            self.set(key, State::Closing, now + self.timeouts.close_timeout);
         }
     }
 
     pub fn remove(&mut self, key: K) {
-        if let Some(watched) = self.watched.remove(&key) {
-            self.due.remove(&(watched.due, key));
-            self.opening -= usize::from(watched.state == State::Opening);
+        if let Some(connection) = self.connections.remove(&key) {
+            self.deadlines.remove(&(connection.deadline, key));
+            self.handshakes -= usize::from(connection.state == State::Opening);
         }
     }
 
-    fn set(&mut self, key: K, state: State, due: Duration) {
+    fn set(&mut self, key: K, state: State, deadline: Duration) {
         self.remove(key);
-        self.opening += usize::from(state == State::Opening);
-        self.watched.insert(key, Watched { state, due });
-        self.due.insert((due, key));
+        self.handshakes += usize::from(state == State::Opening);
+        self.connections.insert(key, Connection { state, deadline });
+        self.deadlines.insert((deadline, key));
     }
 
-    /// When [`ConnectionMonitor::on_timer`] is next to be called.
+    /// When [`ConnectionMonitor::on_timer`] must be called next.
     pub fn next_timer(&self) -> Option<Duration> {
-        self.due.first().map(|(due, _)| *due)
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// What has fallen due. What is to be dropped is still watched until it is [`ConnectionMonitor::remove`], and told once.
+    /// Returns the actions whose time has come. A connection to be dropped is reported once, and is kept until
+    /// [`ConnectionMonitor::remove`] is called.
     pub fn on_timer(&mut self, now: Duration) -> Vec<MonitorAction<K>> {
-        let mut all = Vec::new();
-        while let Some((due, key)) = self.due.first().copied()
-            && due <= now
+        let mut actions = Vec::new();
+        while let Some((deadline, key)) = self.deadlines.first().copied()
+            && deadline <= now
         {
-            self.due.remove(&(due, key));
-            let Some(state) = self.watched.get(&key).map(|watched| watched.state) else { continue };
+            self.deadlines.remove(&(deadline, key));
+            let Some(state) = self.connections.get(&key).map(|connection| connection.state) else { continue };
             match state {
-                State::Open { heard } if heard + self.patience.idle_timeout > now => {
-                    self.set(key, state, heard + self.patience.idle_timeout);
+                State::Open { last_received } if last_received + self.timeouts.idle_timeout > now => {
+                    self.set(key, state, last_received + self.timeouts.idle_timeout);
                 }
                 State::Open { .. } => {
-                    self.set(key, State::Asked, now + self.patience.pong_timeout);
-                    all.push(MonitorAction::Ping(key));
+                    self.set(key, State::PingSent, now + self.timeouts.pong_timeout);
+                    actions.push(MonitorAction::Ping(key));
                 }
-                State::Opening => all.push(MonitorAction::Drop(key, TimeoutCause::Handshake)),
-                State::Asked => all.push(MonitorAction::Drop(key, TimeoutCause::Pong)),
-                State::Closing => all.push(MonitorAction::Drop(key, TimeoutCause::Close)),
+                State::Opening => actions.push(MonitorAction::Drop(key, TimeoutCause::Handshake)),
+                State::PingSent => actions.push(MonitorAction::Drop(key, TimeoutCause::Pong)),
+                State::Closing => actions.push(MonitorAction::Drop(key, TimeoutCause::Close)),
             }
         }
-        all
+        actions
     }
 }
 
@@ -187,53 +192,56 @@
         Duration::from_secs(s)
     }
 
-    fn vigil() -> ConnectionMonitor<u32> {
+    fn monitor() -> ConnectionMonitor<u32> {
         ConnectionMonitor::new(ConnectionTimeouts { max_handshakes: 2, ..ConnectionTimeouts::default() })
     }
 
     #[test]
-    fn one_that_never_says_who_it_is_is_dropped_and_leaves_its_place() {
-        let mut vigil = vigil();
-        vigil.add(at(1), 1).unwrap();
-        vigil.add(at(2), 2).unwrap();
-        assert_eq!(vigil.add(at(2), 3), Err(TooManyHandshakes(2)));
-        vigil.on_open(at(2), 2);
-        assert_eq!((vigil.handshakes(), vigil.add(at(3), 3)), (1, Ok(())));
-        assert_eq!(vigil.next_timer(), Some(at(6)));
-        assert_eq!(vigil.on_timer(at(6)), [MonitorAction::Drop(1, TimeoutCause::Handshake)]);
-        assert_eq!(vigil.on_timer(at(7)), [], "told once");
-        vigil.remove(1);
-        assert_eq!((vigil.handshakes(), vigil.len()), (1, 2));
+    fn a_connection_that_does_not_finish_its_handshake_is_dropped_and_frees_its_place() {
+        let mut monitor = monitor();
+        monitor.add(at(1), 1).unwrap();
+        monitor.add(at(2), 2).unwrap();
+        assert_eq!(monitor.add(at(2), 3), Err(TooManyHandshakes(2)));
+        monitor.on_open(at(2), 2);
+        assert_eq!((monitor.handshakes(), monitor.add(at(3), 3)), (1, Ok(())));
+        assert_eq!(monitor.next_timer(), Some(at(6)));
+        assert_eq!(monitor.on_timer(at(6)), [MonitorAction::Drop(1, TimeoutCause::Handshake)]);
+        assert_eq!(monitor.on_timer(at(7)), [], "reported once");
+        monitor.remove(1);
+        assert_eq!((monitor.handshakes(), monitor.len()), (1, 2));
     }
 
     #[test]
-    fn a_silent_one_is_asked_and_dropped_a_busy_one_is_neither() {
-        let mut vigil = vigil();
+    fn a_silent_connection_is_pinged_and_dropped_and_a_busy_one_is_kept() {
+        let mut monitor = monitor();
         for key in 1..=2 {
-            vigil.add(at(0), key).unwrap();
-            vigil.on_open(at(0), key);
+            monitor.add(at(0), key).unwrap();
+            monitor.on_open(at(0), key);
         }
-        vigil.on_received(at(19), 2);
-        assert_eq!(vigil.on_timer(at(20)), [MonitorAction::Ping(1)]);
+        monitor.on_received(at(19), 2);
+        assert_eq!(monitor.on_timer(at(20)), [MonitorAction::Ping(1)]);
         assert_eq!(
-            vigil.on_timer(at(39)),
+            monitor.on_timer(at(39)),
             [MonitorAction::Drop(1, TimeoutCause::Pong), MonitorAction::Ping(2)]
         );
-        vigil.remove(1);
-        vigil.on_received(at(40), 2);
-        assert_eq!((vigil.on_timer(at(59)), vigil.on_timer(at(60))), (vec![], vec![MonitorAction::Ping(2)]));
+        monitor.remove(1);
+        monitor.on_received(at(40), 2);
+        assert_eq!(
+            (monitor.on_timer(at(59)), monitor.on_timer(at(60))),
+            (vec![], vec![MonitorAction::Ping(2)])
+        );
     }
 
     #[test]
-    fn one_told_to_close_is_given_so_long_whatever_it_still_says() {
-        let mut vigil = vigil();
-        vigil.add(at(0), 1).unwrap();
-        vigil.on_open(at(0), 1);
-        vigil.start_close(at(1), 1);
-        vigil.on_received(at(2), 1);
-        vigil.start_close(at(2), 1);
-        assert_eq!(vigil.on_timer(at(3)), [MonitorAction::Drop(1, TimeoutCause::Close)]);
-        vigil.remove(1);
-        assert_eq!((vigil.is_empty(), vigil.next_timer()), (true, None));
+    fn data_received_while_closing_does_not_extend_the_close_timeout() {
+        let mut monitor = monitor();
+        monitor.add(at(0), 1).unwrap();
+        monitor.on_open(at(0), 1);
+        monitor.start_close(at(1), 1);
+        monitor.on_received(at(2), 1);
+        monitor.start_close(at(2), 1);
+        assert_eq!(monitor.on_timer(at(3)), [MonitorAction::Drop(1, TimeoutCause::Close)]);
+        monitor.remove(1);
+        assert_eq!((monitor.is_empty(), monitor.next_timer()), (true, None));
     }
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,19 +1,19 @@
-//! Admission of sessions and offers, and what a client does about it, decided without I/O.
+//! Admission control for sessions and offers at the server, and call state and retries at the client. No I/O.
 //!
 //! | file | holds |
 //! | --- | --- |
-//! | `token_bucket` | rates: so many a second, so many at once |
-//! | `session_limiter` | sessions and what each, and each customer, may have in hand |
-//! | `fair_queue` | whose turn it is when offers wait: deficit round robin by customers' shares |
-//! | `admission` | the two together: taken, waits, or refused with a time to come back |
+//! | `token_bucket` | rate limits: an average rate and a burst |
+//! | `session_limiter` | limits on open sessions, and on the calls and request rates of each session and customer |
+//! | `fair_queue` | the queue of waiting offers: deficit round robin by customers' shares |
+//! | `admission` | combines both: an offer is admitted, queued, or refused with a retry time |
 //! | `auth` | tokens, their scopes and customers |
-//! | `event_log` | what happens to calls, told to watchers from their cursors |
-//! | `answer_cache` | offers that come twice under one number |
-//! | `resumable_sessions` | sessions that are taken up again after a cut |
-//! | `backlog` | what is to be said to a session that was cut, once it is taken up |
-//! | `connection_monitor` | connections that never say who they are, fall silent, or do not close |
-//! | `retry` | at the client: when to dial anew, and when to offer a refused call again |
-//! | `call_table` | at the client: its calls, and what became of them across a cut |
+//! | `event_log` | call events, delivered to watching sessions from their cursors |
+//! | `answer_cache` | answers of recent offers, for offers that are sent twice under one number |
+//! | `resumable_sessions` | sessions that can be resumed after their connection was lost |
+//! | `backlog` | messages kept for a session that has no connection until it is resumed |
+//! | `connection_monitor` | timeouts of connections: opening handshake, idle time, closing handshake |
+//! | `retry` | client: when to reconnect, and when to offer a refused call again |
+//! | `call_table` | client: its calls, and their reconciliation with the server after a lost connection |
 
 mod admission;
 mod answer_cache;
