--- a/crates/limits/src/auth.rs
+++ b/crates/limits/src/auth.rs
@@ -1,8 +1,8 @@
-//! Who may do what: tokens, each with a name, scopes and the customers it may call for.
+//! Access control by tokens: each has a name, scopes, and the customers it covers.
 //!
-//! Only digests of tokens are held, and a token is compared with all of them in the same time whichever it is, so that
-//! neither a file that leaks nor the time of an answer tells one. A session remembers its token by name: one that is
-//! withdrawn ends what the session may do at its next request, and what stands is left alone.
+//! Only digests of tokens are held, and a presented token is compared with all of them in constant time, so that neither a
+//! leaked file nor the response time reveals a token. A session remembers its token by name. When a token is withdrawn, the
+//! session's next request is refused; its standing calls are left alone.
 
 use std::collections::BTreeSet;
 
@@ -18,15 +18,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Scope {
-    /// Ask for calls and end them.
+    /// Offer calls and end them.
     Offer,
-    /// See calls and their traces.
+    /// Read calls and their traces.
     Watch,
-    /// Ask the admin port.
+    /// Send requests to the admin port.
     Admin,
 }
 
-/// One token, as its file has it.
+/// One entry of the token file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TokenEntry {
@@ -34,12 +34,12 @@
     /// SHA-256 of the token, 64 hexadecimal digits.
     pub sha256: String,
     pub scopes: BTreeSet<Scope>,
-    /// The customers that it may call for; none named: all.
+    /// The customers that the token covers. All if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customers: Option<BTreeSet<u16>>,
 }
 
-/// The file of tokens.
+/// The token file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TokenFile {
@@ -59,7 +59,7 @@
         self.scopes.contains(&scope)
     }
 
-    /// The customers whose calls it may see.
+    /// The customers whose calls the token may see.
     pub fn customer_filter(&self) -> CustomerFilter {
         match &self.customers {
             None => CustomerFilter::All,
@@ -86,79 +86,83 @@
     Customer(u16),
 }
 
-/// Tokens that may be held: looking one up compares it with all.
-const MOST: usize = 10_000;
+/// A lookup compares a token with all others, so their number is limited.
+const MAX_TOKENS: usize = 10_000;
 
-/// All tokens in force.
+/// All valid tokens.
 #[derive(Clone, Debug, Default)]
 pub struct Tokens {
-    /// None: everybody may do everything.
-    held: Option<Vec<([u8; 32], Grant)>>,
+    /// Digest and grant of each token. `None`: no token is required, and every request is allowed.
+    grants: Option<Vec<([u8; 32], Grant)>>,
 }
 
 impl Tokens {
-    /// Nobody is asked for a token.
+    /// No token is required.
     pub fn unrestricted() -> Self {
         Self::default()
     }
 
-    /// Every fault of the file, each with its place; or the tokens.
+    /// The tokens of a file, or all its errors, each with its position in the file.
     pub fn from_file(file: &TokenFile) -> Result<Self, Vec<String>> {
-        let (mut held, mut faults, mut names) = (Vec::new(), Vec::new(), BTreeSet::new());
-        if file.tokens.len() > MOST {
-            faults.push(format!("tokens: {} are more than {MOST}", file.tokens.len()));
+        let (mut grants, mut errors, mut names) = (Vec::new(), Vec::new(), BTreeSet::new());
+        if file.tokens.len() > MAX_TOKENS {
+            errors.push(format!("tokens: {} entries, at most {MAX_TOKENS} are allowed", file.tokens.len()));
         }
-        for (at, entry) in file.tokens.iter().enumerate().take(MOST) {
-            match digest(&entry.sha256) {
-                Some(digest) if held.iter().any(|(other, _)| *other == digest) => {
-                    faults.push(format!("tokens[{at}].sha256: another token has it"));
+        for (index, entry) in file.tokens.iter().enumerate().take(MAX_TOKENS) {
+            match parse_digest(&entry.sha256) {
+                Some(digest) if grants.iter().any(|(other, _)| *other == digest) => {
+                    errors.push(format!("tokens[{index}].sha256: is the same as that of another token"));
                 }
                 Some(digest) => {
                     let TokenEntry { name, scopes, customers, .. } = entry.clone();
-                    held.push((digest, Grant { name, scopes, customers }));
+                    grants.push((digest, Grant { name, scopes, customers }));
                 }
-                None => faults.push(format!("tokens[{at}].sha256: is not 64 hexadecimal digits")),
+                None => errors.push(format!("tokens[{index}].sha256: is not 64 hexadecimal digits")),
             }
             if entry.name.is_empty() || !names.insert(&entry.name) {
-                faults.push(format!("tokens[{at}].name: {:?} is empty or used before", entry.name));
+                errors.push(format!(
+                    "tokens[{index}].name: {:?} is empty or used by another token",
+                    entry.name
+                ));
             }
         }
-        if faults.is_empty() { Ok(Self { held: Some(held) }) } else { Err(faults) }
+        if errors.is_empty() { Ok(Self { grants: Some(grants) }) } else { Err(errors) }
     }
 
     pub fn are_required(&self) -> bool {
-        self.held.is_some()
+        self.grants.is_some()
     }
 
-    /// The token that somebody presents. All are compared, whichever fits.
+    /// The grant of a presented token. It is compared with every digest, so that the time taken does not depend on which
+    /// one matches.
     pub fn lookup(&self, token: &str) -> Result<&Grant, AuthError> {
         let digest = Sha256::digest(token.as_bytes());
-        let held = self.held.as_deref().unwrap_or_default();
+        let grants = self.grants.as_deref().unwrap_or_default();
         let mut found = None;
-        for (at, (other, _)) in held.iter().enumerate() {
+        for (index, (other, _)) in grants.iter().enumerate() {
             if bool::from(other[..].ct_eq(&digest[..])) {
-                found = Some(at);
+                found = Some(index);
             }
         }
-        found.map(|at| &held[at].1).ok_or(AuthError::Unknown)
+        found.map(|index| &grants[index].1).ok_or(AuthError::Unknown)
     }
 
-    /// The token of a name, if it is in force.
+    /// The grant of the token with this name, if it is still valid.
     pub fn grant_named(&self, name: Option<&str>) -> Option<&Grant> {
-        let held = self.held.as_deref().unwrap_or_default();
-        held.iter().map(|(_, grant)| grant).find(|grant| Some(grant.name.as_str()) == name)
+        let grants = self.grants.as_deref().unwrap_or_default();
+        grants.iter().map(|(_, grant)| grant).find(|grant| Some(grant.name.as_str()) == name)
     }
 
-    /// Whether a session that presented the token of this name may do something now.
+    /// Checks whether a session that presented the token of this name may make a request of a scope, for a customer.
     pub fn check(
         &self,
         name: Option<&str>,
         scope: Scope,
         customer: Option<CustomerId>,
     ) -> Result<(), AuthError> {
-        let Some(held) = &self.held else { return Ok(()) };
+        let Some(grants) = &self.grants else { return Ok(()) };
         let name = name.ok_or(AuthError::NoToken)?;
-        let (_, grant) = held.iter().find(|(_, grant)| grant.name == name).ok_or(AuthError::Withdrawn)?;
+        let (_, grant) = grants.iter().find(|(_, grant)| grant.name == name).ok_or(AuthError::Withdrawn)?;
         if !grant.allows(scope) {
             return Err(AuthError::Scope);
         }
@@ -169,12 +173,12 @@
     }
 }
 
-/// What a file holds of a token.
+/// The SHA-256 digest of a token in hexadecimal, as the token file holds it.
 pub fn token_digest(token: &str) -> String {
     Sha256::digest(token.as_bytes()).iter().map(|octet| format!("{octet:02x}")).collect()
 }
 
-fn digest(text: &str) -> Option<[u8; 32]> {
+fn parse_digest(text: &str) -> Option<[u8; 32]> {
     let octets = text.as_bytes();
     let mut digest = [0; 32];
     if octets.len() != 64 {
@@ -202,7 +206,7 @@
         }
     }
 
-    fn two() -> Tokens {
+    fn two_tokens() -> Tokens {
         let apps = entry("apps", "secret-a", &[Scope::Offer], Some(&[1]));
         let staff = entry("staff", "secret-s", &[Scope::Watch, Scope::Admin], None);
         Tokens::from_file(&TokenFile { tokens: vec![apps, staff] }).unwrap()
@@ -210,7 +214,7 @@
 
     #[test]
     fn a_token_allows_its_scopes_and_customers_and_nothing_else() {
-        let tokens = two();
+        let tokens = two_tokens();
         assert_eq!(tokens.lookup("secret-a").unwrap().name, "apps");
         assert_eq!(tokens.lookup("secret-"), Err(AuthError::Unknown));
         let check = |name, scope, customer: u16| tokens.check(name, scope, Some(CustomerId(customer)));
@@ -222,27 +226,27 @@
     }
 
     #[test]
-    fn a_token_withdrawn_ends_what_its_sessions_may_do() {
-        let rest =
+    fn requests_of_a_session_whose_token_was_withdrawn_are_refused() {
+        let remaining =
             Tokens::from_file(&TokenFile { tokens: vec![entry("staff", "secret-s", &[Scope::Watch], None)] })
                 .unwrap();
-        assert_eq!(two().check(Some("apps"), Scope::Offer, None), Ok(()));
-        assert_eq!(rest.check(Some("apps"), Scope::Offer, None), Err(AuthError::Withdrawn));
+        assert_eq!(two_tokens().check(Some("apps"), Scope::Offer, None), Ok(()));
+        assert_eq!(remaining.check(Some("apps"), Scope::Offer, None), Err(AuthError::Withdrawn));
         assert_eq!(
-            rest.check(Some("staff"), Scope::Admin, None),
+            remaining.check(Some("staff"), Scope::Admin, None),
             Err(AuthError::Scope),
-            "and narrowed ones are narrowed"
+            "the scopes of the remaining token apply"
         );
         assert_eq!(Tokens::unrestricted().check(None, Scope::Admin, None), Ok(()));
     }
 
     #[test]
-    fn every_fault_of_a_file_is_found_with_its_place() {
-        let bad = TokenEntry { sha256: "zz".repeat(32), ..entry("", "x", &[], None) };
-        let twice = entry("apps", "secret-a", &[], None);
-        let file = TokenFile { tokens: vec![bad, twice.clone(), twice] };
-        let faults = Tokens::from_file(&file).unwrap_err();
-        let places: Vec<_> = faults.iter().map(|fault| fault.split(": ").next().unwrap()).collect();
-        assert_eq!(places, ["tokens[0].sha256", "tokens[0].name", "tokens[2].sha256", "tokens[2].name"]);
+    fn every_error_of_a_token_file_is_reported_with_its_position() {
+        let invalid = TokenEntry { sha256: "zz".repeat(32), ..entry("", "x", &[], None) };
+        let duplicate = entry("apps", "secret-a", &[], None);
+        let file = TokenFile { tokens: vec![invalid, duplicate.clone(), duplicate] };
+        let errors = Tokens::from_file(&file).unwrap_err();
+        let positions: Vec<_> = errors.iter().map(|error| error.split(": ").next().unwrap()).collect();
+        assert_eq!(positions, ["tokens[0].sha256", "tokens[0].name", "tokens[2].sha256", "tokens[2].name"]);
     }
 }
--- a/crates/limits/src/event_log.rs
+++ b/crates/limits/src/event_log.rs
@@ -1,8 +1,9 @@
-//! What happens to calls, told to those who watch, from where they left off.
+//! A numbered log of call events, which watching sessions read from their cursors.
 //!
-//! Events are numbered and the last ones kept. A watcher has a cursor: it is told what follows it, only of customers that its
-//! token may see, and only as much at a time as it has room for, so that one who reads slowly lags and costs nothing. One whose
-//! cursor has fallen out of what is kept is told so, with where the news begin now: a gap is said, never passed over.
+//! The last events are kept. A watcher gets the events from its cursor on, only those of customers that its token covers, and
+//! only as many at a time as it has room for, so that a slow reader falls behind and costs no memory. A cursor that is older
+//! than the oldest kept event is an error that names the oldest one, and a watcher that falls behind that far is told how many
+//! events it missed: no gap goes unreported.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,7 +12,7 @@
 
 use crate::session_limiter::SessionId;
 
-/// Whose calls a watcher may see.
+/// The customers whose calls a watcher may see.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CustomerFilter {
     All,
@@ -27,7 +28,7 @@
     }
 }
 
-/// The cursor is not one that can be followed on.
+/// The log can't be read from this cursor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CursorError {
     #[error("news before {oldest} are not kept any more")]
@@ -36,68 +37,69 @@
     Ahead { next: u64 },
 }
 
-/// What a watcher is told in one go.
+/// Events that a watcher gets at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventBatch<E> {
-    /// Events it lagged too far behind to be told, if any: it follows on from the oldest that are kept.
+    /// Events that were no longer kept when the watcher's turn came. Reading continues with the oldest kept event.
     pub missed: u64,
     pub events: Vec<(u64, E)>,
 }
 
 #[derive(Debug)]
 struct Watcher {
+    /// Number of the next event to deliver.
     next: u64,
-    sees: CustomerFilter,
+    filter: CustomerFilter,
 }
 
-/// The last events, and who watches. At most `most` events; watchers leave with their sessions.
+/// The last events, at most `max`, and the sessions that watch them.
 #[derive(Debug)]
 pub struct EventLog<E> {
-    most: usize,
-    /// The number of the first that is kept.
-    first: u64,
+    max: usize,
+    /// Number of the oldest kept event.
+    oldest: u64,
     kept: VecDeque<(CustomerId, E)>,
     watchers: BTreeMap<SessionId, Watcher>,
 }
 
 impl<E: Clone> EventLog<E> {
-    pub fn new(most: usize) -> Self {
-        Self { most: most.max(1), first: 1, kept: VecDeque::new(), watchers: BTreeMap::new() }
+    pub fn new(max: usize) -> Self {
+        Self { max: max.max(1), oldest: 1, kept: VecDeque::new(), watchers: BTreeMap::new() }
     }
 
     /// The number of the next event.
     pub fn next_number(&self) -> u64 {
-        self.first + self.kept.len() as u64
+        self.oldest + self.kept.len() as u64
     }
 
     pub fn watchers(&self) -> usize {
         self.watchers.len()
     }
 
-    /// Something happened to a call.
+    /// Appends an event of a call.
     pub fn push(&mut self, customer: CustomerId, event: E) {
-        if self.kept.len() >= self.most {
+        if self.kept.len() >= self.max {
             self.kept.pop_front();
-            self.first += 1;
+            self.oldest += 1;
         }
         self.kept.push_back((customer, event));
     }
 
-    /// A session watches from a cursor on (the next event, where none is given); returns its cursor.
+    /// Subscribes a session to the events from a cursor on; without a cursor, from the next event on. Returns the cursor.
     pub fn watch(
         &mut self,
         session: SessionId,
         cursor: Option<u64>,
-        sees: CustomerFilter,
+        filter: CustomerFilter,
     ) -> Result<u64, CursorError> {
-        let (oldest, next) = (self.first, self.next_number());
+        let (oldest, next) = (self.oldest, self.next_number());
         let cursor = match cursor {
             None => next,
             Some(cursor) if cursor < oldest => return Err(CursorError::Gap { oldest }),
             Some(cursor) if cursor > next => return Err(CursorError::Ahead { next }),
             Some(cursor) => cursor,
         };
-        self.watchers.insert(session, Watcher { next: cursor, sees });
+        self.watchers.insert(session, Watcher { next: cursor, filter });
         Ok(cursor)
     }
 
@@ -105,31 +107,31 @@
         self.watchers.remove(&session);
     }
 
-    /// Sessions that have not been told all that there is.
+    /// Sessions that have not got all events yet.
     pub fn lagging_sessions(&self) -> Vec<SessionId> {
         let next = self.next_number();
         self.watchers.iter().filter(|(_, watcher)| watcher.next < next).map(|(session, _)| *session).collect()
     }
 
-    /// What a watcher is told now, at most so many events. What it may not see is passed over without a word.
-    pub fn next_batch(&mut self, session: SessionId, room: usize) -> EventBatch<E> {
-        let (first, end) = (self.first, self.next_number());
-        let mut told = EventBatch { missed: 0, events: Vec::new() };
-        let Some(watcher) = self.watchers.get_mut(&session) else { return told };
-        if watcher.next < first {
-            told.missed = first - watcher.next;
-            watcher.next = first;
+    /// The next events of a watcher, at most `max_events`. Events that its filter excludes are skipped and not counted.
+    pub fn next_batch(&mut self, session: SessionId, max_events: usize) -> EventBatch<E> {
+        let (oldest, end) = (self.oldest, self.next_number());
+        let mut batch = EventBatch { missed: 0, events: Vec::new() };
+        let Some(watcher) = self.watchers.get_mut(&session) else { return batch };
+        if watcher.next < oldest {
+            batch.missed = oldest - watcher.next;
+            watcher.next = oldest;
         }
-        while watcher.next < end && told.events.len() < room {
-            let at = (watcher.next - first) as usize;
-            if let Some((customer, event)) = self.kept.get(at)
-                && watcher.sees.includes(*customer)
+        while watcher.next < end && batch.events.len() < max_events {
+            let index = (watcher.next - oldest) as usize;
+            if let Some((customer, event)) = self.kept.get(index)
+                && watcher.filter.includes(*customer)
             {
-                told.events.push((watcher.next, event.clone()));
+                batch.events.push((watcher.next, event.clone()));
             }
             watcher.next += 1;
         }
-        told
+        batch
     }
 }
 
@@ -137,56 +139,56 @@
 mod tests {
     use super::*;
 
-    const ONE: SessionId = SessionId(1);
+    const WATCHER: SessionId = SessionId(1);
 
-    fn news(most: usize, events: u64) -> EventLog<u64> {
-        let mut news = EventLog::new(most);
-        (1..=events).for_each(|event| news.push(CustomerId(event as u16 % 2), event));
-        news
+    fn log_of(max: usize, events: u64) -> EventLog<u64> {
+        let mut log = EventLog::new(max);
+        (1..=events).for_each(|event| log.push(CustomerId(event as u16 % 2), event));
+        log
     }
 
-    fn numbers(told: &EventBatch<u64>) -> Vec<u64> {
-        told.events.iter().map(|(number, _)| *number).collect()
+    fn numbers(batch: &EventBatch<u64>) -> Vec<u64> {
+        batch.events.iter().map(|(number, _)| *number).collect()
     }
 
     #[test]
-    fn a_watcher_follows_on_from_its_cursor_as_it_has_room() {
-        let mut news = news(100, 10);
-        assert_eq!(news.watch(ONE, Some(4), CustomerFilter::All), Ok(4));
-        assert_eq!(numbers(&news.next_batch(ONE, 3)), [4, 5, 6]);
-        assert_eq!(news.lagging_sessions(), [ONE]);
-        assert_eq!(numbers(&news.next_batch(ONE, 100)), [7, 8, 9, 10]);
+    fn a_watcher_reads_on_from_its_cursor_as_it_has_room() {
+        let mut log = log_of(100, 10);
+        assert_eq!(log.watch(WATCHER, Some(4), CustomerFilter::All), Ok(4));
+        assert_eq!(numbers(&log.next_batch(WATCHER, 3)), [4, 5, 6]);
+        assert_eq!(log.lagging_sessions(), [WATCHER]);
+        assert_eq!(numbers(&log.next_batch(WATCHER, 100)), [7, 8, 9, 10]);
         assert_eq!(
-            (news.lagging_sessions(), news.watch(SessionId(2), None, CustomerFilter::All)),
+            (log.lagging_sessions(), log.watch(SessionId(2), None, CustomerFilter::All)),
             (vec![], Ok(11))
         );
-        news.push(CustomerId(0), 11);
+        log.push(CustomerId(0), 11);
         assert_eq!(
-            (numbers(&news.next_batch(ONE, 9)), numbers(&news.next_batch(SessionId(2), 9))),
+            (numbers(&log.next_batch(WATCHER, 9)), numbers(&log.next_batch(SessionId(2), 9))),
             (vec![11], vec![11])
         );
     }
 
     #[test]
-    fn a_gap_is_said_at_the_start_and_on_the_way() {
-        let mut news = news(5, 10);
-        assert_eq!(news.watch(ONE, Some(5), CustomerFilter::All), Err(CursorError::Gap { oldest: 6 }));
-        assert_eq!(news.watch(ONE, Some(12), CustomerFilter::All), Err(CursorError::Ahead { next: 11 }));
-        assert_eq!(news.watch(ONE, Some(6), CustomerFilter::All), Ok(6));
-        (11..=13).for_each(|event| news.push(CustomerId(0), event));
-        let told = news.next_batch(ONE, 100);
-        assert_eq!((told.missed, numbers(&told)), (3, vec![9, 10, 11, 12, 13]));
+    fn a_gap_is_reported_on_subscription_and_while_reading() {
+        let mut log = log_of(5, 10);
+        assert_eq!(log.watch(WATCHER, Some(5), CustomerFilter::All), Err(CursorError::Gap { oldest: 6 }));
+        assert_eq!(log.watch(WATCHER, Some(12), CustomerFilter::All), Err(CursorError::Ahead { next: 11 }));
+        assert_eq!(log.watch(WATCHER, Some(6), CustomerFilter::All), Ok(6));
+        (11..=13).for_each(|event| log.push(CustomerId(0), event));
+        let batch = log.next_batch(WATCHER, 100);
+        assert_eq!((batch.missed, numbers(&batch)), (3, vec![9, 10, 11, 12, 13]));
     }
 
     #[test]
-    fn what_a_token_may_not_see_is_not_told_and_does_not_hold_the_rest_up() {
-        let mut news = news(100, 10);
+    fn events_outside_the_customer_filter_are_skipped_without_using_up_room() {
+        let mut log = log_of(100, 10);
         let odd = CustomerFilter::Only([CustomerId(1)].into());
-        news.watch(ONE, Some(1), odd).unwrap();
-        assert_eq!(numbers(&news.next_batch(ONE, 3)), [1, 3, 5]);
-        assert_eq!(numbers(&news.next_batch(ONE, 9)), [7, 9]);
-        assert!(news.lagging_sessions().is_empty());
-        news.remove_watcher(ONE);
-        assert_eq!((news.watchers(), news.next_batch(ONE, 9).events.len()), (0, 0));
+        log.watch(WATCHER, Some(1), odd).unwrap();
+        assert_eq!(numbers(&log.next_batch(WATCHER, 3)), [1, 3, 5]);
+        assert_eq!(numbers(&log.next_batch(WATCHER, 9)), [7, 9]);
+        assert!(log.lagging_sessions().is_empty());
+        log.remove_watcher(WATCHER);
+        assert_eq!((log.watchers(), log.next_batch(WATCHER, 9).events.len()), (0, 0));
     }
 }
--- a/crates/limits/src/token_bucket.rs
+++ b/crates/limits/src/token_bucket.rs
@@ -1,27 +1,27 @@
-//! A token bucket: so many a second on average, so many at once.
+//! A token bucket: limits an average rate and the size of a burst.
 
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     per_s: f64,
-    most: f64,
+    capacity: f64,
     tokens: f64,
-    at: Duration,
+    updated: Duration,
 }
 
 impl TokenBucket {
-    /// Full at start. A rate that is no figure above nought never fills again.
-    pub fn new(now: Duration, per_s: f64, at_once: f64) -> Self {
+    /// A full bucket. One whose rate is not a finite number above zero is never refilled.
+    pub fn new(now: Duration, per_s: f64, burst: f64) -> Self {
         let per_s = if per_s.is_finite() { per_s.max(0.0) } else { 0.0 };
-        Self { per_s, most: at_once.max(1.0), tokens: at_once.max(1.0), at: now }
+        Self { per_s, capacity: burst.max(1.0), tokens: burst.max(1.0), updated: now }
     }
 
-    /// Takes one, or says how long until there is one. A clock that steps back counts as standing still.
+    /// Takes a token, or returns the time until there is one. A clock that steps back is treated as one that stands still.
     pub fn take(&mut self, now: Duration) -> Result<(), Duration> {
-        let gone = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.tokens = (self.tokens + gone * self.per_s).min(self.most);
+        let elapsed_s = now.saturating_sub(self.updated).as_secs_f64();
+        self.updated = self.updated.max(now);
+        self.tokens = (self.tokens + elapsed_s * self.per_s).min(self.capacity);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
@@ -44,7 +44,7 @@
     }
 
     #[test]
-    fn the_told_wait_is_enough_and_no_more() {
+    fn a_token_is_available_after_the_returned_wait_and_not_before() {
         let mut bucket = TokenBucket::new(Duration::ZERO, 4.0, 1.0);
         bucket.take(Duration::ZERO).unwrap();
         let wait = bucket.take(Duration::ZERO).unwrap_err();
