--- a/crates/limits/src/call_table.rs
+++ b/crates/limits/src/call_table.rs
@@ -1,39 +1,39 @@
-//! For clients: the calls asked for on a session, and what becomes of them when its connection is cut.
+//! Client: the calls of a session, and their reconciliation with the server after the connection was lost.
 //!
-//! An offer that was sent and not answered is in doubt once the connection is gone: the server may have it, may have answered
-//! it into the void, or may never have seen it. What the server says when the session is taken up settles each: an offer under the
-//! same number is no second call there, so that what it does not have in hand can be sent again while the caller's time lasts. A
-//! session that is over took its calls with it: what was in doubt is lost, and said so, not offered anew behind its caller's
-//! back.
+//! An offer that was sent and not answered is in doubt once the connection is lost: the server may still have it, may have
+//! written its answer to the lost connection, or may never have received it. When the session is resumed, the calls that the
+//! server reports settle each one. A repeated offer under the same number sets up no second call, so offers that the
+//! server does not have can be sent again while the caller has time left. When the session has ended, its calls ended with it:
+//! offers in doubt are reported as lost and not offered again without the caller's knowledge.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// What the server has of a call when a session is taken up.
+/// State of a call at the server when a session is resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerCallState {
-    /// Its answer is due.
+    /// The server has not answered the offer yet.
     Unanswered,
     Standing,
 }
 
-/// The client's own number is in use.
+/// The client has a call with this number already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("call {0} is in hand already")]
+#[error("call {0} is in progress already")]
 pub struct CallNumberInUse(pub u64);
 
-/// What is to be done about calls, each by its number.
+/// What the client has to do about its calls, by their numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReconciledCalls {
-    /// To be sent, with the caller's time as it is now.
+    /// Offers to send, with the time that the caller has left now.
     pub to_send: Vec<u64>,
-    /// They stand: their answer was lost on the way.
+    /// Standing calls whose answer was lost with the connection.
     pub standing: Vec<u64>,
-    /// They stood, and are over.
+    /// Calls that stood and have ended.
     pub ended: Vec<u64>,
-    /// Nobody can tell what became of them, or their caller's time is up.
+    /// Calls whose result is unknown, or whose caller has no time left.
     pub lost: Vec<u64>,
 }
 
@@ -41,7 +41,7 @@
 enum Progress {
     ToSend,
     Sent,
-    /// Sent on a connection that is gone.
+    /// Sent on a connection that was lost.
     InDoubt,
     Stands,
 }
@@ -50,24 +50,25 @@
 struct Entry<O> {
     offer: O,
     progress: Progress,
-    until: Duration,
+    /// When the caller gives up.
+    deadline: Duration,
 }
 
-/// The calls of one client. Emptied as they end.
+/// The calls of one client, until they end.
 #[derive(Debug)]
 pub struct CallTable<O> {
     calls: BTreeMap<u64, Entry<O>>,
-    /// When callers' times are up; only of calls without an answer.
-    due: BTreeSet<(Duration, u64)>,
-    most: usize,
-    /// Past a caller's time the answer may still be on its way for so long.
+    /// Deadlines plus grace of the calls without an answer.
+    timeouts: BTreeSet<(Duration, u64)>,
+    max: usize,
+    /// Time after a caller's deadline in which the answer may still arrive.
     grace: Duration,
 }
 
 impl<O> CallTable<O> {
-    /// At most `most` calls at a time.
-    pub fn new(most: usize, grace: Duration) -> Self {
-        Self { calls: BTreeMap::new(), due: BTreeSet::new(), most, grace }
+    /// At most `max` calls at a time.
+    pub fn new(max: usize, grace: Duration) -> Self {
+        Self { calls: BTreeMap::new(), timeouts: BTreeSet::new(), max, grace }
     }
 
     pub fn len(&self) -> usize {
@@ -79,14 +80,14 @@
     }
 
     pub fn is_full(&self) -> bool {
-        self.calls.len() >= self.most
+        self.calls.len() >= self.max
     }
 
     pub fn contains(&self, number: u64) -> bool {
         self.calls.contains_key(&number)
     }
 
-    /// Whether it has been answered, and stands.
+    /// Whether the call was answered and stands.
     pub fn is_standing(&self, number: u64) -> bool {
         self.calls.get(&number).is_some_and(|entry| entry.progress == Progress::Stands)
     }
@@ -97,21 +98,21 @@
 
     /// Calls that have no answer yet.
     pub fn unanswered(&self) -> usize {
-        self.due.len()
+        self.timeouts.len()
     }
 
-    pub fn offer(&mut self, number: u64, offer: O, until: Duration) -> Result<(), CallNumberInUse> {
+    pub fn offer(&mut self, number: u64, offer: O, deadline: Duration) -> Result<(), CallNumberInUse> {
         if self.calls.contains_key(&number) {
             return Err(CallNumberInUse(number));
         }
-        self.calls.insert(number, Entry { offer, progress: Progress::ToSend, until });
-        self.due.insert((until + self.grace, number));
+        self.calls.insert(number, Entry { offer, progress: Progress::ToSend, deadline });
+        self.timeouts.insert((deadline + self.grace, number));
         Ok(())
     }
 
-    /// What was asked for, with the time that its caller has left.
+    /// The offer of a call, with the time that its caller has left.
     pub fn offer_and_time_left(&self, now: Duration, number: u64) -> Option<(&O, Duration)> {
-        self.calls.get(&number).map(|entry| (&entry.offer, entry.until.saturating_sub(now)))
+        self.calls.get(&number).map(|entry| (&entry.offer, entry.deadline.saturating_sub(now)))
     }
 
     pub fn mark_sent(&mut self, number: u64) {
@@ -122,11 +123,11 @@
         }
     }
 
-    /// An answer came. `false`: it is of no call that waits for one, and is passed over.
+    /// An answer arrived. `false`: no call with this number waits for one, and the answer is ignored.
     pub fn on_answer(&mut self, number: u64, stands: bool) -> bool {
-        let waits = |entry: &&mut Entry<O>| entry.progress != Progress::Stands;
-        let Some(entry) = self.calls.get_mut(&number).filter(waits) else { return false };
-        self.due.remove(&(entry.until + self.grace, number));
+        let is_unanswered = |entry: &&mut Entry<O>| entry.progress != Progress::Stands;
+        let Some(entry) = self.calls.get_mut(&number).filter(is_unanswered) else { return false };
+        self.timeouts.remove(&(entry.deadline + self.grace, number));
         entry.progress = Progress::Stands;
         if !stands {
             self.calls.remove(&number);
@@ -134,67 +135,71 @@
         true
     }
 
-    /// A call is over, or given up here. `false`: it was not known.
+    /// Removes a call that ended or that the client gave up. `false`: there is no such call.
     pub fn remove(&mut self, number: u64) -> bool {
         let Some(entry) = self.calls.remove(&number) else { return false };
-        self.due.remove(&(entry.until + self.grace, number));
+        self.timeouts.remove(&(entry.deadline + self.grace, number));
         true
     }
 
-    /// The connection is gone.
+    /// The connection was lost.
     pub fn on_disconnect(&mut self) {
         for entry in self.calls.values_mut().filter(|entry| entry.progress == Progress::Sent) {
             entry.progress = Progress::InDoubt;
         }
     }
 
-    /// The session was taken up, and the server has these calls in hand. Calls are settled once what was said meanwhile
-    /// has been heard.
-    pub fn on_resumed(&mut self, now: Duration, there: &BTreeMap<u64, ServerCallState>) -> ReconciledCalls {
-        let mut settled = ReconciledCalls::default();
+    /// The session was resumed, and the server has these calls. To be called once the messages that the server kept during
+    /// the disconnection have been processed.
+    pub fn on_resumed(
+        &mut self,
+        now: Duration,
+        at_server: &BTreeMap<u64, ServerCallState>,
+    ) -> ReconciledCalls {
+        let mut reconciled = ReconciledCalls::default();
         for (number, entry) in &mut self.calls {
-            match (entry.progress, there.get(number)) {
+            match (entry.progress, at_server.get(number)) {
                 (Progress::Stands, Some(_)) => {}
-                (Progress::Stands, None) => settled.ended.push(*number),
+                (Progress::Stands, None) => reconciled.ended.push(*number),
                 (_, Some(ServerCallState::Unanswered)) => entry.progress = Progress::Sent,
-                (_, Some(ServerCallState::Standing)) => settled.standing.push(*number),
-                (Progress::ToSend, None) if entry.until <= now => settled.lost.push(*number),
-                // With no time left it only asks for the answer that was lost: no call comes of it.
-                (_, None) => settled.to_send.push(*number),
+                (_, Some(ServerCallState::Standing)) => reconciled.standing.push(*number),
+                (Progress::ToSend, None) if entry.deadline <= now => reconciled.lost.push(*number),
+                // Also with no time left: the server then only repeats the lost answer and sets up no call.
+                (_, None) => reconciled.to_send.push(*number),
             }
         }
-        self.settle(settled)
+        self.apply(reconciled)
     }
 
-    /// The session is over, and this is another: what was sent on the old one is lost, and what stood is over.
+    /// The old session has ended and a new one is open: offers sent on the old one are lost, and its standing calls ended.
     pub fn on_new_session(&mut self, now: Duration) -> ReconciledCalls {
-        let mut settled = ReconciledCalls::default();
+        let mut reconciled = ReconciledCalls::default();
         for (number, entry) in &self.calls {
             match entry.progress {
-                Progress::Stands => settled.ended.push(*number),
-                Progress::ToSend if entry.until > now => settled.to_send.push(*number),
-                _ => settled.lost.push(*number),
+                Progress::Stands => reconciled.ended.push(*number),
+                Progress::ToSend if entry.deadline > now => reconciled.to_send.push(*number),
+                _ => reconciled.lost.push(*number),
             }
         }
-        self.settle(settled)
+        self.apply(reconciled)
     }
 
-    fn settle(&mut self, settled: ReconciledCalls) -> ReconciledCalls {
-        settled.standing.iter().for_each(|number| _ = self.on_answer(*number, true));
-        settled.ended.iter().chain(&settled.lost).for_each(|number| _ = self.remove(*number));
-        settled
+    fn apply(&mut self, reconciled: ReconciledCalls) -> ReconciledCalls {
+        reconciled.standing.iter().for_each(|number| _ = self.on_answer(*number, true));
+        reconciled.ended.iter().chain(&reconciled.lost).for_each(|number| _ = self.remove(*number));
+        reconciled
     }
 
-    /// When [`CallTable::on_timer`] is next to be called.
+    /// When [`CallTable::on_timer`] must be called next.
     pub fn next_timer(&self) -> Option<Duration> {
-        self.due.first().map(|(due, _)| *due)
+        self.timeouts.first().map(|(timeout, _)| *timeout)
     }
 
-    /// Calls whose time is up without an answer: lost.
+    /// Removes and returns the calls that got no answer in time.
     pub fn on_timer(&mut self, now: Duration) -> Vec<u64> {
         let mut lost = Vec::new();
-        while let Some((due, number)) = self.due.first().copied()
-            && due <= now
+        while let Some((timeout, number)) = self.timeouts.first().copied()
+            && timeout <= now
         {
             self.remove(number);
             lost.push(number);
@@ -211,61 +216,65 @@
         Duration::from_secs(s)
     }
 
-    /// Calls 1 to 4, waiting until 10 s: not sent, in doubt, in doubt, standing.
+    /// Calls 1 to 4, with a deadline of 10 s: not sent, in doubt, in doubt, standing.
     fn disconnected_calls() -> CallTable<&'static str> {
-        let mut book = CallTable::new(10, at(1));
+        let mut calls = CallTable::new(10, at(1));
         for (number, offer) in [(1, "new"), (2, "sent"), (3, "sent"), (4, "sent")] {
-            book.offer(number, offer, at(10)).unwrap();
+            calls.offer(number, offer, at(10)).unwrap();
         }
-        (2..=4).for_each(|number| book.mark_sent(number));
-        assert!(book.on_answer(4, true));
-        book.on_disconnect();
-        book
+        (2..=4).for_each(|number| calls.mark_sent(number));
+        assert!(calls.on_answer(4, true));
+        calls.on_disconnect();
+        calls
     }
 
     #[test]
     fn an_answer_counts_once() {
-        let mut book = CallTable::new(2, at(1));
-        book.offer(1, "", at(10)).unwrap();
-        assert_eq!(book.offer(1, "", at(10)), Err(CallNumberInUse(1)));
+        let mut calls = CallTable::new(2, at(1));
+        calls.offer(1, "", at(10)).unwrap();
+        assert_eq!(calls.offer(1, "", at(10)), Err(CallNumberInUse(1)));
         assert_eq!(
-            (book.on_answer(1, true), book.on_answer(1, true), book.on_answer(2, true)),
+            (calls.on_answer(1, true), calls.on_answer(1, true), calls.on_answer(2, true)),
             (true, false, false)
         );
-        assert_eq!((book.unanswered(), book.len(), book.remove(1), book.remove(1)), (0, 1, true, false));
-        book.offer(1, "", at(10)).unwrap();
-        assert_eq!((book.on_answer(1, false), book.len(), book.is_full()), (true, 0, false));
+        assert_eq!((calls.unanswered(), calls.len(), calls.remove(1), calls.remove(1)), (0, 1, true, false));
+        calls.offer(1, "", at(10)).unwrap();
+        assert_eq!((calls.on_answer(1, false), calls.len(), calls.is_full()), (true, 0, false));
     }
 
     #[test]
-    fn a_session_taken_up_settles_what_was_in_doubt() {
-        let mut book = disconnected_calls();
-        let there = [(2, ServerCallState::Unanswered), (3, ServerCallState::Standing)].into();
-        let settled = book.on_resumed(at(2), &there);
+    fn resuming_a_session_settles_the_offers_in_doubt() {
+        let mut calls = disconnected_calls();
+        let at_server = [(2, ServerCallState::Unanswered), (3, ServerCallState::Standing)].into();
+        let reconciled = calls.on_resumed(at(2), &at_server);
         assert_eq!(
-            settled,
+            reconciled,
             ReconciledCalls { to_send: vec![1], standing: vec![3], ended: vec![4], lost: vec![] }
         );
-        // What is still waited for is lost only when its time is up.
-        assert_eq!((book.next_timer(), book.on_timer(at(10))), (Some(at(11)), vec![]));
-        assert_eq!((book.on_timer(at(11)), book.len()), (vec![1, 2], 1));
+        // A call that still waits for its answer is lost only when its grace has passed.
+        assert_eq!((calls.next_timer(), calls.on_timer(at(10))), (Some(at(11)), vec![]));
+        assert_eq!((calls.on_timer(at(11)), calls.len()), (vec![1, 2], 1));
     }
 
     #[test]
-    fn what_the_server_does_not_have_is_sent_again() {
+    fn offers_that_the_server_does_not_have_are_sent_again() {
         assert_eq!(disconnected_calls().on_resumed(at(2), &BTreeMap::new()).to_send, [1, 2, 3]);
         let late = disconnected_calls().on_resumed(at(10), &BTreeMap::new());
-        assert_eq!((late.to_send, late.lost), (vec![2, 3], vec![1]), "what was sent may have been answered");
+        assert_eq!(
+            (late.to_send, late.lost),
+            (vec![2, 3], vec![1]),
+            "an offer that was sent may have been answered"
+        );
     }
 
     #[test]
-    fn a_session_that_is_over_took_its_calls_with_it() {
-        let mut book = disconnected_calls();
-        let settled = book.on_new_session(at(2));
+    fn the_calls_of_an_ended_session_are_lost_or_ended() {
+        let mut calls = disconnected_calls();
+        let reconciled = calls.on_new_session(at(2));
         assert_eq!(
-            settled,
+            reconciled,
             ReconciledCalls { to_send: vec![1], standing: vec![], ended: vec![4], lost: vec![2, 3] }
         );
-        assert_eq!((book.len(), book.unanswered()), (1, 1));
+        assert_eq!((calls.len(), calls.unanswered()), (1, 1));
     }
 }
--- a/crates/limits/src/retry.rs
+++ b/crates/limits/src/retry.rs
@@ -1,20 +1,21 @@
-//! For clients: when one that lost its connection, or was turned away, comes back, and when a refused call is offered again.
+//! Client: when to reconnect after a lost or rejected connection, and when to offer a refused call again.
 //!
-//! The same that the exchanges hold to among themselves: a wait that was told is kept, what is left to choose is jittered and
-//! grows with each failure, and repeated attempts are paid for from a capped balance that first attempts earn. Many clients
-//! that lost the same controller do not return in one wave, and do not press it harder the less it can do.
+//! The same rules as among the exchanges: a wait that the server asked for is kept, the client's own back-off is jittered and
+//! grows with each failure, and retries are paid for from a capped credit that first attempts earn. Thus many clients that lost
+//! the same controller do not return in one wave, and do not load a controller more the less capacity it has.
 
 use std::time::Duration;
 
 use mintstall::random::MwcRng;
 
-/// A connection that is dialled anew.
+/// Back-off of connection attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReconnectPolicy {
-    /// The wait after the first failure, doubled with each up to the last; each is drawn from the upper half of it.
+    /// Delay after the first failure. It doubles with each further failure up to `max_delay`; the delay used is drawn from the
+    /// upper half.
     pub initial_delay: Duration,
     pub max_delay: Duration,
-    /// A connection that held for so long was a success: failures before it are forgotten.
+    /// A connection that was open for this long resets the count of failures.
     pub stable_after: Duration,
 }
 
@@ -30,58 +31,65 @@
 
 #[derive(Debug)]
 pub struct ReconnectBackoff {
-    plan: ReconnectPolicy,
-    chance: MwcRng,
+    policy: ReconnectPolicy,
+    rng: MwcRng,
     failures: u32,
-    opened: Option<Duration>,
-    /// When what was open last was lost.
-    lost: Option<Duration>,
+    opened_at: Option<Duration>,
+    /// When the last open connection was lost; without one, when the first attempt failed.
+    lost_at: Option<Duration>,
 }
 
 impl ReconnectBackoff {
-    pub fn new(plan: ReconnectPolicy, seed: u64) -> Self {
-        Self { plan, chance: MwcRng::new(seed), failures: 0, opened: None, lost: None }
+    pub fn new(policy: ReconnectPolicy, seed: u64) -> Self {
+        Self { policy, rng: MwcRng::new(seed), failures: 0, opened_at: None, lost_at: None }
     }
 
     /// The connection is open.
     pub fn on_open(&mut self, now: Duration) {
-        self.opened = Some(now);
-        self.lost = None;
+        self.opened_at = Some(now);
+        self.lost_at = None;
     }
 
-    /// It is lost, or was not to be had; `told`: the wait that the server asked for; `kept`: how long the server keeps the
-    /// session that it carried. Returns when to dial.
-    pub fn on_failure(&mut self, now: Duration, told: Option<Duration>, kept: Duration) -> Duration {
-        let lost = *self.lost.get_or_insert(now);
-        if self.opened.take().is_some_and(|opened| now.saturating_sub(opened) >= self.plan.stable_after) {
+    /// The connection was lost, or the attempt failed. `retry_after`: the wait that the server asked for. `session_kept`: how
+    /// long the server keeps the session of the connection. Returns when to connect.
+    pub fn on_failure(
+        &mut self,
+        now: Duration,
+        retry_after: Option<Duration>,
+        session_kept: Duration,
+    ) -> Duration {
+        let lost_at = *self.lost_at.get_or_insert(now);
+        if self.opened_at.take().is_some_and(|opened| now.saturating_sub(opened) >= self.policy.stable_after)
+        {
             self.failures = 0;
         }
-        let grown =
-            self.plan.initial_delay.saturating_mul(1 << self.failures.min(16)).min(self.plan.max_delay);
+        let delay =
+            self.policy.initial_delay.saturating_mul(1 << self.failures.min(16)).min(self.policy.max_delay);
         self.failures = self.failures.saturating_add(1);
-        // Guards against coming back to a session that is over: while it is kept there are some tries to take it up.
-        let grown = if now < lost + kept { grown.min(kept / 4) } else { grown };
-        let drawn = grown.mul_f64(0.5 + 0.5 * self.chance.next_f64());
-        // All that were told the same wait would return together: they spread behind it.
-        now + told.map_or(drawn, |told| told + drawn)
+        // Several attempts fit into the time that the session is kept, so that it can be resumed before it ends.
+        let delay = if now < lost_at + session_kept { delay.min(session_kept / 4) } else { delay };
+        let jittered = delay.mul_f64(0.5 + 0.5 * self.rng.next_f64());
+        // Clients that were asked for the same wait would return together, so the jittered delay is added to it.
+        now + retry_after.map_or(jittered, |wait| wait + jittered)
     }
 }
 
-/// What a client may offer again before any first offer has credit_per_offer it. The controller starts with as much and earns as much,
-/// one in ten: two such balances one behind the other make 1.21 tries of a call, and no more however many fail.
-const SAVED_AT_START: f64 = 2.0;
+/// Repeated offers that a client may make before first offers have earned any credit. The controller starts with the same credit
+/// and earns at the same rate, one in ten. Two such budgets in series allow 1.21 attempts per call, however many fail.
+const INITIAL_CREDIT: f64 = 2.0;
 
-/// Calls that are offered again.
+/// Limits on offering a refused or failed call again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RedialPolicy {
-    /// Offers of one call, the first among them.
+    /// Offers of one call, including the first.
     pub max_offers: u8,
-    /// The wait before the second, doubled with each further one.
+    /// Delay before the second offer. It doubles with each further offer.
     pub initial_delay: Duration,
-    /// What each first offer earns towards a second, and how much may be saved up.
+    /// Credit that each first offer earns; a repeated offer costs 1.
     pub credit_per_offer: f64,
+    /// Credit that may be saved up.
     pub max_credit: f64,
-    /// A call that could not stand in less is not offered again.
+    /// A call is not offered again if its caller would have less time left than this.
     pub min_time_left: Duration,
 }
 
@@ -100,54 +108,55 @@
 /// Why a call is not offered again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RedialDenied {
-    #[error("it was offered {0} times")]
+    #[error("the call was offered {0} times already")]
     TooManyOffers(u8),
-    #[error("its caller's time would be up")]
+    #[error("the caller would give up before the next offer was answered")]
     TooLate,
-    #[error("too much was offered again lately")]
+    #[error("no retry credit is left: too many calls were offered again recently")]
     NoCredit,
 }
 
 #[derive(Debug)]
 pub struct RedialBudget {
-    plan: RedialPolicy,
-    chance: MwcRng,
-    saved: f64,
+    policy: RedialPolicy,
+    rng: MwcRng,
+    credit: f64,
 }
 
 impl RedialBudget {
-    pub fn new(plan: RedialPolicy, seed: u64) -> Self {
-        Self { plan, chance: MwcRng::new(seed), saved: plan.max_credit.min(SAVED_AT_START) }
+    pub fn new(policy: RedialPolicy, seed: u64) -> Self {
+        Self { policy, rng: MwcRng::new(seed), credit: policy.max_credit.min(INITIAL_CREDIT) }
     }
 
     /// A call is offered for the first time.
     pub fn on_first_offer(&mut self) {
-        self.saved = (self.saved + self.plan.credit_per_offer).min(self.plan.max_credit);
+        self.credit = (self.credit + self.policy.credit_per_offer).min(self.policy.max_credit);
     }
 
-    /// A call was refused (with a wait, where one was told) or failed, after so many offers; its caller waits until
-    /// `until`. Returns when to offer it again; its credit is spent.
+    /// A call was refused or failed after `offers` offers, and its caller gives up at `deadline`. `retry_after`: the wait that
+    /// the server asked for. Returns when to offer the call again, and takes the credit for it.
     pub fn next_offer_at(
         &mut self,
         now: Duration,
-        until: Duration,
+        deadline: Duration,
         offers: u8,
-        told: Option<Duration>,
+        retry_after: Option<Duration>,
     ) -> Result<Duration, RedialDenied> {
-        if offers >= self.plan.max_offers {
+        if offers >= self.policy.max_offers {
             return Err(RedialDenied::TooManyOffers(offers));
         }
-        let grown = self.plan.initial_delay.saturating_mul(1 << u32::from(offers.saturating_sub(1)).min(16));
-        let drawn = grown.mul_f64(0.5 + 0.5 * self.chance.next_f64());
-        // All callers are told alike: they spread behind what they were told.
-        let at = now + told.map_or(drawn, |told| told + drawn);
-        if at + self.plan.min_time_left > until {
+        let delay =
+            self.policy.initial_delay.saturating_mul(1 << u32::from(offers.saturating_sub(1)).min(16));
+        let jittered = delay.mul_f64(0.5 + 0.5 * self.rng.next_f64());
+        // The server asks all callers for similar waits, so the jittered delay is added.
+        let at = now + retry_after.map_or(jittered, |wait| wait + jittered);
+        if at + self.policy.min_time_left > deadline {
             return Err(RedialDenied::TooLate);
         }
-        if self.saved < 1.0 {
+        if self.credit < 1.0 {
             return Err(RedialDenied::NoCredit);
         }
-        self.saved -= 1.0;
+        self.credit -= 1.0;
         Ok(at)
     }
 }
@@ -163,40 +172,43 @@
     }
 
     #[test]
-    fn a_session_that_is_kept_is_come_back_for_in_time_however_often_it_was_cut() {
-        let mut back = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
-        (0..10).for_each(|_| _ = back.on_failure(ms(0), None, NONE));
-        back.on_open(ms(100));
-        let (mut now, mut tries) = (ms(200), 0);
+    fn several_reconnect_attempts_fit_into_the_time_a_session_is_kept_after_many_failures() {
+        let mut backoff = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
+        (0..10).for_each(|_| _ = backoff.on_failure(ms(0), None, NONE));
+        backoff.on_open(ms(100));
+        let (mut now, mut attempts) = (ms(200), 0);
         while now < ms(3200) {
-            now = back.on_failure(now, None, ms(3000));
-            tries += 1;
+            now = backoff.on_failure(now, None, ms(3000));
+            attempts += 1;
         }
-        assert!(tries >= 4, "{tries}");
-        assert!(back.on_failure(now, None, ms(3000)) - now >= ms(5000), "it is over");
+        assert!(attempts >= 4, "{attempts}");
+        assert!(backoff.on_failure(now, None, ms(3000)) - now >= ms(5000), "the session has ended");
     }
 
     #[test]
-    fn waits_grow_to_the_last_and_a_told_wait_is_kept() {
-        let mut back = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
-        let waits: Vec<_> = (0..12).map(|_| back.on_failure(ms(0), None, NONE)).collect();
-        for (no, wait) in waits.iter().enumerate() {
-            let whole = ms(100 * (1 << no.min(20))).min(ms(10_000));
-            assert!(*wait >= whole / 2 && *wait <= whole, "{no}: {wait:?}");
+    fn delays_grow_to_the_maximum_and_the_wait_of_the_server_is_kept() {
+        let mut backoff = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
+        let delays: Vec<_> = (0..12).map(|_| backoff.on_failure(ms(0), None, NONE)).collect();
+        for (failures, delay) in delays.iter().enumerate() {
+            let whole = ms(100 * (1 << failures.min(20))).min(ms(10_000));
+            assert!(*delay >= whole / 2 && *delay <= whole, "{failures}: {delay:?}");
         }
-        let mut back = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
-        let told = back.on_failure(ms(0), Some(ms(3000)), NONE);
-        assert!(told >= ms(3050) && told <= ms(3100), "{told:?}");
+        let mut backoff = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
+        let retry_at = backoff.on_failure(ms(0), Some(ms(3000)), NONE);
+        assert!(retry_at >= ms(3050) && retry_at <= ms(3100), "{retry_at:?}");
     }
 
     #[test]
-    fn only_a_connection_that_held_makes_failures_forgotten() {
-        let mut back = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
-        (0..8).for_each(|_| _ = back.on_failure(ms(0), None, NONE));
-        back.on_open(ms(0));
-        assert!(back.on_failure(ms(500), None, NONE) - ms(500) >= ms(5000), "it flaps");
-        back.on_open(ms(0));
-        assert!(back.on_failure(ms(20_000), None, NONE) - ms(20_000) <= ms(100));
+    fn only_a_connection_that_was_stable_resets_the_failures() {
+        let mut backoff = ReconnectBackoff::new(ReconnectPolicy::default(), 7);
+        (0..8).for_each(|_| _ = backoff.on_failure(ms(0), None, NONE));
+        backoff.on_open(ms(0));
+        assert!(
+            backoff.on_failure(ms(500), None, NONE) - ms(500) >= ms(5000),
+            "a short connection does not reset the failures"
+        );
+        backoff.on_open(ms(0));
+        assert!(backoff.on_failure(ms(20_000), None, NONE) - ms(20_000) <= ms(100));
     }
 
     #[test]
@@ -212,7 +224,7 @@
     }
 
     #[test]
-    fn a_call_is_offered_again_within_its_time_and_number_and_after_the_told_wait() {
+    fn a_call_is_offered_again_within_its_deadline_and_count_and_after_the_wait_of_the_server() {
         let mut redial = RedialBudget::new(RedialPolicy::default(), 1);
         let at = redial.next_offer_at(ms(0), ms(3000), 1, Some(ms(900))).unwrap();
         assert!(at >= ms(900 + 125) && at <= ms(900 + 250), "{at:?}");
@@ -222,9 +234,9 @@
     }
 
     #[test]
-    fn what_is_offered_again_is_paid_for_by_first_offers() {
-        let plan = RedialPolicy { max_credit: 2.0, credit_per_offer: 0.25, ..RedialPolicy::default() };
-        let mut redial = RedialBudget::new(plan, 1);
+    fn repeated_offers_are_paid_for_by_first_offers() {
+        let policy = RedialPolicy { max_credit: 2.0, credit_per_offer: 0.25, ..RedialPolicy::default() };
+        let mut redial = RedialBudget::new(policy, 1);
         let mut again = || redial.next_offer_at(ms(0), ms(9000), 1, None).is_ok();
         assert_eq!([again(), again(), again()], [true, true, false]);
         (0..4).for_each(|_| redial.on_first_offer());
@@ -232,6 +244,6 @@
         assert_eq!(redial.next_offer_at(ms(0), ms(9000), 1, None), Err(RedialDenied::NoCredit));
         (0..100).for_each(|_| redial.on_first_offer());
         let again = (0..5).filter(|_| redial.next_offer_at(ms(0), ms(9000), 1, None).is_ok()).count();
-        assert_eq!(again, 2, "no more than may be saved");
+        assert_eq!(again, 2, "no more than the maximum credit");
     }
 }
