--- a/crates/limits/src/resumable_sessions.rs
+++ b/crates/limits/src/resumable_sessions.rs
@@ -1,8 +1,8 @@
-//! Sessions that may be taken up again after their connection was cut: which, by whom, until when.
+//! Sessions that can be resumed after their connection was lost.
 //!
-//! A session that asked for it is known by a key that only its client has. When its connection is cut it is kept for a
-//! while with all it has in hand; whoever comes with the key, and with the token it was opened with, takes it up. One
-//! that nobody comes back for is over, and what it has in hand is hung up.
+//! A client that asks for it gets a key to its session that nobody else has. When the connection is lost, the session and its
+//! calls are kept for a limited time. A client that presents the key, and the token with which the session was opened, resumes
+//! it. A session that is not resumed in time ends, and its calls are hung up.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,23 +11,23 @@
 
 use crate::session_limiter::SessionId;
 
-/// Drawn at random by whoever opens the session; 128 bits, so that none is guessed.
+/// The key to a session: 128 random bits, so that it can't be guessed. Drawn by the caller of [`ResumableSessions::register`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionKey(pub u128);
 
-/// Never shown whole: whoever reads a log must not take up a session.
+/// Shows only the first 16 bits: who reads a log must not be able to resume a session.
 impl std::fmt::Debug for SessionKey {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "SessionKey({:04x}..)", self.0 >> 112)
     }
 }
 
-/// What becomes of a session whose connection is gone.
+/// What happens to a session whose connection was lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DisconnectOutcome {
-    /// The session is over at once.
+    /// The session ends at once.
     Ended,
-    /// It is kept until then; these others had to go for it, the oldest first.
+    /// The session is kept until then. The evicted sessions, oldest first, exceeded the limit and have ended.
     Kept { until: Duration, evicted: Vec<SessionId> },
 }
 
@@ -40,9 +40,9 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct Entry {
     key: SessionKey,
-    /// The token it was opened with.
+    /// Name of the token with which the session was opened.
     owner: Option<String>,
     state: State,
 }
@@ -50,66 +50,76 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Open,
-    Cut { until: Duration },
+    /// Without a connection, and kept until then.
+    Disconnected {
+        until: Duration,
+    },
 }
 
-/// Sessions that may be resumed. Emptied as they end; those that are cut by time too.
+/// Sessions that can be resumed, until they end; disconnected ones until their time is up.
 #[derive(Debug)]
 pub struct ResumableSessions {
-    span: Duration,
-    most_cut: usize,
-    known: BTreeMap<SessionId, Known>,
+    retention: Duration,
+    max_disconnected: usize,
+    entries: BTreeMap<SessionId, Entry>,
     keys: BTreeMap<SessionKey, SessionId>,
-    /// Cut sessions, oldest first; may name some that were resumed or are over.
-    cut: VecDeque<(Duration, SessionId)>,
-    cut_count: usize,
+    /// Disconnected sessions, oldest first. Entries of sessions that were resumed or have ended stay until their turn.
+    disconnected: VecDeque<(Duration, SessionId)>,
+    disconnected_count: usize,
 }
 
 impl ResumableSessions {
-    /// Kept for `span` after a cut, at most `most_cut` at a time.
-    pub fn new(span: Duration, most_cut: usize) -> Self {
-        let (known, keys) = (BTreeMap::new(), BTreeMap::new());
-        Self { span, most_cut, known, keys, cut: VecDeque::new(), cut_count: 0 }
+    /// Disconnected sessions are kept for `retention`, at most `max_disconnected` at a time.
+    pub fn new(retention: Duration, max_disconnected: usize) -> Self {
+        let (entries, keys) = (BTreeMap::new(), BTreeMap::new());
+        Self {
+            retention,
+            max_disconnected,
+            entries,
+            keys,
+            disconnected: VecDeque::new(),
+            disconnected_count: 0,
+        }
     }
 
     pub fn retention(&self) -> Duration {
-        self.span
+        self.retention
     }
 
-    /// Sessions kept without a connection.
+    /// How many sessions are kept without a connection.
     pub fn kept_count(&self) -> usize {
-        self.cut_count
+        self.disconnected_count
     }
 
-    /// A session asks to be resumable, under a key that was just drawn.
+    /// Makes a session resumable under a new key.
     pub fn register(&mut self, session: SessionId, key: SessionKey, owner: Option<String>) {
         self.remove(session);
         self.keys.insert(key, session);
-        self.known.insert(session, Known { key, owner, state: State::Open });
+        self.entries.insert(session, Entry { key, owner, state: State::Open });
     }
 
-    /// Its connection is gone.
+    /// The connection of a session was lost.
     pub fn on_disconnect(&mut self, now: Duration, session: SessionId) -> DisconnectOutcome {
-        let until = now + self.span;
-        let Some(known) = self.known.get_mut(&session).filter(|known| known.state == State::Open) else {
+        let until = now + self.retention;
+        let Some(entry) = self.entries.get_mut(&session).filter(|entry| entry.state == State::Open) else {
             return DisconnectOutcome::Ended;
         };
-        if self.most_cut == 0 {
+        if self.max_disconnected == 0 {
             self.remove(session);
             return DisconnectOutcome::Ended;
         }
-        known.state = State::Cut { until };
-        self.cut.push_back((until, session));
-        self.cut_count += 1;
+        entry.state = State::Disconnected { until };
+        self.disconnected.push_back((until, session));
+        self.disconnected_count += 1;
         let mut evicted = Vec::new();
-        while self.cut_count > self.most_cut {
-            evicted.extend(self.oldest());
+        while self.disconnected_count > self.max_disconnected {
+            evicted.extend(self.remove_oldest());
         }
         DisconnectOutcome::Kept { until, evicted }
     }
 
-    /// Somebody comes back for a session. Its connection may still be open for all that is known here: whoever lost it
-    /// knows first, and takes the session away from it.
+    /// Resumes a session by its key. The session may still have a connection that looks open here: the client notices the loss
+    /// first, and the session moves to its new connection.
     pub fn resume(
         &mut self,
         now: Duration,
@@ -117,53 +127,56 @@
         owner: Option<&str>,
     ) -> Result<SessionId, ResumeError> {
         let session = *self.keys.get(&key).ok_or(ResumeError::Unknown)?;
-        let known = self.known.get_mut(&session).ok_or(ResumeError::Unknown)?;
-        if known.owner.as_deref() != owner {
+        let entry = self.entries.get_mut(&session).ok_or(ResumeError::Unknown)?;
+        if entry.owner.as_deref() != owner {
             return Err(ResumeError::WrongToken);
         }
-        match known.state {
+        match entry.state {
             State::Open => Ok(session),
-            State::Cut { until } if until <= now => Err(ResumeError::Unknown),
-            State::Cut { .. } => {
-                known.state = State::Open;
-                self.cut_count -= 1;
+            State::Disconnected { until } if until <= now => Err(ResumeError::Unknown),
+            State::Disconnected { .. } => {
+                entry.state = State::Open;
+                self.disconnected_count -= 1;
                 Ok(session)
             }
         }
     }
 
-    /// The session is over.
+    /// Removes a session that has ended.
     pub fn remove(&mut self, session: SessionId) {
-        if let Some(known) = self.known.remove(&session) {
-            self.keys.remove(&known.key);
-            self.cut_count -= usize::from(known.state != State::Open);
+        if let Some(entry) = self.entries.remove(&session) {
+            self.keys.remove(&entry.key);
+            self.disconnected_count -= usize::from(entry.state != State::Open);
         }
     }
 
-    /// When [`ResumableSessions::take_expired`] is next to be asked.
+    /// When [`ResumableSessions::take_expired`] must be called next.
     pub fn next_timer(&self) -> Option<Duration> {
-        let live = |(until, session): &&(Duration, SessionId)| self.is_cut(*session, *until);
-        self.cut.iter().find(live).map(|(until, _)| *until)
+        let is_current = |(until, session): &&(Duration, SessionId)| self.is_disconnected(*session, *until);
+        self.disconnected.iter().find(is_current).map(|(until, _)| *until)
     }
 
-    /// Sessions that nobody came back for; they are over.
+    /// Removes and returns the sessions that were not resumed in time.
     pub fn take_expired(&mut self, now: Duration) -> Vec<SessionId> {
-        let mut over = Vec::new();
-        while self.cut.front().is_some_and(|(until, session)| *until <= now || !self.is_cut(*session, *until))
+        let mut expired = Vec::new();
+        while self
+            .disconnected
+            .front()
+            .is_some_and(|(until, session)| *until <= now || !self.is_disconnected(*session, *until))
         {
-            over.extend(self.oldest());
+            expired.extend(self.remove_oldest());
         }
-        over
+        expired
     }
 
-    fn is_cut(&self, session: SessionId, until: Duration) -> bool {
-        self.known.get(&session).is_some_and(|known| known.state == State::Cut { until })
+    fn is_disconnected(&self, session: SessionId, until: Duration) -> bool {
+        self.entries.get(&session).is_some_and(|entry| entry.state == State::Disconnected { until })
     }
 
-    /// Takes the oldest cut off; none where that was resumed or is over already.
-    fn oldest(&mut self) -> Option<SessionId> {
-        let (until, session) = self.cut.pop_front()?;
-        self.is_cut(session, until).then(|| self.remove(session)).map(|()| session)
+    /// Removes the oldest entry of `disconnected`, and its session unless that was resumed or has ended.
+    fn remove_oldest(&mut self) -> Option<SessionId> {
+        let (until, session) = self.disconnected.pop_front()?;
+        self.is_disconnected(session, until).then(|| self.remove(session)).map(|()| session)
     }
 }
 
@@ -171,25 +184,25 @@
 mod tests {
     use super::*;
 
-    const SPAN: Duration = Duration::from_secs(30);
+    const RETENTION: Duration = Duration::from_secs(30);
 
     fn at(s: u64) -> Duration {
         Duration::from_secs(s)
     }
 
-    fn one() -> ResumableSessions {
-        let mut sessions = ResumableSessions::new(SPAN, 2);
+    fn one_session() -> ResumableSessions {
+        let mut sessions = ResumableSessions::new(RETENTION, 2);
         sessions.register(SessionId(1), SessionKey(11), Some("apps".into()));
         sessions
     }
 
     #[test]
-    fn a_cut_session_is_taken_up_again_by_its_key_and_token_only() {
-        let mut sessions = one();
+    fn a_disconnected_session_is_resumed_only_by_its_key_and_token() {
+        let mut sessions = one_session();
         assert_eq!(
             sessions.resume(at(1), SessionKey(11), Some("apps")),
             Ok(SessionId(1)),
-            "open still, for all that is known here"
+            "the loss of its connection is not known here yet"
         );
         assert_eq!(
             sessions.on_disconnect(at(1), SessionId(1)),
@@ -203,8 +216,8 @@
     }
 
     #[test]
-    fn one_that_nobody_comes_back_for_is_over_once() {
-        let mut sessions = one();
+    fn a_session_that_is_not_resumed_expires_once() {
+        let mut sessions = one_session();
         sessions.on_disconnect(at(1), SessionId(1));
         assert_eq!(sessions.next_timer(), Some(at(31)));
         assert_eq!(sessions.take_expired(at(30)), []);
@@ -215,14 +228,14 @@
         );
         assert_eq!(sessions.take_expired(at(31)), [SessionId(1)]);
         assert_eq!(
-            (sessions.take_expired(at(32)), sessions.known.len(), sessions.keys.len()),
+            (sessions.take_expired(at(32)), sessions.entries.len(), sessions.keys.len()),
             (vec![], 0, 0)
         );
     }
 
     #[test]
-    fn cut_again_after_resuming_counts_from_the_second_cut() {
-        let mut sessions = one();
+    fn a_resumed_session_that_is_disconnected_again_is_kept_from_then_on() {
+        let mut sessions = one_session();
         sessions.on_disconnect(at(1), SessionId(1));
         sessions.resume(at(20), SessionKey(11), Some("apps")).unwrap();
         sessions.on_disconnect(at(25), SessionId(1));
@@ -230,9 +243,9 @@
     }
 
     #[test]
-    fn too_many_cut_sessions_displace_the_oldest() {
-        let mut sessions = ResumableSessions::new(SPAN, 2);
-        (1..=4).for_each(|no| sessions.register(SessionId(no), SessionKey(no.into()), None));
+    fn the_oldest_disconnected_session_is_evicted_when_there_are_too_many() {
+        let mut sessions = ResumableSessions::new(RETENTION, 2);
+        (1..=4).for_each(|id| sessions.register(SessionId(id), SessionKey(id.into()), None));
         sessions.on_disconnect(at(1), SessionId(1));
         sessions.on_disconnect(at(2), SessionId(2));
         assert_eq!(
@@ -245,11 +258,7 @@
             DisconnectOutcome::Kept { until: at(34), evicted: vec![] }
         );
         assert_eq!(sessions.kept_count(), 2);
-        assert_eq!(
-            sessions.on_disconnect(at(5), SessionId(9)),
-            DisconnectOutcome::Ended,
-            "never asked to be kept"
-        );
+        assert_eq!(sessions.on_disconnect(at(5), SessionId(9)), DisconnectOutcome::Ended, "never registered");
         assert_eq!(format!("{:?}", SessionKey(u128::MAX)), "SessionKey(ffff..)");
     }
 }
--- a/crates/limits/src/session_limiter.rs
+++ b/crates/limits/src/session_limiter.rs
@@ -1,4 +1,4 @@
-//! Sessions: how many there may be, how fast they open, and what each and each customer may have in hand.
+//! Limits on sessions: how many are open, how fast they open, and the calls and request rates of each session and customer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,34 +9,36 @@
 
 use crate::token_bucket::TokenBucket;
 
-/// One connection on which calls are asked for.
+/// Identifies a session, in which a client offers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// What may be in hand, and how fast it may come.
+/// Limits on sessions, calls and rates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     pub max_sessions: usize,
-    /// Sessions opened a second, and at once: an accept storm is paced, those already open keep their service.
+    /// Rate at which sessions may open. Many clients that connect at once are accepted at this rate, so that open sessions
+    /// keep their service.
     pub opens_per_s: f64,
     pub open_burst: f64,
     pub max_calls_per_session: usize,
     pub max_calls_per_customer: usize,
-    /// Offers of one session a second, and at once.
+    /// Offers of one session.
     pub offers_per_s: f64,
     pub offer_burst: f64,
-    /// Requests of one session of any kind, a second and at once.
+    /// Requests of one session, of any kind.
     pub requests_per_s: f64,
     pub request_burst: f64,
-    /// Offers that may be with the decisions, not answered yet; what comes beyond takes turns.
+    /// Offers that the controller may have without an answer. Further offers are queued.
     pub max_unanswered: usize,
-    /// Offers that may wait for their turn, and for which share of their callers' time.
+    /// Offers that may be queued.
     pub max_waiting: usize,
+    /// Share of a caller's remaining time that its offer may be queued.
     pub max_wait_share: f64,
 }
 
 impl Default for Limits {
-    /// For a release night on one controller: ten thousand sessions, of which a client that behaves notices nothing.
+    /// Sized for a release night on one controller with ten thousand sessions. A client that behaves well does not reach them.
     fn default() -> Self {
         Self {
             max_sessions: 10_000,
@@ -55,7 +57,8 @@
     }
 }
 
-/// Why something was not let in. `retry_after`: when it may be, jittered so that those refused do not return together.
+/// Why a request or an offer was refused. `retry_after`: the time after which it may be repeated, jittered so that refused
+/// clients do not return together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AdmissionError {
     #[error("no such session")]
@@ -70,12 +73,13 @@
     Overloaded { retry_after: Duration },
 }
 
-/// What becomes of a connection that wants to be a session.
+/// Result of opening a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenOutcome {
     Open(SessionId),
-    /// Too many open at once: to be looked at again after this.
+    /// Sessions are opening too fast; to be tried again after this wait.
     RateLimited(Duration),
+    /// The maximum number of sessions is open.
     Full,
 }
 
@@ -83,33 +87,33 @@
 struct Session {
     offers: TokenBucket,
     requests: TokenBucket,
-    /// Calls in hand by customer. Emptied as calls end.
+    /// Calls in progress by customer; without customers that have none.
     calls: BTreeMap<CustomerId, usize>,
 }
 
-/// Who is there and what they have in hand.
+/// The open sessions and the calls in progress of each session and customer.
 #[derive(Debug)]
 pub struct SessionLimiter {
     limits: Limits,
-    chance: MwcRng,
+    rng: MwcRng,
     opens: TokenBucket,
-    next: u64,
-    /// Emptied as sessions close; at most `limits.max_sessions`.
+    last_id: u64,
+    /// At most `limits.max_sessions`.
     sessions: BTreeMap<SessionId, Session>,
-    /// Calls in hand. Emptied as calls end.
+    /// Calls in progress by customer; without customers that have none.
     customers: BTreeMap<CustomerId, usize>,
 }
 
-/// Those told to come back do so within this share more than the least.
-const SPREAD: f64 = 0.5;
+/// Jitter of retry times, as a share of the shortest one.
+const MAX_JITTER: f64 = 0.5;
 
 impl SessionLimiter {
     pub fn new(now: Duration, limits: Limits, seed: u64) -> Self {
         Self {
             opens: TokenBucket::new(now, limits.opens_per_s, limits.open_burst),
             limits,
-            chance: MwcRng::new(seed),
-            next: 0,
+            rng: MwcRng::new(seed),
+            last_id: 0,
             sessions: BTreeMap::new(),
             customers: BTreeMap::new(),
         }
@@ -134,83 +138,86 @@
         if let Err(wait) = self.opens.take(now) {
             return OpenOutcome::RateLimited(wait);
         }
-        self.next += 1;
-        let no = SessionId(self.next);
+        self.last_id += 1;
+        let id = SessionId(self.last_id);
         let offers = TokenBucket::new(now, self.limits.offers_per_s, self.limits.offer_burst);
         let requests = TokenBucket::new(now, self.limits.requests_per_s, self.limits.request_burst);
-        self.sessions.insert(no, Session { offers, requests, calls: BTreeMap::new() });
-        OpenOutcome::Open(no)
+        self.sessions.insert(id, Session { offers, requests, calls: BTreeMap::new() });
+        OpenOutcome::Open(id)
     }
 
-    /// A request of any kind: read, or turned down with the wait until the next is.
+    /// Checks the request rate of a session, for a request of any kind.
     pub fn check_request(&mut self, now: Duration, session: SessionId) -> Result<(), AdmissionError> {
-        let held = self.sessions.get_mut(&session).ok_or(AdmissionError::NoSession)?;
-        held.requests
+        let state = self.sessions.get_mut(&session).ok_or(AdmissionError::NoSession)?;
+        state
+            .requests
             .take(now)
             .map_err(|wait| AdmissionError::RateLimited { retry_after: self.with_jitter(wait) })
     }
 
-    /// An offer: taken in hand, or refused. What is taken is given back by [`SessionLimiter::end_call`].
+    /// Counts an offer as a call in progress, or refuses it. The count is reduced by [`SessionLimiter::end_call`].
     pub fn admit_offer(
         &mut self,
         now: Duration,
         session: SessionId,
         customer: CustomerId,
     ) -> Result<(), AdmissionError> {
-        let (in_session, in_all) = (self.limits.max_calls_per_session, self.limits.max_calls_per_customer);
+        let (max_in_session, max_of_customer) =
+            (self.limits.max_calls_per_session, self.limits.max_calls_per_customer);
         let of_customer = self.customer_calls(customer);
-        let held = self.sessions.get_mut(&session).ok_or(AdmissionError::NoSession)?;
-        if let Err(wait) = held.offers.take(now) {
+        let state = self.sessions.get_mut(&session).ok_or(AdmissionError::NoSession)?;
+        if let Err(wait) = state.offers.take(now) {
             return Err(AdmissionError::RateLimited { retry_after: self.with_jitter(wait) });
         }
-        if held.calls.values().sum::<usize>() >= in_session {
-            return Err(AdmissionError::SessionCalls { max: in_session });
+        if state.calls.values().sum::<usize>() >= max_in_session {
+            return Err(AdmissionError::SessionCalls { max: max_in_session });
         }
-        if of_customer >= in_all {
-            return Err(AdmissionError::CustomerCalls { max: in_all });
+        if of_customer >= max_of_customer {
+            return Err(AdmissionError::CustomerCalls { max: max_of_customer });
         }
-        *held.calls.entry(customer).or_default() += 1;
+        *state.calls.entry(customer).or_default() += 1;
         *self.customers.entry(customer).or_default() += 1;
         Ok(())
     }
 
-    /// A call that was taken in hand is over.
+    /// A call that [`SessionLimiter::admit_offer`] counted has ended.
     pub fn end_call(&mut self, session: SessionId, customer: CustomerId) {
-        let Some(held) = self.sessions.get_mut(&session) else { return };
-        if less(&mut held.calls, customer, 1) {
-            less(&mut self.customers, customer, 1);
+        let Some(state) = self.sessions.get_mut(&session) else { return };
+        if subtract(&mut state.calls, customer, 1) {
+            subtract(&mut self.customers, customer, 1);
         }
     }
 
-    /// What a session has in hand, by customer, for a look from outside.
+    /// Calls in progress of a session by customer.
     pub fn calls_by_customer(&self, session: SessionId) -> impl Iterator<Item = (CustomerId, usize)> {
-        let calls = self.sessions.get(&session).map(|held| &held.calls);
+        let calls = self.sessions.get(&session).map(|state| &state.calls);
         calls.into_iter().flatten().map(|(customer, count)| (*customer, *count))
     }
 
-    /// Customers by how much they have in hand, max first: who presses.
+    /// The customers with the most calls in progress, at most `max`, in descending order of calls.
     pub fn customers_by_calls(&self, max: usize) -> Vec<(CustomerId, usize)> {
-        let mut all: Vec<_> = self.customers.iter().map(|(customer, count)| (*customer, *count)).collect();
-        all.sort_by_key(|(customer, count)| (std::cmp::Reverse(*count), *customer));
-        all.truncate(max);
-        all
+        let mut customers: Vec<_> =
+            self.customers.iter().map(|(customer, count)| (*customer, *count)).collect();
+        customers.sort_by_key(|(customer, count)| (std::cmp::Reverse(*count), *customer));
+        customers.truncate(max);
+        customers
     }
 
-    /// The session is gone, and with it all it had in hand.
+    /// Removes a session and its calls.
     pub fn close(&mut self, session: SessionId) {
-        let calls = self.sessions.remove(&session).map(|held| held.calls).unwrap_or_default();
-        calls.into_iter().for_each(|(customer, count)| _ = less(&mut self.customers, customer, count));
+        let calls = self.sessions.remove(&session).map(|state| state.calls).unwrap_or_default();
+        calls.into_iter().for_each(|(customer, count)| _ = subtract(&mut self.customers, customer, count));
     }
 
-    /// A time to come back, spread over what follows it.
+    /// A retry time of at least `least`, with jitter added.
     pub fn with_jitter(&mut self, least: Duration) -> Duration {
-        Duration::try_from_secs_f64(least.as_secs_f64() * (1.0 + SPREAD * self.chance.next_f64()))
+        Duration::try_from_secs_f64(least.as_secs_f64() * (1.0 + MAX_JITTER * self.rng.next_f64()))
             .unwrap_or(least)
     }
 }
 
-/// Takes off a count, and the entry with the last of it. `false`: there was none.
-fn less(counts: &mut BTreeMap<CustomerId, usize>, customer: CustomerId, by: usize) -> bool {
+/// Reduces the count of a customer and removes it at zero. `false`: the customer has no entry.
+fn subtract(counts: &mut BTreeMap<CustomerId, usize>, customer: CustomerId, by: usize) -> bool {
     let Some(count) = counts.get_mut(&customer) else { return false };
     *count = count.saturating_sub(by);
     if *count == 0 {
@@ -224,74 +231,79 @@
     use super::*;
 
     const NOW: Duration = Duration::from_secs(5);
-    const ONE: CustomerId = CustomerId(1);
+    const CUSTOMER: CustomerId = CustomerId(1);
 
-    fn gate(change: impl FnOnce(&mut Limits)) -> SessionLimiter {
+    fn limiter_with(change: impl FnOnce(&mut Limits)) -> SessionLimiter {
         let mut limits = Limits::default();
         change(&mut limits);
         SessionLimiter::new(NOW, limits, 1)
     }
 
-    fn open(gate: &mut SessionLimiter) -> SessionId {
-        match gate.open(NOW) {
-            OpenOutcome::Open(no) => no,
+    fn open(limiter: &mut SessionLimiter) -> SessionId {
+        match limiter.open(NOW) {
+            OpenOutcome::Open(id) => id,
             other => panic!("{other:?}"),
         }
     }
 
     #[test]
-    fn an_accept_storm_is_paced_and_ends_at_the_limit() {
-        let mut gate =
-            gate(|limits| (limits.max_sessions, limits.opens_per_s, limits.open_burst) = (30, 10.0, 20.0));
-        let opened = (0..100).filter(|_| matches!(gate.open(NOW), OpenOutcome::Open(_))).count();
+    fn sessions_open_at_the_limited_rate_up_to_the_maximum() {
+        let mut limiter = limiter_with(|limits| {
+            (limits.max_sessions, limits.opens_per_s, limits.open_burst) = (30, 10.0, 20.0)
+        });
+        let opened = (0..100).filter(|_| matches!(limiter.open(NOW), OpenOutcome::Open(_))).count();
         assert_eq!(opened, 20);
-        let OpenOutcome::RateLimited(wait) = gate.open(NOW) else { panic!("not paced") };
-        assert!(matches!(gate.open(NOW + wait + Duration::from_micros(1)), OpenOutcome::Open(_)));
+        let OpenOutcome::RateLimited(wait) = limiter.open(NOW) else { panic!("not rate limited") };
+        assert!(matches!(limiter.open(NOW + wait + Duration::from_micros(1)), OpenOutcome::Open(_)));
         let later = NOW + Duration::from_secs(60);
-        assert_eq!((0..100).filter(|_| matches!(gate.open(later), OpenOutcome::Open(_))).count(), 9);
-        assert_eq!(gate.open(later), OpenOutcome::Full);
+        assert_eq!((0..100).filter(|_| matches!(limiter.open(later), OpenOutcome::Open(_))).count(), 9);
+        assert_eq!(limiter.open(later), OpenOutcome::Full);
     }
 
     #[test]
-    fn a_session_at_ten_times_its_rate_is_held_to_it_and_the_quiet_one_is_not() {
-        let mut gate = gate(|limits| (limits.offers_per_s, limits.offer_burst) = (10.0, 10.0));
-        let (greedy, quiet) = (open(&mut gate), open(&mut gate));
-        let (mut of_greedy, mut of_quiet) = (0, 0);
+    fn a_session_that_offers_ten_times_its_rate_is_limited_and_a_slow_one_is_not() {
+        let mut limiter = limiter_with(|limits| (limits.offers_per_s, limits.offer_burst) = (10.0, 10.0));
+        let (fast, slow) = (open(&mut limiter), open(&mut limiter));
+        let (mut fast_admitted, mut slow_admitted) = (0, 0);
         for ms in 0..10_000 {
             let now = NOW + Duration::from_millis(ms);
-            of_greedy += u32::from(ms % 10 == 0 && gate.admit_offer(now, greedy, ONE).is_ok());
-            of_quiet += u32::from(ms % 200 == 0 && gate.admit_offer(now, quiet, ONE).is_ok());
+            fast_admitted += u32::from(ms % 10 == 0 && limiter.admit_offer(now, fast, CUSTOMER).is_ok());
+            slow_admitted += u32::from(ms % 200 == 0 && limiter.admit_offer(now, slow, CUSTOMER).is_ok());
         }
-        assert!((105..=111).contains(&of_greedy), "{of_greedy}");
-        assert_eq!(of_quiet, 50);
+        assert!((105..=111).contains(&fast_admitted), "{fast_admitted}");
+        assert_eq!(slow_admitted, 50);
     }
 
     #[test]
-    fn what_a_session_had_in_hand_is_given_back_when_it_goes() {
-        let mut gate = gate(|limits| (limits.max_calls_per_session, limits.max_calls_per_customer) = (3, 5));
-        let (one, other) = (open(&mut gate), open(&mut gate));
-        assert!((0..3).all(|_| gate.admit_offer(NOW, one, ONE).is_ok()));
-        assert_eq!(gate.admit_offer(NOW, one, ONE), Err(AdmissionError::SessionCalls { max: 3 }));
-        assert!((0..2).all(|_| gate.admit_offer(NOW, other, ONE).is_ok()));
-        assert_eq!(gate.admit_offer(NOW, other, ONE), Err(AdmissionError::CustomerCalls { max: 5 }));
+    fn the_calls_of_a_session_are_removed_when_it_closes() {
+        let mut limiter =
+            limiter_with(|limits| (limits.max_calls_per_session, limits.max_calls_per_customer) = (3, 5));
+        let (first, second) = (open(&mut limiter), open(&mut limiter));
+        assert!((0..3).all(|_| limiter.admit_offer(NOW, first, CUSTOMER).is_ok()));
+        assert_eq!(limiter.admit_offer(NOW, first, CUSTOMER), Err(AdmissionError::SessionCalls { max: 3 }));
+        assert!((0..2).all(|_| limiter.admit_offer(NOW, second, CUSTOMER).is_ok()));
+        assert_eq!(limiter.admit_offer(NOW, second, CUSTOMER), Err(AdmissionError::CustomerCalls { max: 5 }));
         assert_eq!(
-            (gate.calls_by_customer(other).collect::<Vec<_>>(), gate.customers_by_calls(3)),
-            (vec![(ONE, 2)], vec![(ONE, 5)])
+            (limiter.calls_by_customer(second).collect::<Vec<_>>(), limiter.customers_by_calls(3)),
+            (vec![(CUSTOMER, 2)], vec![(CUSTOMER, 5)])
         );
-        gate.end_call(other, ONE);
-        gate.end_call(other, CustomerId(9));
-        gate.close(one);
-        assert_eq!((gate.customer_calls(ONE), gate.sessions()), (1, 1));
-        assert_eq!(gate.admit_offer(NOW, one, ONE), Err(AdmissionError::NoSession));
-        gate.close(other);
-        assert!(gate.customers.is_empty());
+        limiter.end_call(second, CUSTOMER);
+        limiter.end_call(second, CustomerId(9));
+        limiter.close(first);
+        assert_eq!((limiter.customer_calls(CUSTOMER), limiter.sessions()), (1, 1));
+        assert_eq!(limiter.admit_offer(NOW, first, CUSTOMER), Err(AdmissionError::NoSession));
+        limiter.close(second);
+        assert!(limiter.customers.is_empty());
     }
 
     #[test]
-    fn those_told_to_come_back_do_not_return_together() {
-        let mut gate = gate(|_| {});
+    fn retry_times_are_spread_by_jitter() {
+        let mut limiter = limiter_with(|_| {});
         let least = Duration::from_millis(100);
-        let told: std::collections::BTreeSet<_> = (0..50).map(|_| gate.with_jitter(least)).collect();
-        assert!(told.len() > 40 && told.iter().all(|told| (least..least * 3 / 2).contains(told)));
+        let retry_times: std::collections::BTreeSet<_> =
+            (0..50).map(|_| limiter.with_jitter(least)).collect();
+        assert!(
+            retry_times.len() > 40 && retry_times.iter().all(|time| (least..least * 3 / 2).contains(time))
+        );
     }
 }
