--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -1,7 +1,8 @@
-//! What becomes of an offer: it goes to the decisions at once, waits for its turn, or is refused with a time to come back.
+//! Admission of offers: an offer is passed to the controller at once, queued, or refused with a retry time.
 //!
-//! Only so many offers are with the decisions unanswered; while more come, customers take turns by their shares. An offer
-//! waits for a share of its caller's time at the most: what is refused early can be tried elsewhere, or again.
+//! The number of offers that the controller has not answered is limited. Further offers are queued, and customers are served by
+//! their shares. An offer is queued for a limited share of its caller's time: a call that is refused early can be tried
+//! elsewhere, or again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,52 +14,53 @@
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum AdmissionDecision<T> {
-    /// To the decisions, at once.
+    /// To be passed to the controller at once.
     Admit(T),
-    /// It has its turn later, or is refused.
+    /// The offer waits, and is admitted or refused later.
     Queued,
     Refused(T, AdmissionError),
 }
 
-/// An offer in line.
+/// A queued offer.
 #[derive(Debug)]
-struct Offered<T> {
+struct QueuedOffer<T> {
     session: SessionId,
     customer: CustomerId,
     item: T,
 }
 
-/// Which mode it is in, for one log line a change.
+/// Whether offers are queued; each change is logged once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    AtEase,
-    Pressed { since: Duration, waited: usize },
+    Normal,
+    Queueing { since: Duration, queued: usize },
 }
 
 #[derive(Debug)]
 pub struct Admission<T> {
     pub session_limiter: SessionLimiter,
-    turns: FairQueue<Offered<T>>,
+    queue: FairQueue<QueuedOffer<T>>,
+    /// Admitted offers without a final answer.
     unanswered: usize,
     mode: Mode,
 }
 
-/// Refused for want of room: the least time to stay away.
-const COME_BACK: Duration = Duration::from_millis(500);
+/// The shortest retry time of an offer that is refused because of overload.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl<T> Admission<T> {
     pub fn new(now: Duration, limits: Limits, shares: BTreeMap<CustomerId, f64>, seed: u64) -> Self {
-        let turns = FairQueue::new(limits.max_waiting, shares);
+        let queue = FairQueue::new(limits.max_waiting, shares);
         Self {
             session_limiter: SessionLimiter::new(now, limits, seed),
-            turns,
+            queue,
             unanswered: 0,
-            mode: Mode::AtEase,
+            mode: Mode::Normal,
         }
     }
 
     pub fn waiting(&self) -> usize {
-        self.turns.len()
+        self.queue.len()
     }
 
     pub fn unanswered(&self) -> usize {
@@ -69,46 +71,50 @@
         self.session_limiter.open(now)
     }
 
-    /// An offer whose caller waits for `left`. What it displaces is refused in its place, and comes beside the verdict.
+    /// Decides on an offer whose caller waits for `time_left`. If another offer is evicted from the queue for it, that offer is
+    /// refused and returned as well.
     pub fn offer(
         &mut self,
         now: Duration,
         session: SessionId,
         customer: CustomerId,
-        left: Duration,
+        time_left: Duration,
         item: T,
         log: &mut dyn FnMut(&str),
     ) -> (AdmissionDecision<T>, Option<(T, AdmissionError)>) {
-        if let Err(refusal) = self.session_limiter.admit_offer(now, session, customer) {
-            return (AdmissionDecision::Refused(item, refusal), None);
+        if let Err(error) = self.session_limiter.admit_offer(now, session, customer) {
+            return (AdmissionDecision::Refused(item, error), None);
         }
-        if self.unanswered < self.session_limiter.limits().max_unanswered && self.turns.is_empty() {
+        if self.unanswered < self.session_limiter.limits().max_unanswered && self.queue.is_empty() {
             self.unanswered += 1;
             return (AdmissionDecision::Admit(item), None);
         }
-        if self.mode == Mode::AtEase {
-            self.mode = Mode::Pressed { since: now, waited: 0 };
-            log(&format!("admission pressed: {} offers unanswered, customers take turns", self.unanswered));
+        if self.mode == Mode::Normal {
+            self.mode = Mode::Queueing { since: now, queued: 0 };
+            log(&format!(
+                "admission overloaded: {} offers unanswered, queueing further offers",
+                self.unanswered
+            ));
         }
-        if let Mode::Pressed { waited, .. } = &mut self.mode {
-            *waited += 1;
+        if let Mode::Queueing { queued, .. } = &mut self.mode {
+            *queued += 1;
         }
-        let until = now + left.mul_f64(self.session_limiter.limits().max_wait_share.clamp(0.0, 1.0));
-        let displaced = self.turns.push(customer, 1.0, until, Offered { session, customer, item });
-        let displaced = displaced.map(|displaced| self.refuse(displaced.0));
-        (AdmissionDecision::Queued, displaced)
+        let deadline = now + time_left.mul_f64(self.session_limiter.limits().max_wait_share.clamp(0.0, 1.0));
+        let evicted = self.queue.push(customer, 1.0, deadline, QueuedOffer { session, customer, item });
+        let evicted = evicted.map(|evicted| self.refuse(evicted.0));
+        (AdmissionDecision::Queued, evicted)
     }
 
-    fn refuse(&mut self, offered: Offered<T>) -> (T, AdmissionError) {
-        self.session_limiter.end_call(offered.session, offered.customer);
+    fn refuse(&mut self, queued_offer: QueuedOffer<T>) -> (T, AdmissionError) {
+        self.session_limiter.end_call(queued_offer.session, queued_offer.customer);
         (
-            offered.item,
-            AdmissionError::Overloaded { retry_after: self.session_limiter.with_jitter(COME_BACK) },
+            queued_offer.item,
+            AdmissionError::Overloaded { retry_after: self.session_limiter.with_jitter(MIN_RETRY_AFTER) },
         )
     }
 
-    /// An offer that was with the decisions has its final answer; `stands`: the call stays in hand. What has its turn
-    /// now goes to the decisions.
+    /// An admitted offer got its final answer. `stands`: the call stays in progress. Returns the queued offers that are admitted
+    /// now, to be passed to the controller.
     pub fn on_answer(
         &mut self,
         now: Duration,
@@ -123,12 +129,12 @@
         }
         let mut next = Vec::new();
         while self.unanswered < self.session_limiter.limits().max_unanswered
-            && let Some(offered) = self.turns.pop()
+            && let Some(queued_offer) = self.queue.pop()
         {
             self.unanswered += 1;
-            next.push(offered.item);
+            next.push(queued_offer.item);
         }
-        self.at_ease(now, log);
+        self.end_queueing_if_empty(now, log);
         next
     }
 
@@ -137,60 +143,60 @@
         self.session_limiter.end_call(session, customer);
     }
 
-    /// The session is gone. What it had waiting is dropped; what of it is with the decisions is still answered, and
-    /// counts until then.
+    /// Removes a session and returns its queued offers. Its admitted offers count as unanswered until the controller answers
+    /// them.
     pub fn close_session(&mut self, now: Duration, session: SessionId, log: &mut dyn FnMut(&str)) -> Vec<T> {
-        let dropped = self.turns.remove(|offered| offered.session == session);
+        let dropped = self.queue.remove(|queued_offer| queued_offer.session == session);
         self.session_limiter.close(session);
-        self.at_ease(now, log);
-        dropped.into_iter().map(|offered| offered.item).collect()
+        self.end_queueing_if_empty(now, log);
+        dropped.into_iter().map(|queued_offer| queued_offer.item).collect()
     }
 
-    /// One offer that waits is wanted no more.
+    /// Removes one queued offer.
     pub fn withdraw(
         &mut self,
         now: Duration,
-        which: impl Fn(&T) -> bool,
+        matches: impl Fn(&T) -> bool,
         log: &mut dyn FnMut(&str),
     ) -> Option<T> {
-        let mut gone = self.turns.remove(|offered| which(&offered.item));
-        let offered = gone.pop()?;
-        self.session_limiter.end_call(offered.session, offered.customer);
-        self.at_ease(now, log);
-        Some(offered.item)
+        let mut removed = self.queue.remove(|queued_offer| matches(&queued_offer.item));
+        let queued_offer = removed.pop()?;
+        self.session_limiter.end_call(queued_offer.session, queued_offer.customer);
+        self.end_queueing_if_empty(now, log);
+        Some(queued_offer.item)
     }
 
-    /// All that waits is refused.
+    /// Refuses all queued offers.
     pub fn drain(&mut self) -> Vec<(T, AdmissionError)> {
-        let waiting = self.turns.remove(|_| true);
-        waiting.into_iter().map(|offered| self.refuse(offered)).collect()
+        let waiting = self.queue.remove(|_| true);
+        waiting.into_iter().map(|queued_offer| self.refuse(queued_offer)).collect()
     }
 
-    /// Changes what waits, without its place.
+    /// Changes the queued offers in place.
     pub fn for_each_waiting(&mut self, mut change: impl FnMut(&mut T)) {
-        self.turns.for_each(|offered| change(&mut offered.item));
+        self.queue.for_each(|queued_offer| change(&mut queued_offer.item));
     }
 
-    /// When [`Admission::on_timer`] is next to be called.
+    /// When [`Admission::on_timer`] must be called next.
     pub fn next_timer(&self) -> Option<Duration> {
-        self.turns.next_expiry()
+        self.queue.next_expiry()
     }
 
-    /// What has waited for as long as it may.
+    /// Refuses the queued offers that have waited for too long.
     pub fn on_timer(&mut self, now: Duration, log: &mut dyn FnMut(&str)) -> Vec<(T, AdmissionError)> {
-        let late = self.turns.expired(now);
-        let refused = late.into_iter().map(|offered| self.refuse(offered)).collect();
-        self.at_ease(now, log);
+        let expired = self.queue.take_expired(now);
+        let refused = expired.into_iter().map(|queued_offer| self.refuse(queued_offer)).collect();
+        self.end_queueing_if_empty(now, log);
         refused
     }
 
-    fn at_ease(&mut self, now: Duration, log: &mut dyn FnMut(&str)) {
-        if let Mode::Pressed { since, waited } = self.mode
-            && self.turns.is_empty()
+    fn end_queueing_if_empty(&mut self, now: Duration, log: &mut dyn FnMut(&str)) {
+        if let Mode::Queueing { since, queued } = self.mode
+            && self.queue.is_empty()
         {
-            self.mode = Mode::AtEase;
+            self.mode = Mode::Normal;
             log(&format!(
-                "admission at ease after {:.1?}: {waited} offers waited",
+                "admission back to normal after {:.1?}: {queued} offers were queued",
                 now.saturating_sub(since)
             ));
         }
@@ -203,15 +209,15 @@
 
     const ONE: CustomerId = CustomerId(1);
     const TWO: CustomerId = CustomerId(2);
-    const LEFT: Duration = Duration::from_secs(4);
+    const TIME_LEFT: Duration = Duration::from_secs(4);
 
-    struct Desk {
+    struct Fixture {
         admission: Admission<u64>,
         now: Duration,
         log: Vec<String>,
     }
 
-    impl Desk {
+    impl Fixture {
         fn new(unanswered: usize, waiting: usize) -> Self {
             let limits = Limits { max_unanswered: unanswered, max_waiting: waiting, ..Limits::default() };
             let now = Duration::from_secs(1);
@@ -219,18 +225,18 @@
         }
 
         fn open(&mut self) -> SessionId {
-            let OpenOutcome::Open(no) = self.admission.open_session(self.now) else { panic!("not opened") };
-            no
+            let OpenOutcome::Open(id) = self.admission.open_session(self.now) else { panic!("not opened") };
+            id
         }
 
         fn offer(
             &mut self,
             session: SessionId,
             customer: CustomerId,
-            no: u64,
+            number: u64,
         ) -> (AdmissionDecision<u64>, Option<(u64, AdmissionError)>) {
             let log = &mut |line: &str| self.log.push(line.to_string());
-            self.admission.offer(self.now, session, customer, LEFT, no, log)
+            self.admission.offer(self.now, session, customer, TIME_LEFT, number, log)
         }
 
         fn on_answer(&mut self, session: SessionId, customer: CustomerId, stands: bool) -> Vec<u64> {
@@ -240,83 +246,92 @@
     }
 
     #[test]
-    fn offers_go_straight_through_until_too_many_are_unanswered() {
-        let mut desk = Desk::new(2, 10);
-        let session = desk.open();
-        assert_eq!(desk.offer(session, ONE, 1).0, AdmissionDecision::Admit(1));
-        assert_eq!(desk.offer(session, ONE, 2).0, AdmissionDecision::Admit(2));
-        assert_eq!(desk.offer(session, ONE, 3).0, AdmissionDecision::Queued);
-        assert_eq!(desk.on_answer(session, ONE, true), [3]);
-        assert_eq!((desk.admission.unanswered(), desk.admission.waiting(), desk.log.len()), (2, 0, 2));
-        assert!(desk.log[0].contains("pressed") && desk.log[1].contains("at ease"), "{:?}", desk.log);
+    fn offers_are_admitted_at_once_until_too_many_are_unanswered() {
+        let mut fixture = Fixture::new(2, 10);
+        let session = fixture.open();
+        assert_eq!(fixture.offer(session, ONE, 1).0, AdmissionDecision::Admit(1));
+        assert_eq!(fixture.offer(session, ONE, 2).0, AdmissionDecision::Admit(2));
+        assert_eq!(fixture.offer(session, ONE, 3).0, AdmissionDecision::Queued);
+        assert_eq!(fixture.on_answer(session, ONE, true), [3]);
+        assert_eq!(
+            (fixture.admission.unanswered(), fixture.admission.waiting(), fixture.log.len()),
+            (2, 0, 2)
+        );
+        assert!(
+            fixture.log[0].contains("overloaded") && fixture.log[1].contains("back to normal"),
+            "{:?}",
+            fixture.log
+        );
     }
 
     #[test]
-    fn a_quiet_customer_has_its_turn_beside_a_greedy_one() {
-        let mut desk = Desk::new(1, 1000);
-        let (greedy, quiet) = (desk.open(), desk.open());
-        desk.offer(greedy, ONE, 0);
-        (1..500).for_each(|no| _ = desk.offer(greedy, ONE, no));
-        desk.offer(quiet, TWO, 1000);
-        let first: Vec<_> = (0..3).flat_map(|_| desk.on_answer(greedy, ONE, false)).collect();
-        assert!(first.contains(&1000), "{first:?}");
+    fn a_customer_with_one_offer_is_served_beside_one_with_many() {
+        let mut fixture = Fixture::new(1, 1000);
+        let (busy, quiet) = (fixture.open(), fixture.open());
+        fixture.offer(busy, ONE, 0);
+        (1..500).for_each(|number| _ = fixture.offer(busy, ONE, number));
+        fixture.offer(quiet, TWO, 1000);
+        let admitted: Vec<_> = (0..3).flat_map(|_| fixture.on_answer(busy, ONE, false)).collect();
+        assert!(admitted.contains(&1000), "{admitted:?}");
     }
 
     #[test]
-    fn what_waits_too_long_is_refused_with_a_time_to_come_back_and_counts_no_more() {
-        let mut desk = Desk::new(1, 10);
-        let session = desk.open();
-        desk.offer(session, ONE, 1);
-        desk.offer(session, ONE, 2);
-        assert_eq!(desk.admission.next_timer(), Some(desk.now + LEFT / 4));
-        desk.now += LEFT / 4;
-        let refused = desk.admission.on_timer(desk.now, &mut |_| {});
+    fn an_offer_queued_too_long_is_refused_with_a_retry_time_and_no_longer_counted() {
+        let mut fixture = Fixture::new(1, 10);
+        let session = fixture.open();
+        fixture.offer(session, ONE, 1);
+        fixture.offer(session, ONE, 2);
+        assert_eq!(fixture.admission.next_timer(), Some(fixture.now + TIME_LEFT / 4));
+        fixture.now += TIME_LEFT / 4;
+        let refused = fixture.admission.on_timer(fixture.now, &mut |_| {});
         assert!(
-            matches!(refused[..], [(2, AdmissionError::Overloaded { retry_after })] if retry_after >= COME_BACK)
+            matches!(refused[..], [(2, AdmissionError::Overloaded { retry_after })] if retry_after >= MIN_RETRY_AFTER)
         );
         assert_eq!(
-            (desk.admission.session_limiter.customer_calls(ONE), desk.admission.next_timer()),
+            (fixture.admission.session_limiter.customer_calls(ONE), fixture.admission.next_timer()),
             (1, None)
         );
     }
 
     #[test]
-    fn a_session_that_goes_takes_what_it_had_waiting_with_it() {
-        let mut desk = Desk::new(1, 10);
-        let (gone, stays) = (desk.open(), desk.open());
-        desk.offer(gone, ONE, 1);
-        desk.offer(gone, ONE, 2);
-        desk.offer(stays, TWO, 3);
-        assert_eq!(desk.admission.close_session(desk.now, gone, &mut |_| {}), [2]);
-        // What it had with the decisions still counts until its answer.
-        assert_eq!(desk.admission.unanswered(), 1);
-        assert_eq!(desk.on_answer(gone, ONE, false), [3]);
+    fn closing_a_session_removes_its_queued_offers() {
+        let mut fixture = Fixture::new(1, 10);
+        let (closing, other) = (fixture.open(), fixture.open());
+        fixture.offer(closing, ONE, 1);
+        fixture.offer(closing, ONE, 2);
+        fixture.offer(other, TWO, 3);
+        assert_eq!(fixture.admission.close_session(fixture.now, closing, &mut |_| {}), [2]);
+        // Its admitted offer still counts until it is answered.
+        assert_eq!(fixture.admission.unanswered(), 1);
+        assert_eq!(fixture.on_answer(closing, ONE, false), [3]);
         assert_eq!(
             (
-                desk.admission.session_limiter.customer_calls(ONE),
-                desk.admission.session_limiter.customer_calls(TWO)
+                fixture.admission.session_limiter.customer_calls(ONE),
+                fixture.admission.session_limiter.customer_calls(TWO)
             ),
             (0, 1)
         );
     }
 
     #[test]
-    fn an_offer_is_answered_once_whether_displaced_late_or_taken() {
-        let mut desk = Desk::new(1, 2);
-        let session = desk.open();
-        let mut ends = Vec::new();
-        for no in 0..6 {
-            let (verdict, displaced) = desk.offer(session, ONE, no);
-            ends.extend(displaced.map(|(no, _)| no));
-            if let AdmissionDecision::Admit(no) = verdict {
-                ends.push(no);
+    fn an_offer_leaves_once_whether_evicted_expired_or_admitted() {
+        let mut fixture = Fixture::new(1, 2);
+        let session = fixture.open();
+        let mut left = Vec::new();
+        for number in 0..6 {
+            let (decision, evicted) = fixture.offer(session, ONE, number);
+            left.extend(evicted.map(|(number, _)| number));
+            if let AdmissionDecision::Admit(number) = decision {
+                left.push(number);
             }
         }
-        ends.extend(desk.on_answer(session, ONE, false));
-        desk.now += LEFT;
-        ends.extend(desk.admission.on_timer(desk.now, &mut |_| {}).into_iter().map(|(no, _)| no));
-        ends.sort_unstable();
-        assert_eq!(ends, [0, 1, 2, 3, 4, 5]);
-        assert_eq!(desk.admission.session_limiter.customer_calls(ONE), 1, "the one with the decisions");
+        left.extend(fixture.on_answer(session, ONE, false));
+        fixture.now += TIME_LEFT;
+        left.extend(
+            fixture.admission.on_timer(fixture.now, &mut |_| {}).into_iter().map(|(number, _)| number),
+        );
+        left.sort_unstable();
+        assert_eq!(left, [0, 1, 2, 3, 4, 5]);
+        assert_eq!(fixture.admission.session_limiter.customer_calls(ONE), 1, "the admitted one");
     }
 }
