--- a/crates/websocket/src/connection.rs
+++ b/crates/websocket/src/connection.rs
@@ -1,4 +1,4 @@
-//! An open connection, either end: what is heard, what is to be written, and how it closes.
+//! An open connection, of the server or the client: receiving and sending messages, and the closing handshake.
 
 use std::io::{self, Read, Write};
 
@@ -9,53 +9,55 @@
 
 use crate::close;
 
-/// What an end hears.
+/// Something received on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WebSocketEvent {
     Text(String),
-    /// A pong, or a ping, which is answered: the far end lives.
+    /// A ping, which is answered, or a pong: the other side is alive.
     PingOrPong,
 }
 
-/// How a connection has come to its end; nothing is heard or said after it.
+/// How a connection ended. Nothing is received or sent afterwards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CloseInfo {
-    /// The code that the far end gave, or that it was given; [`close::NORMAL`] where it gave none.
+    /// The code of the side that began to close. [`close::NORMAL`] if the far end gave none.
     pub code: u16,
     pub reason: String,
-    /// Whether the far end began it.
+    /// Whether the far end began to close.
     pub by_far_end: bool,
 }
 
-/// One end of a connection. Holds one unfinished message of bounded length, and what its owner has not taken to write.
+/// One side of a connection. Buffers one incomplete message of bounded length, and the output that its owner has not taken yet.
 #[derive(Debug)]
 pub struct WebSocketConnection {
     context: WebSocketContext,
-    out: Vec<u8>,
-    /// What came with the handshake.
-    early: Vec<u8>,
-    said_why: Option<CloseInfo>,
-    ended: Option<CloseInfo>,
+    output: Vec<u8>,
+    /// Octets received after the handshake in the same read.
+    early_octets: Vec<u8>,
+    /// Set once this side has sent a close frame.
+    close_sent: Option<CloseInfo>,
+    /// Set once the connection has ended.
+    close_info: Option<CloseInfo>,
 }
 
-/// What the library reads from and writes to.
-struct Pipe<'a> {
-    octets: &'a [u8],
-    out: &'a mut Vec<u8>,
+/// The in-memory stream that tungstenite reads from and writes to.
+struct Stream<'a> {
+    input: &'a [u8],
+    output: &'a mut Vec<u8>,
 }
 
-impl Read for Pipe<'_> {
+impl Read for Stream<'_> {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
-        match self.octets.read(buf)? {
+        match self.input.read(buf)? {
             0 => Err(io::ErrorKind::WouldBlock.into()),
             count => Ok(count),
         }
     }
 }
 
-impl Write for Pipe<'_> {
+impl Write for Stream<'_> {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        self.out.extend_from_slice(buf);
+        self.output.extend_from_slice(buf);
         Ok(buf.len())
     }
     fn flush(&mut self) -> io::Result<()> {
@@ -64,52 +66,59 @@
 }
 
 impl WebSocketConnection {
-    pub(crate) fn server(out: Vec<u8>, early: Vec<u8>, max_text_octets: usize) -> Self {
-        Self::new(Role::Server, out, early, max_text_octets)
+    pub(crate) fn server(output: Vec<u8>, early_octets: Vec<u8>, max_text_octets: usize) -> Self {
+        Self::new(Role::Server, output, early_octets, max_text_octets)
     }
 
-    pub(crate) fn client(early: Vec<u8>, max_text_octets: usize) -> Self {
-        Self::new(Role::Client, Vec::new(), early, max_text_octets)
+    pub(crate) fn client(early_octets: Vec<u8>, max_text_octets: usize) -> Self {
+        Self::new(Role::Client, Vec::new(), early_octets, max_text_octets)
     }
 
-    fn new(role: Role, out: Vec<u8>, early: Vec<u8>, max_text_octets: usize) -> Self {
-        // Small: thousands of ends lie idle at a time. What is written goes to memory, and needs no buffer before it.
+    fn new(role: Role, output: Vec<u8>, early_octets: Vec<u8>, max_text_octets: usize) -> Self {
+        // A small read buffer, because thousands of connections are idle at a time. Output is written to memory and needs no buffer.
         let config = WebSocketConfig::default()
             .read_buffer_size(1 << 10)
             .write_buffer_size(0)
             .max_message_size(Some(max_text_octets))
             .max_frame_size(Some(max_text_octets));
-        Self { context: WebSocketContext::new(role, Some(config)), out, early, said_why: None, ended: None }
+        Self {
+            context: WebSocketContext::new(role, Some(config)),
+            output,
+            early_octets,
+            close_sent: None,
+            close_info: None,
+        }
     }
 
-    /// What is to be written now; its owner takes it.
+    /// The octets to send. The owner takes them out.
     pub fn output(&mut self) -> &mut Vec<u8> {
-        &mut self.out
+        &mut self.output
     }
 
+    /// How the connection ended, if it has.
     pub fn close_info(&self) -> Option<&CloseInfo> {
-        self.ended.as_ref()
+        self.close_info.as_ref()
     }
 
-    /// Octets that came; after a handshake once with none, for what came with it.
-    pub fn on_octets(&mut self, octets: &[u8], hear: &mut dyn FnMut(WebSocketEvent)) {
-        let early = std::mem::take(&mut self.early);
-        let mut parts = [early.as_slice(), octets].into_iter().filter(|part| !part.is_empty());
-        while self.ended.is_none()
+    /// Processes received octets. To be called once without octets after the handshake, to process those that followed it.
+    pub fn on_octets(&mut self, octets: &[u8], on_event: &mut dyn FnMut(WebSocketEvent)) {
+        let early_octets = std::mem::take(&mut self.early_octets);
+        let mut parts = [early_octets.as_slice(), octets].into_iter().filter(|part| !part.is_empty());
+        while self.close_info.is_none()
             && let Some(octets) = parts.next()
         {
-            self.read(octets, hear);
+            self.process(octets, on_event);
         }
     }
 
-    fn read(&mut self, octets: &[u8], hear: &mut dyn FnMut(WebSocketEvent)) {
-        let mut pipe = Pipe { octets, out: &mut self.out };
-        let fault = loop {
-            match self.context.read(&mut pipe) {
-                // Told why it closes already: what still comes is not wanted.
-                Ok(Message::Text(_) | Message::Binary(_)) if self.said_why.is_some() => {}
-                Ok(Message::Text(text)) => hear(WebSocketEvent::Text(text.as_str().to_string())),
-                Ok(Message::Ping(_) | Message::Pong(_)) => hear(WebSocketEvent::PingOrPong),
+    fn process(&mut self, octets: &[u8], on_event: &mut dyn FnMut(WebSocketEvent)) {
+        let mut stream = Stream { input: octets, output: &mut self.output };
+        let error = loop {
+            match self.context.read(&mut stream) {
+                // This side is closing and ignores further messages.
+                Ok(Message::Text(_) | Message::Binary(_)) if self.close_sent.is_some() => {}
+                Ok(Message::Text(text)) => on_event(WebSocketEvent::Text(text.as_str().to_string())),
+                Ok(Message::Ping(_) | Message::Pong(_)) => on_event(WebSocketEvent::PingOrPong),
                 Ok(Message::Binary(_)) => {
                     break Some((close::UNSUPPORTED, "only texts are understood".to_string()));
                 }
@@ -118,10 +127,10 @@
                         Some(frame) => (frame.code.into(), frame.reason.as_str().to_string()),
                         None => (close::NORMAL, String::new()),
                     };
-                    let heard = CloseInfo { code, reason, by_far_end: true };
-                    self.ended = Some(self.said_why.take().unwrap_or(heard));
-                    // Its answer goes out with this.
-                    let _ = self.context.flush(&mut pipe);
+                    let received = CloseInfo { code, reason, by_far_end: true };
+                    self.close_info = Some(self.close_sent.take().unwrap_or(received));
+                    // Sends the close frame that answers it.
+                    let _ = self.context.flush(&mut stream);
                     return;
                 }
                 Ok(Message::Frame(_)) => {}
@@ -133,10 +142,10 @@
                 Err(error) => break Some((close::PROTOCOL, error.to_string())),
             }
         };
-        if let Some((code, reason)) = fault {
+        if let Some((code, reason)) = error {
             self.close(code, &reason);
-            // What follows a fault can't be made sense of: no answer is waited for.
-            self.ended = self.said_why.take();
+            // Input after a protocol error can't be interpreted, so the connection ends without waiting for the answer.
+            self.close_info = self.close_sent.take();
         }
     }
 
@@ -149,29 +158,30 @@
     }
 
     fn write(&mut self, message: Message) {
-        if self.ended.is_none() && self.said_why.is_none() {
-            let mut pipe = Pipe { octets: &[], out: &mut self.out };
-            // Into memory; it fails only once the connection is closing, when nothing more is said.
-            let _ = self.context.write(&mut pipe, message).and_then(|()| self.context.flush(&mut pipe));
+        if self.close_info.is_none() && self.close_sent.is_none() {
+            let mut stream = Stream { input: &[], output: &mut self.output };
+            // Writing to memory fails only once the connection is closing, and then nothing more is sent.
+            let _ = self.context.write(&mut stream, message).and_then(|()| self.context.flush(&mut stream));
         }
     }
 
-    /// Begins to close; it has ended once the far end answers.
+    /// Starts the closing handshake. The connection has ended once the far end answers.
     pub fn close(&mut self, code: u16, reason: &str) {
-        if self.ended.is_some() || self.said_why.is_some() {
+        if self.close_info.is_some() || self.close_sent.is_some() {
             return;
         }
-        // A control frame carries 125 octets, two of them the code (clause 5.5).
-        let cut = (0..=reason.len().min(123)).rev().find(|at| reason.is_char_boundary(*at)).unwrap_or(0);
-        let reason = reason[..cut].to_string();
+        // The payload of a control frame has at most 125 octets, two of them for the code (clause 5.5).
+        let length =
+            (0..=reason.len().min(123)).rev().find(|length| reason.is_char_boundary(*length)).unwrap_or(0);
+        let reason = reason[..length].to_string();
         let frame = CloseFrame { code: CloseCode::from(code), reason: reason.as_str().into() };
-        let mut pipe = Pipe { octets: &[], out: &mut self.out };
-        let _ = self.context.close(&mut pipe, Some(frame));
-        self.said_why = Some(CloseInfo { code, reason, by_far_end: false });
+        let mut stream = Stream { input: &[], output: &mut self.output };
+        let _ = self.context.close(&mut stream, Some(frame));
+        self.close_sent = Some(CloseInfo { code, reason, by_far_end: false });
     }
 
-    /// Whether it has begun to close.
+    /// Whether the connection is closing or has ended.
     pub fn is_closing(&self) -> bool {
-        self.said_why.is_some() || self.ended.is_some()
+        self.close_sent.is_some() || self.close_info.is_some()
     }
 }
--- a/crates/websocket/src/server_handshake.rs
+++ b/crates/websocket/src/server_handshake.rs
@@ -1,4 +1,4 @@
-//! The opening handshake at the server: what a client must ask for, and what it is told when it is not let in.
+//! The server's opening handshake: checks a client's request, and makes the HTTP response to one that is rejected.
 
 use std::collections::BTreeSet;
 
@@ -11,12 +11,12 @@
 use crate::connection::WebSocketConnection;
 use crate::{MAX_HEAD_OCTETS, PATH, SUBPROTOCOL};
 
-/// Why a client is not let in, as an HTTP status.
+/// Why a handshake is rejected, as an HTTP status and a reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HandshakeRejection {
     pub status: u16,
     pub reason: String,
-    /// Seconds to stay away, rounded up.
+    /// Value of the `Retry-After` header in seconds, rounded up.
     pub retry_after_s: Option<u64>,
 }
 
@@ -25,7 +25,7 @@
         Self { status, reason: reason.into(), retry_after_s: None }
     }
 
-    /// The whole response. The connection is closed after it.
+    /// The complete HTTP response. The connection is closed after it.
     pub fn to_octets(&self) -> Vec<u8> {
         let phrase = match self.status {
             400 => "Bad Request",
@@ -37,14 +37,14 @@
             503 => "Service Unavailable",
             _ => "Error",
         };
-        let more = match (self.status, self.retry_after_s) {
+        let headers = match (self.status, self.retry_after_s) {
             (426, _) => "Upgrade: websocket\r\nSec-WebSocket-Version: 13\r\n".to_string(),
             (405, _) => "Allow: GET\r\n".to_string(),
             (_, Some(wait)) => format!("Retry-After: {wait}\r\n"),
             _ => String::new(),
         };
         format!(
-            "HTTP/1.1 {} {phrase}\r\nConnection: close\r\n{more}Content-Type: text/plain; charset=utf-8\r\n\
+            "HTTP/1.1 {} {phrase}\r\nConnection: close\r\n{headers}Content-Type: text/plain; charset=utf-8\r\n\
              Content-Length: {}\r\n\r\n{}\n",
             self.status,
             self.reason.len() + 1,
@@ -54,46 +54,47 @@
     }
 }
 
-/// What has come of a handshake.
+/// State of a handshake after each received part.
 #[derive(Debug)]
 pub enum ServerHandshakeState {
-    /// Its head is not whole yet.
+    /// The request header is not complete yet.
     Incomplete,
-    /// In order; to be let in or turned away.
+    /// The request is valid; the server accepts it or rejects it.
     Valid(Box<UpgradeRequest>),
     Rejected(HandshakeRejection),
 }
 
-/// A client's handshake that is in order.
+/// A valid upgrade request of a client.
 #[derive(Debug)]
 pub struct UpgradeRequest {
     response: Response,
-    /// What followed the head.
-    rest: Vec<u8>,
+    /// Octets received after the request header.
+    early_octets: Vec<u8>,
 }
 
 impl UpgradeRequest {
-    /// The open end, with the response first in what it has to write.
+    /// Opens the connection, with the response as its first output.
     pub fn accept(self, max_text_octets: usize) -> WebSocketConnection {
-        let mut out = Vec::new();
-        // Into memory, of a response built here: it has no way to fail.
-        let _ = write_response(&mut out, &self.response);
-        WebSocketConnection::server(out, self.rest, max_text_octets)
+        let mut output = Vec::new();
+        // Writing a response built here to memory can't fail.
+        let _ = write_response(&mut output, &self.response);
+        WebSocketConnection::server(output, self.early_octets, max_text_octets)
     }
 }
 
-/// One client at the door. Holds at most [`MAX_HEAD_OCTETS`] octets and what was pushed last.
+/// A handshake in progress. Buffers at most [`MAX_HEAD_OCTETS`] octets and those of the last call of [`ServerHandshake::push`].
 #[derive(Debug, Default)]
 pub struct ServerHandshake {
-    head: Vec<u8>,
+    received: Vec<u8>,
 }
 
 impl ServerHandshake {
-    /// `origins`: those of browser pages that are let in. A client that names none is no browser page.
+    /// Processes received octets. `origins`: the origins of browser pages whose requests are accepted. A client without an
+    /// `Origin` header is not a browser page and is accepted.
     pub fn push(&mut self, octets: &[u8], origins: &BTreeSet<String>) -> ServerHandshakeState {
-        self.head.extend_from_slice(octets);
-        let (length, request) = match Request::try_parse(&self.head) {
-            Ok(None) if self.head.len() > MAX_HEAD_OCTETS => {
+        self.received.extend_from_slice(octets);
+        let (length, request) = match Request::try_parse(&self.received) {
+            Ok(None) if self.received.len() > MAX_HEAD_OCTETS => {
                 return ServerHandshakeState::Rejected(HandshakeRejection::new(
                     431,
                     format!("the head is longer than {MAX_HEAD_OCTETS} octets"),
@@ -107,19 +108,19 @@
                 ));
             }
             Ok(Some(parsed)) => parsed,
-            Err(error) => return ServerHandshakeState::Rejected(turned(&error)),
+            Err(error) => return ServerHandshakeState::Rejected(rejection_for(&error)),
         };
-        match judge(&request, origins) {
+        match check_request(&request, origins) {
             Ok(response) => ServerHandshakeState::Valid(Box::new(UpgradeRequest {
                 response,
-                rest: self.head.split_off(length),
+                early_octets: self.received.split_off(length),
             })),
-            Err(reason) => ServerHandshakeState::Rejected(reason),
+            Err(rejection) => ServerHandshakeState::Rejected(rejection),
         }
     }
 }
 
-fn judge(request: &Request, origins: &BTreeSet<String>) -> Result<Response, HandshakeRejection> {
+fn check_request(request: &Request, origins: &BTreeSet<String>) -> Result<Response, HandshakeRejection> {
     if request.uri().path() != PATH {
         return Err(HandshakeRejection::new(404, format!("calls are asked for at {PATH}")));
     }
@@ -129,9 +130,9 @@
             return Err(HandshakeRejection::new(403, "pages of this origin may not ask for calls"));
         }
     }
-    let mut response = create_response(request).map_err(|error| turned(&error))?;
-    let mut named = header("Sec-WebSocket-Protocol").filter_map(|value| value.to_str().ok());
-    if !named.any(|list| list.split(',').any(|name| name.trim() == SUBPROTOCOL)) {
+    let mut response = create_response(request).map_err(|error| rejection_for(&error))?;
+    let mut offered = header("Sec-WebSocket-Protocol").filter_map(|value| value.to_str().ok());
+    if !offered.any(|list| list.split(',').any(|name| name.trim() == SUBPROTOCOL)) {
         return Err(HandshakeRejection::new(
             400,
             format!("Sec-WebSocket-Protocol does not name {SUBPROTOCOL}"),
@@ -141,7 +142,7 @@
     Ok(response)
 }
 
-fn turned(error: &Error) -> HandshakeRejection {
+fn rejection_for(error: &Error) -> HandshakeRejection {
     match error {
         Error::Protocol(ProtocolError::WrongHttpMethod) => {
             HandshakeRejection::new(405, "only GET is known here")
@@ -166,38 +167,38 @@
         Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\
         Sec-WebSocket-Protocol: other, mintstall.calls.v1\r\n\r\n";
 
-    fn knock(head: &str) -> Result<Vec<u8>, HandshakeRejection> {
+    fn handshake(head: &str) -> Result<Vec<u8>, HandshakeRejection> {
         let origins = ["https://ours.example".to_string()].into();
         match ServerHandshake::default().push(head.as_bytes(), &origins) {
-            ServerHandshakeState::Incomplete => panic!("not whole"),
-            ServerHandshakeState::Valid(wish) => Ok(std::mem::take(wish.accept(100).output())),
-            ServerHandshakeState::Rejected(reason) => Err(reason),
+            ServerHandshakeState::Incomplete => panic!("incomplete"),
+            ServerHandshakeState::Valid(request) => Ok(std::mem::take(request.accept(100).output())),
+            ServerHandshakeState::Rejected(rejection) => Err(rejection),
         }
     }
 
     #[test]
-    fn the_standard_s_own_example_is_let_in_however_it_is_cut() {
-        let response = String::from_utf8(knock(HEAD).unwrap()).unwrap().to_ascii_lowercase();
+    fn the_example_of_the_rfc_is_accepted_however_it_is_split() {
+        let response = String::from_utf8(handshake(HEAD).unwrap()).unwrap().to_ascii_lowercase();
         assert!(response.starts_with("http/1.1 101 "), "{response}");
         // RFC 6455 clause 1.3.
         assert!(response.contains("sec-websocket-accept: s3pplmbitxaq9kygzzhzrbk+xoo=\r\n"), "{response}");
         assert!(response.contains("sec-websocket-protocol: mintstall.calls.v1\r\n"), "{response}");
-        for cut in 1..HEAD.len() {
-            let mut door = ServerHandshake::default();
+        for split in 1..HEAD.len() {
+            let mut server = ServerHandshake::default();
             assert!(matches!(
-                door.push(&HEAD.as_bytes()[..cut], &BTreeSet::new()),
+                server.push(&HEAD.as_bytes()[..split], &BTreeSet::new()),
                 ServerHandshakeState::Incomplete
             ));
             assert!(matches!(
-                door.push(&HEAD.as_bytes()[cut..], &BTreeSet::new()),
+                server.push(&HEAD.as_bytes()[split..], &BTreeSet::new()),
                 ServerHandshakeState::Valid(_)
             ));
         }
     }
 
     #[test]
-    fn each_fault_of_a_handshake_has_its_status() {
-        let status = |head: &str| knock(head).map_err(|reason| reason.status).unwrap_err();
+    fn each_handshake_error_has_its_status() {
+        let status = |head: &str| handshake(head).map_err(|rejection| rejection.status).unwrap_err();
         assert_eq!(status(&HEAD.replace("/calls", "/")), 404);
         assert_eq!(status(&HEAD.replace("GET", "POST")), 405);
         assert_eq!(status(&HEAD.replace("Upgrade: websocket\r\n", "")), 426);
@@ -210,19 +211,19 @@
     }
 
     #[test]
-    fn a_page_of_another_origin_is_not_let_in() {
+    fn a_page_of_another_origin_is_rejected() {
         let from = |origin: &str| HEAD.replace("Host:", &format!("Origin: {origin}\r\nHost:"));
-        assert!(knock(&from("https://ours.example")).is_ok());
-        assert_eq!(knock(&from("https://ours.example.evil.example")).unwrap_err().status, 403);
-        assert_eq!(knock(&from("null")).unwrap_err().status, 403);
-        // Two origins: all must be known.
-        assert_eq!(knock(&from("https://ours.example\r\nOrigin: x")).unwrap_err().status, 403);
+        assert!(handshake(&from("https://ours.example")).is_ok());
+        assert_eq!(handshake(&from("https://ours.example.evil.example")).unwrap_err().status, 403);
+        assert_eq!(handshake(&from("null")).unwrap_err().status, 403);
+        // Two origins: all must be accepted.
+        assert_eq!(handshake(&from("https://ours.example\r\nOrigin: x")).unwrap_err().status, 403);
     }
 
     #[test]
-    fn who_is_turned_away_is_told_when_to_come_back() {
-        let reason = HandshakeRejection { status: 503, reason: "full".into(), retry_after_s: Some(2) };
-        let text = String::from_utf8(reason.to_octets()).unwrap();
+    fn a_rejection_carries_the_retry_time() {
+        let rejection = HandshakeRejection { status: 503, reason: "full".into(), retry_after_s: Some(2) };
+        let text = String::from_utf8(rejection.to_octets()).unwrap();
         assert!(
             text.contains("\r\nRetry-After: 2\r\n") && text.ends_with("Content-Length: 5\r\n\r\nfull\n"),
             "{text}"
