--- a/crates/limits/src/event_log.rs
+++ b/crates/limits/src/event_log.rs
@@ -40,7 +40,7 @@
 /// Events that a watcher gets at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventBatch<E> {
-    /// Events that were no longer kept when the watcher's turn came. Reading continues with the oldest kept event.
+    /// Events that were removed from the log before the watcher read them. The batch continues with the oldest kept event.
     pub missed: u64,
     pub events: Vec<(u64, E)>,
 }
