--- a/crates/callcontrol/src/actions.rs
+++ b/crates/callcontrol/src/actions.rs
@@ -1,21 +1,21 @@
-//! What an office acts through, and what it tells its callers.
+//! The outward actions of call control, the final answer of a call and the end of a standing call.
 
 use std::time::Duration;
 
 use mintstall::interface::{CallId, ExchangeNumber};
 
-/// Carries out what the office does. Everything takes effect at once, in the order called.
+/// Carries out the actions of call control. Each takes effect at once, in the order called.
 pub trait CallControlActions {
-    /// Octets for the link to an exchange.
+    /// Sends octets on the link to an exchange.
     fn send(&mut self, to: ExchangeNumber, octets: &[u8]);
-    /// The link to an exchange carried what makes no sense, or nothing for too long: it is to be closed. Its end is
-    /// told as any other.
+    /// Closes the link to an exchange, which carried invalid octets or was silent for too long. Its end is
+    /// reported by [`crate::CallControl::link_down`] like any other.
     fn close_link(&mut self, to: ExchangeNumber, why: &str);
-    /// The one final answer of a call.
+    /// Gives the one final answer of a call.
     fn answer(&mut self, call: CallId, answer: Answer);
-    /// A call that stood has ended.
-    fn ended(&mut self, call: CallId, end: CallEnd);
-    /// A change of mode, with the figures that caused it.
+    /// Reports the end of a standing call.
+    fn call_ended(&mut self, call: CallId, end: CallEnd);
+    /// Logs a line of level info: a change of state, with the figures that caused it.
     fn log_info(&mut self, line: &str);
 }
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Stands,
-    /// Nothing was carried out; the caller is asked to stay away for `retry_after` (zero: no word).
+    /// The call was not carried out; the caller may retry after `retry_after` (zero: no time is given).
     Refused {
         retry_after: Duration,
     },
@@ -33,10 +33,10 @@
 /// How a standing call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// Its caller hung up.
+    /// The caller hung up.
     HungUp,
     /// The called side released it.
     Released,
-    /// It was cut: a circuit, a link or an exchange on the way was lost.
+    /// A circuit, a link or an exchange on its path was lost.
     Cut,
 }
--- a/crates/callcontrol/src/callcontrol.rs
+++ b/crates/callcontrol/src/callcontrol.rs
@@ -1,4 +1,4 @@
-//! What callers, the roster, the exchange's own plant and the clock tell an office.
+//! Events from callers, the membership list, the exchange's own circuits and the clock.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use crate::circuits::{CircuitUse, TrunkGroup};
 use crate::config::{ANSWER_MARGIN, CallControlConfig};
 use crate::context::{CallControlState, EventContext};
-use crate::links::{Cleared, Link, LocalAspState, MAX_UNANSWERED_HEARTBEATS};
+use crate::links::{InitialReset, Link, LocalAspState, MAX_UNANSWERED_HEARTBEATS};
 use crate::status::Counters;
 use crate::timers::{Timer, TimerQueue};
 use crate::trace::{Trace, TraceStep, Traces};
@@ -31,551 +31,583 @@
     pub customer: CustomerId,
     pub dest: ExchangeNumber,
     pub dialled: DialledNumber,
-    /// How long the caller waits, from now.
-    pub left: Duration,
-    /// The tandem that a centre advises.
+    /// How long the caller waits, from the offer on.
+    pub time_left: Duration,
+    /// The tandem that the offer advises.
     pub advised: Option<ExchangeNumber>,
-    /// It stood, was cut, and comes again.
+    /// The call was cut while it stood, and is set up again.
     pub cut: bool,
     pub redial: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Service {
+enum ServiceState {
     Open,
-    /// No new calls; those in hand are finished.
+    /// New calls are refused; those in hand are finished.
     Closing,
 }
 
-/// One exchange's controller.
+/// Call control of one exchange, with its [`Controller`].
 pub struct CallControl {
     pub(crate) controller: Controller,
-    pub(crate) desk: CallControlState,
-    service: Service,
+    pub(crate) state: CallControlState,
+    service: ServiceState,
 }
 
-/// Digits of a called number that name the exchange; the rest is the number there.
-pub(crate) const OFFICE_DIGITS: usize = 5;
+/// Leading digits of a called number that are the exchange's number; the rest is the number at that exchange.
+pub(crate) const EXCHANGE_DIGITS: usize = 5;
 
-pub(crate) fn normal(location: Location) -> Rel<'static> {
+pub(crate) fn normal_clearing(location: Location) -> Rel<'static> {
     Rel::new(CauseIndicators::new(location, Q850::NormalClearing))
 }
 
-pub(crate) fn failure(cause: Q850) -> Rel<'static> {
+pub(crate) fn local_failure(cause: Q850) -> Rel<'static> {
     Rel::new(CauseIndicators::new(Location::Local, cause))
 }
 
 impl CallControl {
-    /// `incarnation` sets the call numbers of this process apart from those before it: it must grow with each start, by
-    /// one for each 2,048 calls that it may have taken. Milliseconds of a clock do.
-    pub fn new(now: Duration, plan: &CallControlConfig, incarnation: u64, seed: u64) -> Self {
+    /// `incarnation` keeps this process's call numbers apart from those of earlier processes: it must grow with each
+    /// start, by one for each 2,048 calls that the process before may have taken. Milliseconds of a clock suffice.
+    pub fn new(now: Duration, config: &CallControlConfig, incarnation: u64, seed: u64) -> Self {
         let group =
-            |group: &crate::GroupConfig| (group.to, TrunkGroup::new(plan.own, group.to, group.circuits));
-        let mut desk = CallControlState {
-            own: plan.own,
-            t: plan.timers,
-            max_calls: plan.max_calls,
-            widths: plan.data.call_types.iter().map(|of| of.width).collect(),
-            groups: plan.groups.iter().map(group).collect(),
-            links: plan.groups.iter().map(|group| (group.to, Link::default())).collect(),
+            |group: &crate::GroupConfig| (group.to, TrunkGroup::new(config.own, group.to, group.circuits));
+        let mut state = CallControlState {
+            own: config.own,
+            durations: config.timers,
+            max_calls: config.max_calls,
+            widths: config.controller.call_types.iter().map(|call_type| call_type.width).collect(),
+            groups: config.groups.iter().map(group).collect(),
+            links: config.groups.iter().map(|group| (group.to, Link::default())).collect(),
             audits: BTreeMap::new(),
             calls: BTreeMap::new(),
             timers: TimerQueue::default(),
-            // Apart from the decisions' own numbers, which a seed must leave as they are.
-            chance: MwcRng::new(!seed),
+            // A separate generator: the random draws of the controller stay the same for a seed.
+            rng: MwcRng::new(!seed),
             exchanges: BTreeMap::new(),
-            lines: plan.numbers.iter().map(|number| (number.dialled, (number.lines, 0))).collect(),
-            report: None,
-            after: VecDeque::new(),
-            changed: BTreeSet::new(),
-            // Below 2^63, above which the decisions keep numbers of their own.
-            // Below 2^53, so that clients without wider integers read it whole (RFC 8259 clause 6).
+            lines: config.numbers.iter().map(|number| (number.dialled, (number.lines, 0))).collect(),
+            own_report: None,
+            deferred: VecDeque::new(),
+            changed_groups: BTreeSet::new(),
+            // Below 2^63, since the controller uses the numbers above for itself, and below 2^53, so that clients
+            // without wider integers read it exactly (RFC 8259 clause 6).
             next_call: (incarnation << 11) & ((1 << 53) - 1),
-            owed: 0,
-            tally: Counters::default(),
-            traces: Traces::new(plan.traces),
-            frame: Vec::new(),
-            message: Vec::new(),
+            pending_answers: 0,
+            counters: Counters::default(),
+            traces: Traces::new(config.traces),
+            frame_buffer: Vec::new(),
+            message_buffer: Vec::new(),
         };
-        // The looks at the groups are spread over the time between two at one.
-        for (turn, to) in plan.groups.iter().map(|group| group.to).enumerate() {
-            let share = (turn + 1) as f64 / plan.groups.len() as f64;
-            let first = desk.with_jitter(plan.timers.audit.mul_f64(share));
-            desk.timers.set(now + first, Timer::Audit(to));
+        // The first audits of the groups are spread evenly over one audit interval.
+        for (position, to) in config.groups.iter().map(|group| group.to).enumerate() {
+            let share = (position + 1) as f64 / config.groups.len() as f64;
+            let first = state.with_jitter(config.timers.audit.mul_f64(share));
+            state.timers.set(now + first, Timer::Audit(to));
         }
-        Self { controller: Controller::new(&plan.data, seed), desk, service: Service::Open }
+        Self { controller: Controller::new(&config.controller, seed), state, service: ServiceState::Open }
     }
 
     pub fn own(&self) -> ExchangeNumber {
-        self.desk.own
+        self.state.own
     }
 
     /// When [`CallControl::on_timer`] is next to be called.
     pub fn next_timer(&self) -> Option<Duration> {
-        self.desk.timers.next()
+        self.state.timers.next_expiry()
     }
 
-    /// Whether a final answer is owed to any subscriber.
-    pub fn owes(&self) -> bool {
-        self.desk.owed > 0
+    /// Whether the final answer to any subscriber is outstanding.
+    pub fn has_pending_answers(&self) -> bool {
+        self.state.pending_answers > 0
     }
 
-    /// Whether a call has no answer yet, one in transit too, or a seizure is out whose caller has gone.
+    /// Whether any call, also in transit, has no answer yet, or a seizure is open whose caller has gone.
     pub fn has_unanswered_calls(&self) -> bool {
-        self.desk.calls.values().any(|leg| matches!(leg.sink, OutgoingSide::Open | OutgoingSide::Seized(_)))
+        self.state
+            .calls
+            .values()
+            .any(|record| matches!(record.outgoing, OutgoingSide::Open | OutgoingSide::Seized(_)))
     }
 
-    /// Whether a far end that can be reached has yet to complete a release or a reset.
+    /// Whether a release or a reset is not yet completed by a far end whose link is usable.
     pub fn awaits_release(&self) -> bool {
-        let there = |to: &ExchangeNumber| self.desk.links.get(to).is_some_and(Link::usable);
-        let leaves =
-            |used| matches!(used, CircuitUse::Releasing { .. } | CircuitUse::Resetting { timer: Some(_) });
-        let mut groups = self.desk.groups.iter().filter(|(to, _)| there(to));
-        groups.any(|(_, group)| group.all().any(|(_, circuit)| leaves(circuit.used)))
+        let reachable = |to: &ExchangeNumber| self.state.links.get(to).is_some_and(Link::is_usable);
+        let incomplete =
+            |usage| matches!(usage, CircuitUse::Releasing { .. } | CircuitUse::Resetting { timer: Some(_) });
+        let mut groups = self.state.groups.iter().filter(|(to, _)| reachable(to));
+        groups.any(|(_, group)| group.iter().any(|(_, circuit)| incomplete(circuit.usage)))
     }
 
-    /// Runs one thing that happens, and all that follows from it.
+    /// Handles one event, then the events deferred by it and the capacity reports of groups that it changed.
     pub(crate) fn handle_event(
         &mut self,
         now: Duration,
-        plant: &mut dyn CallControlActions,
-        first: impl FnOnce(&mut Controller, &mut EventContext),
+        actions: &mut dyn CallControlActions,
+        event: impl FnOnce(&mut Controller, &mut EventContext),
     ) {
-        let w = &mut EventContext { desk: &mut self.desk, plant, now };
-        first(&mut self.controller, w);
+        let context = &mut EventContext { state: &mut self.state, actions, now };
+        event(&mut self.controller, context);
         loop {
-            if let Some(step) = w.desk.after.pop_front() {
-                step(&mut self.controller, w);
-            } else if let Some(office) = w.desk.changed.pop_first() {
-                let report = w.desk.group_report(office);
-                let there: Vec<ExchangeId> = w.desk.exchanges_at(office).collect();
-                there.into_iter().for_each(|id| self.controller.on_capacity_report(now, w, id, &report));
+            if let Some(deferred) = context.state.deferred.pop_front() {
+                deferred(&mut self.controller, context);
+            } else if let Some(number) = context.state.changed_groups.pop_first() {
+                let report = context.state.group_report(number);
+                let exchanges: Vec<ExchangeId> = context.state.exchanges_at(number).collect();
+                exchanges
+                    .into_iter()
+                    .for_each(|id| self.controller.on_capacity_report(now, context, id, &report));
             } else {
                 break;
             }
         }
     }
 
-    /// The whole roster. `started` is by the same clock as `now`; zero means long ago.
-    pub fn roster(&mut self, now: Duration, plant: &mut dyn CallControlActions, lines: &[ExchangeEntry]) {
-        self.handle_event(now, plant, |controller, w| {
-            w.desk.exchanges.clear();
-            w.desk.note_roster(lines);
-            controller.on_membership(now, w, lines);
+    /// Takes the full membership list. `started` is on the same clock as `now`; zero means long ago.
+    pub fn on_membership(
+        &mut self,
+        now: Duration,
+        actions: &mut dyn CallControlActions,
+        entries: &[ExchangeEntry],
+    ) {
+        self.handle_event(now, actions, |controller, context| {
+            context.state.exchanges.clear();
+            context.state.update_exchanges(entries);
+            controller.on_membership(now, context, entries);
         });
     }
 
-    /// Changed lines of the roster only.
-    pub fn roster_changes(
+    /// Takes the changed entries of the membership list.
+    pub fn on_membership_changes(
         &mut self,
         now: Duration,
-        plant: &mut dyn CallControlActions,
-        lines: &[ExchangeEntry],
+        actions: &mut dyn CallControlActions,
+        entries: &[ExchangeEntry],
     ) {
-        self.handle_event(now, plant, |controller, w| {
-            w.desk.note_roster(lines);
-            controller.on_membership_changes(now, w, lines);
+        self.handle_event(now, actions, |controller, context| {
+            context.state.update_exchanges(entries);
+            controller.on_membership_changes(now, context, entries);
         });
     }
 
-    /// What the own processor says of itself; goes along with the next answers.
-    pub fn processor(&mut self, report: ProcessorReport) {
-        self.desk.report = Some(report);
+    /// Sets the report of the own processor, which is sent along with answers and releases.
+    pub fn set_processor_report(&mut self, report: ProcessorReport) {
+        self.state.own_report = Some(report);
     }
 
-    /// What became of one of the last calls.
+    /// The trace of one of the last calls.
     pub fn trace(&self, call: CallId) -> Option<&Trace> {
-        self.desk.traces.get(call)
+        self.state.traces.get(call)
     }
 
-    /// What became here of a call that an exchange took, this one or another.
+    /// The traces here of a call, by the exchange of its origin, which may be this one, and its number there.
     pub fn traces_of(&self, origin: ExchangeNumber, call: u64) -> impl Iterator<Item = &Trace> {
-        self.desk.traces.of(origin, call)
+        self.state.traces.by_origin(origin, call)
     }
 
-    /// A number for the next call, never used twice.
+    /// Draws the number of the next call; no number is used twice.
     pub fn next_call(&mut self) -> CallId {
-        self.desk.next_call += 1;
-        CallId(self.desk.next_call)
+        self.state.next_call += 1;
+        CallId(self.state.next_call)
     }
 
-    /// A subscriber asks for a call; it gets exactly one final answer, maybe before this returns.
+    /// A subscriber offers a call. It gets exactly one final answer, possibly before this returns.
     pub fn offer(
         &mut self,
         now: Duration,
-        plant: &mut dyn CallControlActions,
+        actions: &mut dyn CallControlActions,
         call: CallId,
-        order: CallRequest,
+        request: CallRequest,
     ) {
-        let closing = self.service == Service::Closing;
-        self.handle_event(now, plant, |controller, w| {
-            w.desk.tally.offered += 1;
-            let full = w.desk.calls.len() >= w.desk.max_calls;
-            w.desk.tally.overflow += u64::from(full);
-            let called = Number::empty().append_decimal(order.dest.0.into(), OFFICE_DIGITS);
-            let called = called.and_then(|office| office.append_decimal(order.dialled.0, 1));
-            let width = w.desk.widths.get(usize::from(order.call_type.0)).copied();
-            let until = now.saturating_add(order.left).saturating_sub(ANSWER_MARGIN);
-            let (Some(called), Some(width)) = (called.filter(|_| !closing && !full && until > now), width)
+        let closing = self.service == ServiceState::Closing;
+        self.handle_event(now, actions, |controller, context| {
+            context.state.counters.offered += 1;
+            let full = context.state.calls.len() >= context.state.max_calls;
+            context.state.counters.overflow += u64::from(full);
+            let called = Number::empty().append_decimal(request.dest.0.into(), EXCHANGE_DIGITS);
+            let called = called.and_then(|digits| digits.append_decimal(request.dialled.0, 1));
+            let width = context.state.widths.get(usize::from(request.call_type.0)).copied();
+            let deadline = now.saturating_add(request.time_left).saturating_sub(ANSWER_MARGIN);
+            let (Some(called), Some(width)) = (called.filter(|_| !closing && !full && deadline > now), width)
             else {
-                w.desk.tally.refused += 1;
-                return w.plant.answer(call, Answer::Refused { retry_after: Duration::ZERO });
+                context.state.counters.refused += 1;
+                return context.actions.answer(call, Answer::Refused { retry_after: Duration::ZERO });
             };
             let identity = CallIdentity {
-                origin: w.desk.own.0,
+                origin: context.state.own.0,
                 call: call.0,
                 seizure: 0,
-                call_type: order.call_type.0,
-                customer: order.customer.0,
+                call_type: request.call_type.0,
+                customer: request.customer.0,
                 time_left_ms: 0,
-                cut: order.cut,
-                redial: order.redial,
+                cut: request.cut,
+                redial: request.redial,
             };
-            w.desk.owed += 1;
-            let step = TraceStep::Offered { left: order.left };
-            w.desk.traces.begin(now, call, identity, order.dest, order.dialled.0, step);
-            let guard = w.desk.timers.set(until, Timer::Guard(call));
-            w.desk.calls.insert(
+            context.state.pending_answers += 1;
+            let step = TraceStep::Offered { time_left: request.time_left };
+            context.state.traces.start(now, call, identity, request.dest, request.dialled.0, step);
+            let guard_timer = context.state.timers.set(deadline, Timer::GuardTime(call));
+            context.state.calls.insert(
                 call,
                 CallRecord {
-                    source: IncomingSide::Subscriber,
-                    sink: OutgoingSide::Open,
+                    incoming: IncomingSide::Subscriber,
+                    outgoing: OutgoingSide::Open,
                     identity,
                     called,
-                    dialled: order.dialled.0,
-                    dest: order.dest,
+                    dialled: request.dialled.0,
+                    dest: request.dest,
                     width,
-                    until,
-                    guard: Some(guard),
-                    alarm: None,
-                    seizures: 0,
-                    last: None,
+                    deadline,
+                    guard_timer: Some(guard_timer),
+                    controller_timer: None,
+                    seizure_count: 0,
+                    last_cause: None,
                 },
             );
-            let offer = w.desk.offer(call, order.advised);
-            offer.into_iter().for_each(|offer| controller.on_offer(now, w, offer));
+            let offer = context.state.offer(call, request.advised);
+            offer.into_iter().for_each(|offer| controller.on_offer(now, context, offer));
         });
     }
 
-    /// The caller hangs up, or gives up. `false`: no such call is in hand.
-    pub fn hang_up(&mut self, now: Duration, plant: &mut dyn CallControlActions, call: CallId) -> bool {
-        let leg = self.desk.calls.get(&call);
-        let known = leg.is_some_and(|leg| matches!(leg.source, IncomingSide::Subscriber));
+    /// The caller hangs up or gives up. Returns `false` if no such call is in hand.
+    pub fn hang_up(&mut self, now: Duration, actions: &mut dyn CallControlActions, call: CallId) -> bool {
+        let record = self.state.calls.get(&call);
+        let known = record.is_some_and(|record| matches!(record.incoming, IncomingSide::Subscriber));
         if known {
-            self.handle_event(now, plant, |controller, w| {
-                w.caller_gone(controller, call, normal(Location::User))
+            self.handle_event(now, actions, |controller, context| {
+                context.caller_gone(controller, call, normal_clearing(Location::User))
             });
         }
         known
     }
 
-    /// Circuits to an exchange, from a place in the group on, fail or come back. Calls on those that fail are cut, and
-    /// the far end is told (Q.764 clause 2.8.2.2, hardware failure).
-    pub fn circuits(
+    /// Sets how many circuits to an exchange are in service: those with a lower index in the group. Calls on circuits
+    /// that fail are cut, and the far end gets a blocking message (Q.764 clause 2.8.2.2, hardware failure).
+    pub fn set_circuits_in_service(
         &mut self,
         now: Duration,
-        plant: &mut dyn CallControlActions,
+        actions: &mut dyn CallControlActions,
         to: ExchangeNumber,
         in_service: u16,
     ) {
-        self.handle_event(now, plant, |controller, w| {
-            let Some(group) = w.desk.groups.get(&to) else { return };
-            let change = |index: u16, here: bool| here != (index >= in_service);
+        self.handle_event(now, actions, |controller, context| {
+            let Some(group) = context.state.groups.get(&to) else { return };
+            let changes = |index: u16, blocked: bool| blocked != (index >= in_service);
             let indices: Vec<_> =
-                group.all().map(|(index, circuit)| (index, circuit.blocked.here())).collect();
-            let changed: Vec<_> = indices.into_iter().filter(|(index, here)| change(*index, *here)).collect();
-            for (fails, name) in [(true, "fail"), (false, "come back")] {
-                let indices: Vec<_> =
-                    changed.iter().filter(|(_, here)| *here != fails).map(|(index, _)| *index).collect();
+                group.iter().map(|(index, circuit)| (index, circuit.blocking.is_local())).collect();
+            let changed: Vec<_> =
+                indices.into_iter().filter(|(index, blocked)| changes(*index, *blocked)).collect();
+            for (fails, event) in [(true, "failed"), (false, "restored")] {
+                let indices: Vec<_> = changed
+                    .iter()
+                    .filter(|(_, blocked)| *blocked != fails)
+                    .map(|(index, _)| *index)
+                    .collect();
                 if indices.is_empty() {
                     continue;
                 }
-                w.plant.log_info(&format!(
-                    "exchange {}: {} circuits {name}, {in_service} in service",
+                context.actions.log_info(&format!(
+                    "exchange {}: {} circuits {event}, {in_service} in service",
                     to.0,
                     indices.len()
                 ));
-                // All are blocked before any call is cut: what its end sets free must not seize one that fails next.
-                if let Some(group) = w.desk.groups.get_mut(&to) {
+                // All are blocked before any call is cut: a call that its end lets through must not seize a circuit that
+                // fails next.
+                if let Some(group) = context.state.groups.get_mut(&to) {
                     indices.iter().for_each(|index| group.block(*index, Some(fails), None));
                 }
                 for index in indices.iter().filter(|_| fails) {
-                    w.circuit_fails(controller, to, *index);
+                    context.on_circuit_failure(controller, to, *index);
                 }
-                w.desk.changed.insert(to);
-                w.tell_blocked(to, &indices, fails);
+                context.state.changed_groups.insert(to);
+                context.send_blocking(to, &indices, fails);
             }
         });
     }
 
-    /// No new calls from now on; what is in hand is finished.
+    /// Refuses new calls from now on; calls in hand are finished.
     pub fn stop(&mut self) {
-        self.service = Service::Closing;
+        self.service = ServiceState::Closing;
     }
 
-    /// Lets go of all calls that stand; those that wait for an answer fail.
-    pub fn release_all(&mut self, now: Duration, plant: &mut dyn CallControlActions) {
-        // Calls that are held go first: what is let go next would give them a way, and set-ups would go out.
-        let holds = |leg: &CallRecord| !matches!(leg.sink, OutgoingSide::Open);
-        let mut calls: Vec<_> = self.desk.calls.iter().map(|(call, leg)| (holds(leg), *call)).collect();
+    /// Releases all standing calls; those that wait for an answer fail.
+    pub fn release_all(&mut self, now: Duration, actions: &mut dyn CallControlActions) {
+        // Calls without an open seizure go first: the release of another call would let the controller seize for them.
+        let has_seizure = |record: &CallRecord| !matches!(record.outgoing, OutgoingSide::Open);
+        let mut calls: Vec<_> =
+            self.state.calls.iter().map(|(call, record)| (has_seizure(record), *call)).collect();
         calls.sort_unstable();
         for (_, call) in calls {
-            self.handle_event(now, plant, |controller, w| {
-                let standing = w.desk.calls.get(&call).is_some_and(|leg| {
-                    matches!((&leg.source, &leg.sink), (IncomingSide::Subscriber, OutgoingSide::Standing(_)))
+            self.handle_event(now, actions, |controller, context| {
+                let standing = context.state.calls.get(&call).is_some_and(|record| {
+                    matches!(
+                        (&record.incoming, &record.outgoing),
+                        (IncomingSide::Subscriber, OutgoingSide::Standing(_))
+                    )
                 });
-                w.caller_gone(controller, call, failure(Q850::OutOfOrder));
-                // What is still out may not be cancelled, or its caller had gone before: nobody is left to await its end.
-                if let Some(CallRecord { sink: OutgoingSide::Seized(OutgoingSeizure { no, .. }), .. }) =
-                    w.desk.calls.get(&call)
+                context.caller_gone(controller, call, local_failure(Q850::OutOfOrder));
+                // A seizure that is still open may not be cancelled by the controller, or its caller had gone before:
+                // nothing waits for its end any more.
+                if let Some(CallRecord {
+                    outgoing: OutgoingSide::Seized(OutgoingSeizure { number, .. }),
+                    ..
+                }) = context.state.calls.get(&call)
                 {
-                    let no = *no;
-                    w.cancel(call, no);
+                    let number = *number;
+                    context.cancel(call, number);
                 }
                 if standing {
-                    w.desk.tally.cut += 1;
-                    w.trace(call, TraceStep::Ended(CallEnd::Cut));
-                    w.plant.ended(call, CallEnd::Cut);
+                    context.state.counters.cut += 1;
+                    context.trace(call, TraceStep::Ended(CallEnd::Cut));
+                    context.actions.call_ended(call, CallEnd::Cut);
                 }
             });
         }
     }
 
-    /// The connection to an exchange is open.
-    pub fn link_up(&mut self, now: Duration, plant: &mut dyn CallControlActions, to: ExchangeNumber) {
-        self.handle_event(now, plant, |_, w| {
-            let Some(link) = w.desk.links.get_mut(&to) else { return };
-            link.phase = LocalAspState::Announcing;
-            link.far = Default::default();
+    /// The connection to an exchange is established.
+    pub fn link_up(&mut self, now: Duration, actions: &mut dyn CallControlActions, to: ExchangeNumber) {
+        self.handle_event(now, actions, |_, context| {
+            let Some(link) = context.state.links.get_mut(&to) else { return };
+            link.local_state = LocalAspState::Announcing;
+            link.remote_state = Default::default();
             link.deframer = Default::default();
-            link.unanswered = 0;
-            w.announce(to);
+            link.unanswered_heartbeats = 0;
+            context.send_asp_request(to);
         });
     }
 
-    /// It is gone.
-    pub fn link_down(&mut self, now: Duration, plant: &mut dyn CallControlActions, to: ExchangeNumber) {
-        self.handle_event(now, plant, |controller, w| w.link_lost(controller, to));
+    /// The connection to an exchange is lost.
+    pub fn link_down(&mut self, now: Duration, actions: &mut dyn CallControlActions, to: ExchangeNumber) {
+        self.handle_event(now, actions, |controller, context| context.on_link_lost(controller, to));
     }
 
-    /// Rings all that is due.
-    pub fn on_timer(&mut self, now: Duration, plant: &mut dyn CallControlActions) {
-        while let Some(timer) = self.desk.timers.due(now) {
-            self.handle_event(now, plant, |controller, w| match timer {
-                Timer::Alarm(alarm) => {
-                    if let Some(leg) = w.desk.calls.get_mut(&CallId(alarm.0)) {
-                        leg.alarm = None;
+    /// Handles all timers that are due.
+    pub fn on_timer(&mut self, now: Duration, actions: &mut dyn CallControlActions) {
+        while let Some(timer) = self.state.timers.pop_due(now) {
+            self.handle_event(now, actions, |controller, context| match timer {
+                Timer::Controller(timer) => {
+                    if let Some(record) = context.state.calls.get_mut(&CallId(timer.0)) {
+                        record.controller_timer = None;
                     }
-                    controller.on_timer(now, w, alarm);
+                    controller.on_timer(now, context, timer);
                 }
-                Timer::Limit(call, no) => w.limit_passed(controller, call, no),
-                Timer::Guard(call) => w.time_up(controller, call),
-                Timer::Circuit(to, index) => w.circuit_timer(to, index),
-                Timer::GroupReset(to, index) => w.reset_system(to, index, w.desk.t.t17),
-                Timer::Link(to) => w.link_timer(to),
-                Timer::Audit(to) => w.audit(to),
-                Timer::LinkGrace(to) => w.link_grace(controller, to),
+                Timer::SeizureLimit(call, number) => context.on_seizure_limit(controller, call, number),
+                Timer::GuardTime(call) => context.on_guard_time(controller, call),
+                Timer::Circuit(to, index) => context.on_circuit_timer(to, index),
+                Timer::GroupReset(to, index) => context.reset_system(to, index, context.state.durations.t17),
+                Timer::Link(to) => context.on_link_timer(to),
+                Timer::Audit(to) => context.send_circuit_query(to),
+                Timer::LinkGrace(to) => context.on_link_grace(controller, to),
             });
         }
     }
 
     pub(crate) fn closing(&self) -> bool {
-        self.service == Service::Closing
+        self.service == ServiceState::Closing
     }
 }
 
 impl CallControlState {
-    fn note_roster(&mut self, lines: &[ExchangeEntry]) {
-        for line in lines {
-            self.exchanges.insert(line.id, line.number);
-            self.changed.insert(line.number);
+    fn update_exchanges(&mut self, entries: &[ExchangeEntry]) {
+        for entry in entries {
+            self.exchanges.insert(entry.id, entry.number);
+            self.changed_groups.insert(entry.number);
         }
-        // A machine that is gone and replaced is named no more.
-        for gone in lines.iter().filter(|line| line.status == ExchangeStatus::Gone) {
+        // An exchange that is gone is removed once another one has its number.
+        for gone in entries.iter().filter(|entry| entry.status == ExchangeStatus::Gone) {
             if self.exchanges_at(gone.number).any(|id| id != gone.id) {
                 self.exchanges.remove(&gone.id);
             }
         }
     }
 
-    /// What the decisions are told of a call.
+    /// The offer of a call to the controller.
     pub fn offer(&self, call: CallId, advised: Option<ExchangeNumber>) -> Option<CallOffer> {
-        let leg = self.calls.get(&call)?;
-        let (transit, advised) = match &leg.source {
+        let record = self.calls.get(&call)?;
+        let (transit, advised) = match &record.incoming {
             IncomingSide::Trunk(held) => (true, Some(held.to)),
             _ => (false, advised),
         };
         Some(CallOffer {
             call,
-            call_type: CallType(leg.identity.call_type),
-            customer: CustomerId(leg.identity.customer),
-            dialled: DialledNumber(leg.dialled),
-            deadline: leg.until,
-            dest: leg.dest,
-            width: leg.width,
+            call_type: CallType(record.identity.call_type),
+            customer: CustomerId(record.identity.customer),
+            dialled: DialledNumber(record.dialled),
+            deadline: record.deadline,
+            dest: record.dest,
+            width: record.width,
             advised,
             transit,
-            cut: leg.identity.cut,
-            redial: leg.identity.redial,
+            cut: record.identity.cut,
+            redial: record.identity.redial,
         })
     }
 }
 
 impl EventContext<'_> {
-    /// The side a call came from is gone; `rel` goes to what it holds on the other side. A subscriber to whom an
-    /// answer is owed gets it at once.
+    /// The incoming side of a call is gone; `rel` is sent on the circuits that the call holds on the outgoing side. A
+    /// subscriber without a final answer gets it at once.
     pub fn caller_gone(&mut self, controller: &mut Controller, call: CallId, rel: Rel) {
         let now = self.now;
         self.trace(call, TraceStep::CallerGone(rel.cause.cause));
-        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
-        match std::mem::replace(&mut leg.sink, OutgoingSide::Open) {
+        let Some(record) = self.state.calls.get_mut(&call) else { return };
+        match std::mem::replace(&mut record.outgoing, OutgoingSide::Open) {
             OutgoingSide::OwnSubscriber => {
-                self.line_free(call);
-                self.let_go_source(call, &rel);
-                self.desk.drop_leg(call);
+                self.free_line(call);
+                self.release_incoming(call, &rel);
+                self.state.remove_call(call);
             }
-            OutgoingSide::Standing(out) => {
+            OutgoingSide::Standing(seizure) => {
                 let cut = rel.cause.cause != Q850::NormalClearing;
-                self.release_held(&out.held, rel);
-                self.let_go_source(call, &failure(Q850::OutOfOrder));
-                self.desk.drop_leg(call);
+                self.release_held(&seizure.held, rel);
+                self.release_incoming(call, &local_failure(Q850::OutOfOrder));
+                self.state.remove_call(call);
                 let cause = if cut { Cause::Cut } else { Cause::Done };
-                controller.on_seizure_ended(now, self, &out.ended(call, now, cause, true));
+                controller.on_seizure_ended(now, self, &seizure.end_event(call, now, cause, true));
             }
-            sink @ (OutgoingSide::Open | OutgoingSide::Seized(_)) => {
-                leg.sink = sink;
-                let source = std::mem::replace(&mut leg.source, IncomingSide::Gone);
-                leg.guard.take().into_iter().for_each(|set| self.desk.timers.stop(set));
-                match source {
+            outgoing @ (OutgoingSide::Open | OutgoingSide::Seized(_)) => {
+                record.outgoing = outgoing;
+                let incoming = std::mem::replace(&mut record.incoming, IncomingSide::Gone);
+                record.guard_timer.take().into_iter().for_each(|timer| self.state.timers.cancel(timer));
+                match incoming {
                     IncomingSide::Subscriber => {
-                        self.desk.owed -= 1;
-                        self.desk.tally.failed += 1;
+                        self.state.pending_answers -= 1;
+                        self.state.counters.failed += 1;
                         self.trace(call, TraceStep::Answered(Answer::Fails));
-                        self.plant.answer(call, Answer::Fails);
+                        self.actions.answer(call, Answer::Fails);
                     }
-                    IncomingSide::Trunk(held) => self.let_go(&held, &rel),
+                    IncomingSide::Trunk(held) => self.release_if_seized(&held, &rel),
                     IncomingSide::Gone => {}
                 }
                 controller.on_caller_gone(now, self, call);
-                self.desk.finish(call);
+                self.state.remove_if_finished(call);
             }
         }
     }
 
-    /// Releases circuits that are still taken by their call; those that the far end let go are left as they are.
-    pub fn let_go(&mut self, held: &HeldCircuits, rel: &Rel) {
-        let group = self.desk.groups.get(&held.to);
-        let taken = group
+    /// Releases circuits that still carry their call; those that the far end has released stay as they are.
+    pub fn release_if_seized(&mut self, held: &HeldCircuits, rel: &Rel) {
+        let group = self.state.groups.get(&held.to);
+        let in_use = group
             .and_then(|group| group.get(held.first()))
-            .is_some_and(|circuit| circuit.used.call().is_some());
-        if taken {
+            .is_some_and(|circuit| circuit.usage.call().is_some());
+        if in_use {
             self.release_held(held, Rel { unknown_parameters: Vec::new(), ..rel.clone() });
         }
     }
 
-    fn let_go_source(&mut self, call: CallId, rel: &Rel) {
-        if let Some(CallRecord { source: IncomingSide::Trunk(held), .. }) = self.desk.calls.get(&call) {
+    fn release_incoming(&mut self, call: CallId, rel: &Rel) {
+        if let Some(CallRecord { incoming: IncomingSide::Trunk(held), .. }) = self.state.calls.get(&call) {
             let held = held.clone();
-            self.let_go(&held, rel);
+            self.release_if_seized(&held, rel);
         }
     }
 
-    pub fn line_free(&mut self, call: CallId) {
-        let Some(leg) = self.desk.calls.get(&call) else { return };
-        if let Some((_, taken)) = self.desk.lines.get_mut(&leg.dialled) {
+    pub fn free_line(&mut self, call: CallId) {
+        let Some(record) = self.state.calls.get(&call) else { return };
+        if let Some((_, taken)) = self.state.lines.get_mut(&record.dialled) {
             *taken = taken.saturating_sub(1);
         }
     }
 
-    /// A seizure passed its limit: its circuits stay taken until the far end has let go.
-    fn limit_passed(&mut self, controller: &mut Controller, call: CallId, no: SeizureNumber) {
-        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
-        match std::mem::replace(&mut leg.sink, OutgoingSide::Open) {
-            OutgoingSide::Seized(out) if out.no == no => {
-                leg.last = Some(Cause::TimedOut);
-                self.desk.tally.timed_out += 1;
+    /// A seizure has reached its time limit: its circuits stay taken until the far end has released them.
+    fn on_seizure_limit(&mut self, controller: &mut Controller, call: CallId, number: SeizureNumber) {
+        let Some(record) = self.state.calls.get_mut(&call) else { return };
+        match std::mem::replace(&mut record.outgoing, OutgoingSide::Open) {
+            OutgoingSide::Seized(seizure) if seizure.number == number => {
+                record.last_cause = Some(Cause::TimedOut);
+                self.state.counters.timed_out += 1;
                 self.trace(
                     call,
-                    TraceStep::SeizureEnded { no, cause: Cause::TimedOut, elapsed: self.now - out.at },
+                    TraceStep::SeizureEnded {
+                        seizure: number,
+                        cause: Cause::TimedOut,
+                        elapsed: self.now - seizure.sent_at,
+                    },
                 );
-                self.release_held(&out.held, failure(Q850::RecoveryOnTimer));
-                let closed = self.desk.closed(call);
+                self.release_held(&seizure.held, local_failure(Q850::RecoveryOnTimer));
+                let closed = self.state.has_final_answer(call);
                 let now = self.now;
-                controller.on_seizure_ended(now, self, &out.ended(call, now, Cause::TimedOut, closed));
-                self.desk.finish(call);
+                controller.on_seizure_ended(
+                    now,
+                    self,
+                    &seizure.end_event(call, now, Cause::TimedOut, closed),
+                );
+                self.state.remove_if_finished(call);
             }
-            other => leg.sink = other,
+            other => record.outgoing = other,
         }
     }
 
-    /// The caller's time is up, and the decisions have not answered: they are told that the caller is gone.
-    fn time_up(&mut self, controller: &mut Controller, call: CallId) {
-        if let Some(leg) = self.desk.calls.get_mut(&call) {
-            leg.guard = None;
-            if matches!(leg.sink, OutgoingSide::Open | OutgoingSide::Seized(_)) {
-                self.caller_gone(controller, call, failure(Q850::RecoveryOnTimer));
+    /// The caller's deadline has passed without an answer: to the controller the caller is gone.
+    fn on_guard_time(&mut self, controller: &mut Controller, call: CallId) {
+        if let Some(record) = self.state.calls.get_mut(&call) {
+            record.guard_timer = None;
+            if matches!(record.outgoing, OutgoingSide::Open | OutgoingSide::Seized(_)) {
+                self.caller_gone(controller, call, local_failure(Q850::RecoveryOnTimer));
             }
         }
     }
 
-    /// T1 and T5 of a circuit that is being let go, T16 and T17 of one being reset (Q.764 table A.1).
-    fn circuit_timer(&mut self, to: ExchangeNumber, index: u16) {
-        let (now, t) = (self.now, self.desk.t);
-        let Some(group) = self.desk.groups.get(&to) else { return };
-        let Some(used) = group.get(index).map(|circuit| circuit.used) else { return };
-        let held = HeldCircuits { to, indices: group.together(index) };
-        match used {
-            CircuitUse::Releasing { since, .. } if now >= since + t.t5 => {
-                self.plant.log_info(&format!(
-                    "exchange {}: circuit {} not released in {:?}, reset",
+    /// T1 and T5 of a circuit that is being released, T16 and T17 of one that is being reset (Q.764 table A.1).
+    fn on_circuit_timer(&mut self, to: ExchangeNumber, index: u16) {
+        let (now, durations) = (self.now, self.state.durations);
+        let Some(group) = self.state.groups.get(&to) else { return };
+        let Some(usage) = group.get(index).map(|circuit| circuit.usage) else { return };
+        let held = HeldCircuits { to, indices: group.with_released(index) };
+        match usage {
+            CircuitUse::Releasing { since, .. } if now >= since + durations.t5 => {
+                self.actions.log_info(&format!(
+                    "exchange {}: circuit {} not released in {:?}, resetting it",
                     to.0,
                     Cic::from_index(index).0,
-                    t.t5
+                    durations.t5
                 ));
                 self.reset_held(&held);
             }
             CircuitUse::Releasing { since, .. } => {
-                self.desk.tally.releases_repeated += 1;
-                self.send(to, Cic::from_index(index), Body::Rel(normal(Location::Local)));
-                // The last of these is past T5, and apart from those of others.
-                let again = now + self.desk.with_jitter(t.t1);
-                let timer = self.desk.timers.set(again, Timer::Circuit(to, index));
-                self.put_first(&held, CircuitUse::Releasing { since, timer });
+                self.state.counters.releases_repeated += 1;
+                self.send(to, Cic::from_index(index), Body::Rel(normal_clearing(Location::Local)));
+                // The timer that passes T5 leads to the reset; the jitter keeps it apart from those of other exchanges.
+                let again = now + self.state.with_jitter(durations.t1);
+                let timer = self.state.timers.set(again, Timer::Circuit(to, index));
+                self.set_signalling_usage(&held, CircuitUse::Releasing { since, timer });
             }
             CircuitUse::Resetting { .. } => {
                 self.send(to, Cic::from_index(index), Body::Rsc);
-                let timer = Some(self.reset_timer(to, index, t.t17));
-                self.put_first(&held, CircuitUse::Resetting { timer });
+                let timer = Some(self.reset_timer(to, index, durations.t17));
+                self.set_signalling_usage(&held, CircuitUse::Resetting { timer });
             }
             _ => {}
         }
     }
 
-    /// A circuit's hardware failed: its call is cut and it is idle behind its block, without a release.
-    pub fn circuit_fails(&mut self, controller: &mut Controller, to: ExchangeNumber, index: u16) {
-        let used = self.desk.groups.get(&to).and_then(|group| group.get(index)).map(|circuit| circuit.used);
-        match used {
+    /// A circuit's hardware failed: its call is cut, and the blocked circuit becomes idle without a release.
+    pub fn on_circuit_failure(&mut self, controller: &mut Controller, to: ExchangeNumber, index: u16) {
+        let usage =
+            self.state.groups.get(&to).and_then(|group| group.get(index)).map(|circuit| circuit.usage);
+        match usage {
             Some(CircuitUse::Idle | CircuitUse::ReleasedWith(_)) | None => {}
             Some(CircuitUse::Releasing { .. } | CircuitUse::Resetting { .. }) => self.idle(to, index),
-            Some(used) => {
-                // Both ends see the failure, and let go of all circuits of a wider call at once.
-                let rel = failure(Q850::TemporaryFailure);
-                used.call().into_iter().for_each(|call| {
+            Some(usage) => {
+                // Both ends see the failure, and free all circuits of a wider call at once.
+                let rel = local_failure(Q850::TemporaryFailure);
+                usage.call().into_iter().for_each(|call| {
                     self.on_circuits_lost(
                         controller,
                         call,
                         (to, index),
                         Cause::Cut,
                         &rel,
-                        HeldCircuits::idle,
+                        HeldCircuits::set_idle,
                     );
                 });
             }
         }
     }
 
-    /// Blocks or unblocks circuits at the far end, a message a system (Q.763 clause 3.13: hardware failure).
-    pub fn tell_blocked(&mut self, to: ExchangeNumber, indices: &[u16], blocked: bool) {
+    /// Blocks or unblocks circuits at the far end, with one message for each system (Q.763 clause 3.13: hardware
+    /// failure).
+    pub fn send_blocking(&mut self, to: ExchangeNumber, indices: &[u16], blocked: bool) {
         const HARDWARE: u8 = 1;
         for system in indices.chunk_by(|a, b| a / Cic::PER_SYSTEM == b / Cic::PER_SYSTEM) {
             let (first, last) = (system[0], system[system.len() - 1]);
@@ -589,126 +621,133 @@
         }
     }
 
-    fn announce(&mut self, to: ExchangeNumber) {
-        let own = u32::from(self.desk.own.0);
-        let again = self.now + self.desk.with_jitter(self.desk.t.link_ack);
-        let Some(link) = self.desk.links.get_mut(&to) else { return };
-        let frame = match link.phase {
+    /// Sends the ASP Up or ASP Active that is due, again after T(ack) if it is not acknowledged.
+    fn send_asp_request(&mut self, to: ExchangeNumber) {
+        let own = u32::from(self.state.own.0);
+        let again = self.now + self.state.with_jitter(self.state.durations.link_ack);
+        let Some(link) = self.state.links.get_mut(&to) else { return };
+        let frame = match link.local_state {
             LocalAspState::Announcing => Frame::AspUp { asp: Some(own) },
             LocalAspState::Activating => Frame::AspActive,
             LocalAspState::Down | LocalAspState::Active => return,
         };
-        let set = self.desk.timers.set(again, Timer::Link(to));
-        link.timer.replace(set).into_iter().for_each(|before| self.desk.timers.stop(before));
+        let timer = self.state.timers.set(again, Timer::Link(to));
+        link.timer.replace(timer).into_iter().for_each(|before| self.state.timers.cancel(before));
         self.send_frame(to, frame);
     }
 
-    /// The own end is up at the far one: asks to take traffic.
-    pub fn activate(&mut self, to: ExchangeNumber) {
+    /// The far end has acknowledged the own ASP Up: sends ASP Active.
+    pub fn on_asp_up_ack(&mut self, to: ExchangeNumber) {
         if let Some(link) =
-            self.desk.links.get_mut(&to).filter(|link| link.phase == LocalAspState::Announcing)
+            self.state.links.get_mut(&to).filter(|link| link.local_state == LocalAspState::Announcing)
         {
-            link.phase = LocalAspState::Activating;
-            self.announce(to);
+            link.local_state = LocalAspState::Activating;
+            self.send_asp_request(to);
         }
     }
 
-    /// T(ack), or time for a sign of life.
-    fn link_timer(&mut self, to: ExchangeNumber) {
-        let beat = self.desk.with_jitter(self.desk.t.beat);
-        let Some(link) = self.desk.links.get_mut(&to) else { return };
+    /// T(ack) or the heartbeat interval has expired.
+    fn on_link_timer(&mut self, to: ExchangeNumber) {
+        let interval = self.state.with_jitter(self.state.durations.heartbeat);
+        let Some(link) = self.state.links.get_mut(&to) else { return };
         link.timer = None;
-        match link.phase {
+        match link.local_state {
             LocalAspState::Down => {}
-            LocalAspState::Announcing | LocalAspState::Activating => self.announce(to),
-            LocalAspState::Active if link.unanswered >= MAX_UNANSWERED_HEARTBEATS => {
-                self.plant.close_link(to, "no sign of life");
+            LocalAspState::Announcing | LocalAspState::Activating => self.send_asp_request(to),
+            LocalAspState::Active if link.unanswered_heartbeats >= MAX_UNANSWERED_HEARTBEATS => {
+                self.actions.close_link(to, "heartbeats not answered");
             }
             LocalAspState::Active => {
-                link.unanswered += 1;
-                link.timer = Some(self.desk.timers.set(self.now + beat, Timer::Link(to)));
+                link.unanswered_heartbeats += 1;
+                link.timer = Some(self.state.timers.set(self.now + interval, Timer::Link(to)));
                 self.send_frame(to, Frame::Heartbeat(b"mintstal"));
             }
         }
     }
 
-    /// Both ends take traffic. A process that has just started has the far end forget all calls of one before it; a link
-    /// that was away has what it missed said again.
-    pub fn opened(&mut self, to: ExchangeNumber) {
-        let beat = self.now + self.desk.with_jitter(self.desk.t.beat);
-        let Some(link) = self.desk.links.get_mut(&to) else { return };
-        let set = self.desk.timers.set(beat, Timer::Link(to));
-        let before = [link.timer.replace(set), link.grace.take()];
-        let (waiting, cleared) = (link.waiting.take(), std::mem::replace(&mut link.cleared, Cleared::Asked));
-        before.into_iter().flatten().for_each(|before| self.desk.timers.stop(before));
-        self.plant.log_info(&format!("link to exchange {} is open", to.0));
-        let Some(group) = self.desk.groups.get(&to) else { return };
-        let blocked: Vec<_> = group.all().filter(|(_, c)| c.blocked.here()).map(|(index, _)| index).collect();
-        match cleared {
-            Cleared::NotYet => {
+    /// Both ends take traffic. A process that has just started resets the groups, so that the far end clears all calls
+    /// of an earlier process; on a link that was lost, pending resets, releases and peer messages are sent again.
+    pub fn on_link_open(&mut self, to: ExchangeNumber) {
+        let next_heartbeat = self.now + self.state.with_jitter(self.state.durations.heartbeat);
+        let Some(link) = self.state.links.get_mut(&to) else { return };
+        let timer = self.state.timers.set(next_heartbeat, Timer::Link(to));
+        let before = [link.timer.replace(timer), link.grace_timer.take()];
+        let (queued_message, initial_reset) =
+            (link.queued_peer_message.take(), std::mem::replace(&mut link.initial_reset, InitialReset::Sent));
+        before.into_iter().flatten().for_each(|before| self.state.timers.cancel(before));
+        self.actions.log_info(&format!("link to exchange {} is open", to.0));
+        let Some(group) = self.state.groups.get(&to) else { return };
+        let blocked: Vec<_> =
+            group.iter().filter(|(_, c)| c.blocking.is_local()).map(|(index, _)| index).collect();
+        match initial_reset {
+            InitialReset::NotSent => {
                 let firsts: Vec<u16> = (0..group.size()).step_by(usize::from(Cic::PER_SYSTEM)).collect();
-                firsts.into_iter().for_each(|index| self.reset_system(to, index, self.desk.t.t22));
+                firsts.into_iter().for_each(|index| self.reset_system(to, index, self.state.durations.t22));
             }
-            Cleared::Asked => {
-                let uses: Vec<_> = group.all().map(|(index, circuit)| (index, circuit.used)).collect();
-                for (index, used) in uses {
-                    match used {
+            InitialReset::Sent => {
+                let uses: Vec<_> = group.iter().map(|(index, circuit)| (index, circuit.usage)).collect();
+                for (index, usage) in uses {
+                    match usage {
                         CircuitUse::Resetting { timer: None } => {
-                            let timer = Some(self.reset_timer(to, index, self.desk.t.t16));
+                            let timer = Some(self.reset_timer(to, index, self.state.durations.t16));
                             self.send(to, Cic::from_index(index), Body::Rsc);
-                            let indices = self.desk.groups.get(&to).map(|group| group.together(index));
+                            let indices = self.state.groups.get(&to).map(|group| group.with_released(index));
                             indices.iter().for_each(|indices| {
-                                self.put_first(
+                                self.set_signalling_usage(
                                     &HeldCircuits { to, indices: indices.clone() },
                                     CircuitUse::Resetting { timer },
                                 );
                             });
                         }
                         CircuitUse::Releasing { .. } => {
-                            self.send(to, Cic::from_index(index), Body::Rel(normal(Location::Local)));
+                            self.send(
+                                to,
+                                Cic::from_index(index),
+                                Body::Rel(normal_clearing(Location::Local)),
+                            );
                         }
                         _ => {}
                     }
                 }
             }
         }
-        self.tell_blocked(to, &blocked, true);
-        waiting.iter().for_each(|message| self.send(to, Cic(0), Body::Peer(message)));
-        self.desk.changed.insert(to);
+        self.send_blocking(to, &blocked, true);
+        queued_message.iter().for_each(|message| self.send(to, Cic(0), Body::Peer(message)));
+        self.state.changed_groups.insert(to);
     }
 
-    /// Resets all circuits of a system that carry nothing; again after a while if it is not acknowledged.
+    /// Resets all circuits of a system that carry no call; repeats the reset if it is not acknowledged.
     fn reset_system(&mut self, to: ExchangeNumber, first: u16, again: Duration) {
-        let Some(group) = self.desk.groups.get_mut(&to) else { return };
+        let Some(group) = self.state.groups.get_mut(&to) else { return };
         let end = (first + Cic::PER_SYSTEM).min(group.size());
-        let waiting = |used| matches!(used, CircuitUse::Idle | CircuitUse::Resetting { timer: None });
+        let resettable = |usage| matches!(usage, CircuitUse::Idle | CircuitUse::Resetting { timer: None });
         let open: Vec<_> =
-            (first..end).filter(|index| group.get(*index).is_some_and(|c| waiting(c.used))).collect();
-        // What is acknowledged is idle, and reset no more.
-        let again_due = group.all().any(|(index, c)| {
-            (first..end).contains(&index) && matches!(c.used, CircuitUse::Resetting { timer: None })
+            (first..end).filter(|index| group.get(*index).is_some_and(|c| resettable(c.usage))).collect();
+        // Circuits whose reset is acknowledged are idle, and are not reset again.
+        let unacknowledged = group.iter().any(|(index, c)| {
+            (first..end).contains(&index) && matches!(c.usage, CircuitUse::Resetting { timer: None })
         });
-        if again == self.desk.t.t17 && !again_due || open.is_empty() {
+        if again == self.state.durations.t17 && !unacknowledged || open.is_empty() {
             return;
         }
-        if again != self.desk.t.t17 {
-            open.iter().for_each(|index| group.put(*index, CircuitUse::Resetting { timer: None }));
+        if again != self.state.durations.t17 {
+            open.iter().for_each(|index| group.set_usage(*index, CircuitUse::Resetting { timer: None }));
         }
-        self.desk.tally.resets += 1;
-        let again = self.desk.with_jitter(again);
-        self.desk.timers.set(self.now + again, Timer::GroupReset(to, first));
+        self.state.counters.resets += 1;
+        let again = self.state.with_jitter(again);
+        self.state.timers.set(self.now + again, Timer::GroupReset(to, first));
         self.send(to, Cic::from_index(first), Body::Grs { count: (end - first) as u8 });
     }
 }
 
 impl OutgoingSeizure {
-    pub fn ended(&self, call: CallId, now: Duration, cause: Cause, closed: bool) -> SeizureEnded {
+    pub fn end_event(&self, call: CallId, now: Duration, cause: Cause, closed: bool) -> SeizureEnded {
         SeizureEnded {
             call,
-            seizure: self.no,
+            seizure: self.number,
             exchange: self.exchange,
             cause,
-            elapsed: now.saturating_sub(self.at),
+            elapsed: now.saturating_sub(self.sent_at),
             closed,
         }
     }
--- a/crates/callcontrol/src/calls.rs
+++ b/crates/callcontrol/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of this exchange: where each comes from, where it goes, which circuits it holds.
+//! The calls of this exchange: incoming side, outgoing side and the circuits that each call holds.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::context::EventContext;
 use crate::timers::TimerHandle;
 
-/// Circuits of one group that a call holds; signalling is on the first.
+/// Circuits of one group that a call holds; signalling uses the first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct HeldCircuits {
     pub to: ExchangeNumber,
-    /// Places in the group, ascending, never none.
+    /// Indices in the group, ascending, at least one.
     pub indices: Vec<u16>,
 }
 
@@ -22,62 +22,62 @@
         self.indices[0]
     }
 
-    /// The far end has let go, or lets go of its own accord.
-    pub fn idle(&self, w: &mut EventContext) {
-        w.put(self, CircuitUse::Idle);
+    /// For circuits that the far end has released or releases by itself.
+    pub fn set_idle(&self, context: &mut EventContext) {
+        context.set_usage(self, CircuitUse::Idle);
     }
 
-    /// What becomes of the circuits is settled after the decisions were told.
-    pub fn keep(&self, _: &mut EventContext) {}
+    /// For circuits whose state is set after the controller knows that the seizure has ended.
+    pub fn leave_unchanged(&self, _: &mut EventContext) {}
 
-    /// Nobody knows what the far end holds.
-    pub fn reset(&self, w: &mut EventContext) {
-        w.reset_held(self);
+    /// For circuits whose state at the far end is unknown.
+    pub fn reset(&self, context: &mut EventContext) {
+        context.reset_held(self);
     }
 }
 
 pub(crate) enum IncomingSide {
     Subscriber,
-    /// From another exchange: in transit, or for a number here.
+    /// From another exchange: in transit, or for a number of this exchange.
     Trunk(HeldCircuits),
-    /// The caller has gone, or has the final answer: what is left is a seizure whose end is awaited.
+    /// The caller has gone or has the final answer; the record remains until the end of the open seizure.
     Gone,
 }
 
-/// One seizure that is out, or led to where the call stands.
+/// A seizure that has no answer yet, or that led to the standing call.
 pub(crate) struct OutgoingSeizure {
-    pub no: SeizureNumber,
+    pub number: SeizureNumber,
     pub exchange: ExchangeId,
     pub held: HeldCircuits,
-    pub at: Duration,
-    pub limit: Option<TimerHandle>,
-    /// A set-up of the far end met it on its circuits, and it prevailed.
+    pub sent_at: Duration,
+    pub limit_timer: Option<TimerHandle>,
+    /// It prevailed in dual seizure over a set-up of the far end.
     pub prevailed: bool,
 }
 
 pub(crate) enum OutgoingSide {
-    /// The decisions hold it.
+    /// No seizure is open: the call waits for the controller.
     Open,
     Seized(OutgoingSeizure),
     Standing(OutgoingSeizure),
-    /// It stands at a number of this exchange.
+    /// It is answered by a number of this exchange.
     OwnSubscriber,
 }
 
-/// One call, from when it is taken until its answer is given and its circuits are let go.
+/// One call, from its acceptance until it has its answer and its circuits are released.
 pub(crate) struct CallRecord {
-    pub source: IncomingSide,
-    pub sink: OutgoingSide,
+    pub incoming: IncomingSide,
+    pub outgoing: OutgoingSide,
     pub identity: CallIdentity,
     pub called: Number,
     pub dialled: u64,
     pub dest: ExchangeNumber,
     pub width: u16,
-    pub until: Duration,
-    pub guard: Option<TimerHandle>,
-    /// What the decisions wait for.
-    pub alarm: Option<TimerHandle>,
-    pub seizures: u8,
-    /// How the last seizure ended.
-    pub last: Option<Cause>,
+    pub deadline: Duration,
+    pub guard_timer: Option<TimerHandle>,
+    /// The last timer that the controller set for this call.
+    pub controller_timer: Option<TimerHandle>,
+    pub seizure_count: u8,
+    /// Cause of the last seizure's end.
+    pub last_cause: Option<Cause>,
 }
--- a/crates/callcontrol/src/circuits.rs
+++ b/crates/callcontrol/src/circuits.rs
@@ -1,4 +1,5 @@
-//! Trunk groups: the circuits to one other exchange, their states, selection, and who yields in dual seizure.
+//! Trunk groups: the circuits to one other exchange, their states, their selection, and which end prevails in dual
+//! seizure.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,27 +9,28 @@
 
 use crate::timers::TimerHandle;
 
-/// What a circuit is doing, apart from whether it is blocked.
+/// The use of a circuit, apart from whether it is blocked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CircuitUse {
     Idle,
-    /// A set-up went out on it and has no answer.
+    /// A set-up was sent on it and has no answer.
     SeizedOut(CallId),
-    /// A set-up came in on it and is not answered.
+    /// A set-up was received on it and is not answered.
     SeizedIn(CallId),
-    /// It carries a call that this exchange set up, or that came in.
+    /// It carries a standing call that this exchange set up.
     StandingOut(CallId),
+    /// It carries a standing call that the far end set up.
     StandingIn(CallId),
-    /// A release went out and is not completed: it counts as taken. `since` for T5, `timer` for T1.
+    /// A release was sent and is not completed; the circuit counts as taken. `since` is for T5, `timer` for T1.
     Releasing {
         since: Duration,
         timer: TimerHandle,
     },
-    /// A reset of it went out, or waits for its link; it is repeated by `timer`, where there is one of its own.
+    /// A reset was sent, or waits for the link. `timer` repeats it; none if the reset waits or belongs to a group reset.
     Resetting {
         timer: Option<TimerHandle>,
     },
-    /// Let go together with the circuit at this place, on which the signalling is.
+    /// Released together with the signalling circuit of its call, at this index.
     ReleasedWith(u16),
 }
 
@@ -44,64 +46,65 @@
     }
 }
 
-/// Who took a circuit out of service. It may still carry a call that was there before.
+/// Which ends have blocked a circuit. It may still carry a call from before the blocking.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Blocking {
     #[default]
-    Open,
-    Here,
-    There,
+    Unblocked,
+    Local,
+    Remote,
     Both,
 }
 
 impl Blocking {
-    fn parts(self) -> (bool, bool) {
-        (matches!(self, Self::Here | Self::Both), matches!(self, Self::There | Self::Both))
+    fn flags(self) -> (bool, bool) {
+        (matches!(self, Self::Local | Self::Both), matches!(self, Self::Remote | Self::Both))
     }
 
-    fn of(here: bool, there: bool) -> Self {
-        match (here, there) {
-            (false, false) => Self::Open,
-            (true, false) => Self::Here,
-            (false, true) => Self::There,
+    fn from_flags(local: bool, remote: bool) -> Self {
+        match (local, remote) {
+            (false, false) => Self::Unblocked,
+            (true, false) => Self::Local,
+            (false, true) => Self::Remote,
             (true, true) => Self::Both,
         }
     }
 
-    pub fn here(self) -> bool {
-        self.parts().0
+    pub fn is_local(self) -> bool {
+        self.flags().0
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Circuit {
-    pub used: CircuitUse,
-    pub blocked: Blocking,
-    /// How often its use has changed.
-    pub turns: u32,
+    pub usage: CircuitUse,
+    pub blocking: Blocking,
+    /// Counts the changes of its use.
+    pub changes: u32,
 }
 
-/// The circuits to one other exchange, by their places in the group.
+/// The circuits to one other exchange, by their indices in the group.
 #[derive(Debug)]
 pub(crate) struct TrunkGroup {
     circuits: Vec<Circuit>,
     /// Whether this exchange has the higher point code, and so controls the even circuits (Q.764 clause 2.9.1.4).
     controls_even: bool,
-    /// Free circuits, those controlled here and those controlled there. Kept in step by `set`.
-    free_own: BTreeSet<u16>,
-    free_other: BTreeSet<u16>,
+    /// Free circuits that this exchange controls. Updated by `update_free_sets`, as is `free_remote`.
+    free_local: BTreeSet<u16>,
+    /// Free circuits that the far end controls.
+    free_remote: BTreeSet<u16>,
 }
 
 impl TrunkGroup {
     pub fn new(own: ExchangeNumber, to: ExchangeNumber, count: u16) -> Self {
-        let circuit = Circuit { used: CircuitUse::Idle, blocked: Blocking::Open, turns: 0 };
+        let circuit = Circuit { usage: CircuitUse::Idle, blocking: Blocking::Unblocked, changes: 0 };
         let mut group = Self {
             circuits: vec![circuit; usize::from(count.min(Cic::MAX_PER_GROUP))],
             controls_even: own > to,
-            free_own: BTreeSet::new(),
-            free_other: BTreeSet::new(),
+            free_local: BTreeSet::new(),
+            free_remote: BTreeSet::new(),
         };
-        (0..group.size()).for_each(|index| group.keep_in_step(index));
+        (0..group.size()).for_each(|index| group.update_free_sets(index));
         group
     }
 
@@ -109,16 +112,16 @@
         self.circuits.len() as u16
     }
 
-    /// Circuits that no one has taken out of service.
-    pub fn open(&self) -> usize {
-        self.circuits.iter().filter(|circuit| circuit.blocked == Blocking::Open).count()
+    /// Number of circuits that neither end has blocked.
+    pub fn unblocked(&self) -> usize {
+        self.circuits.iter().filter(|circuit| circuit.blocking == Blocking::Unblocked).count()
     }
 
     pub fn free(&self) -> usize {
-        self.free_own.len() + self.free_other.len()
+        self.free_local.len() + self.free_remote.len()
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (u16, &Circuit)> {
+    pub fn iter(&self) -> impl Iterator<Item = (u16, &Circuit)> {
         (0..).zip(&self.circuits)
     }
 
@@ -126,34 +129,34 @@
         self.circuits.get(usize::from(index))
     }
 
-    /// The place of a circuit that this group has.
+    /// The index of a circuit, if the group has it.
     pub fn index_of(&self, cic: Cic) -> Option<u16> {
         cic.index().filter(|index| *index < self.size())
     }
 
-    pub fn put(&mut self, index: u16, used: CircuitUse) {
+    pub fn set_usage(&mut self, index: u16, usage: CircuitUse) {
         if let Some(circuit) = self.circuits.get_mut(usize::from(index)) {
-            circuit.used = used;
-            circuit.turns = circuit.turns.wrapping_add(1);
-            self.keep_in_step(index);
+            circuit.usage = usage;
+            circuit.changes = circuit.changes.wrapping_add(1);
+            self.update_free_sets(index);
         }
     }
 
-    pub fn block(&mut self, index: u16, here: Option<bool>, there: Option<bool>) {
+    pub fn block(&mut self, index: u16, local: Option<bool>, remote: Option<bool>) {
         if let Some(circuit) = self.circuits.get_mut(usize::from(index)) {
-            let was = circuit.blocked.parts();
-            circuit.blocked = Blocking::of(here.unwrap_or(was.0), there.unwrap_or(was.1));
-            self.keep_in_step(index);
+            let before = circuit.blocking.flags();
+            circuit.blocking = Blocking::from_flags(local.unwrap_or(before.0), remote.unwrap_or(before.1));
+            self.update_free_sets(index);
         }
     }
 
-    fn keep_in_step(&mut self, index: u16) {
+    fn update_free_sets(&mut self, index: u16) {
         let Some(circuit) = self.circuits.get(usize::from(index)) else { return };
-        let free = circuit.used == CircuitUse::Idle && circuit.blocked == Blocking::Open;
-        let half = if self.controls(index) { &mut self.free_own } else { &mut self.free_other };
+        let free = circuit.usage == CircuitUse::Idle && circuit.blocking == Blocking::Unblocked;
+        let free_set = if self.controls(index) { &mut self.free_local } else { &mut self.free_remote };
         match free {
-            true => half.insert(index),
-            false => half.remove(&index),
+            true => free_set.insert(index),
+            false => free_set.remove(&index),
         };
     }
 
@@ -162,19 +165,19 @@
         Cic::from_index(index).0.is_multiple_of(2) == self.controls_even
     }
 
-    /// The circuits for a call, none taken yet: the lowest free one that is controlled here, else the highest of the
-    /// others (Q.764 clause 2.9.1.3, method 2), which the far end takes last. A wider call takes them from one
-    /// system, as its circuit map speaks of one; of those with room, the fullest.
+    /// Selects the circuits for a call without taking them: the lowest free one that this end controls, else the highest
+    /// of the others (Q.764 clause 2.9.1.3, method 2), which the far end takes last. A wider call takes its circuits from
+    /// one system, as its circuit map covers only one; of the systems with enough free circuits, the fullest.
     pub fn select(&self, width: u16) -> Option<Vec<u16>> {
         if width <= 1 {
-            let index = self.free_own.first().or(self.free_other.last())?;
+            let index = self.free_local.first().or(self.free_remote.last())?;
             return Some(vec![*index]);
         }
         let systems = self.size().div_ceil(Cic::PER_SYSTEM);
         let free_in = |system: u16| {
             let indices = system * Cic::PER_SYSTEM..(system + 1) * Cic::PER_SYSTEM;
-            let own = self.free_own.range(indices.clone()).copied();
-            own.chain(self.free_other.range(indices).rev().copied()).collect::<Vec<_>>()
+            let own = self.free_local.range(indices.clone()).copied();
+            own.chain(self.free_remote.range(indices).rev().copied()).collect::<Vec<_>>()
         };
         let enough = (0..systems).map(free_in).filter(|free| free.len() >= usize::from(width));
         let mut indices = enough.min_by_key(Vec::len)?;
@@ -183,20 +186,20 @@
         Some(indices)
     }
 
-    /// A circuit and those let go along with it.
-    pub fn together(&self, first: u16) -> Vec<u16> {
+    /// A circuit and those that are released with it.
+    pub fn with_released(&self, first: u16) -> Vec<u16> {
         let system = first / Cic::PER_SYSTEM * Cic::PER_SYSTEM;
-        let along = |index: &u16| {
-            self.get(*index).is_some_and(|circuit| circuit.used == CircuitUse::ReleasedWith(first))
+        let released_with = |index: &u16| {
+            self.get(*index).is_some_and(|circuit| circuit.usage == CircuitUse::ReleasedWith(first))
         };
-        std::iter::once(first).chain((system..system + Cic::PER_SYSTEM).filter(along)).collect()
+        std::iter::once(first).chain((system..system + Cic::PER_SYSTEM).filter(released_with)).collect()
     }
 
-    /// What is said of a circuit to a query (Q.764 clause 2.8.3).
-    pub fn state(&self, index: u16) -> CircuitState {
+    /// The state of a circuit as reported in response to a query (Q.764 clause 2.8.3).
+    pub fn query_state(&self, index: u16) -> CircuitState {
         let Some(circuit) = self.get(index) else { return CircuitState::Unequipped };
-        let blocked = circuit.blocked != Blocking::Open;
-        match circuit.used {
+        let blocked = circuit.blocking != Blocking::Unblocked;
+        match circuit.usage {
             CircuitUse::Idle => CircuitState::Idle { blocked },
             CircuitUse::SeizedOut(_) | CircuitUse::StandingOut(_) => CircuitState::OutgoingBusy { blocked },
             CircuitUse::SeizedIn(_) | CircuitUse::StandingIn(_) => CircuitState::IncomingBusy { blocked },
@@ -212,7 +215,7 @@
     use super::*;
 
     #[test]
-    fn both_ends_agree_who_controls_each_circuit() {
+    fn both_ends_agree_which_of_them_controls_each_circuit() {
         let (low, high) = (
             TrunkGroup::new(ExchangeNumber(3), ExchangeNumber(8), 70),
             TrunkGroup::new(ExchangeNumber(8), ExchangeNumber(3), 70),
@@ -222,7 +225,7 @@
     }
 
     #[test]
-    fn the_ends_meet_on_the_last_circuits_only() {
+    fn two_ends_seizing_in_turn_share_a_group_without_dual_seizure() {
         let (mut low, mut high) = (
             TrunkGroup::new(ExchangeNumber(3), ExchangeNumber(8), 10),
             TrunkGroup::new(ExchangeNumber(8), ExchangeNumber(3), 10),
@@ -232,16 +235,16 @@
             for group in [&mut low, &mut high] {
                 let index = group.select(1).unwrap()[0];
                 assert!(taken.insert(index), "circuit {index} is seized by both ends");
-                group.put(index, CircuitUse::SeizedOut(CallId(call)));
+                group.set_usage(index, CircuitUse::SeizedOut(CallId(call)));
             }
         }
         assert_eq!((low.free(), high.free(), taken.len()), (5, 5, 10));
     }
 
     #[test]
-    fn a_wide_call_takes_the_fullest_system_with_room() {
+    fn a_wide_call_takes_the_fullest_system_with_enough_free_circuits() {
         let mut group = TrunkGroup::new(ExchangeNumber(1), ExchangeNumber(2), 62);
-        (31..55).for_each(|index| group.put(index, CircuitUse::SeizedIn(CallId(1))));
+        (31..55).for_each(|index| group.set_usage(index, CircuitUse::SeizedIn(CallId(1))));
         assert_eq!(group.select(4).unwrap().len(), 4);
         assert!(group.select(4).unwrap().iter().all(|index| *index >= 55));
         assert!(group.select(8).unwrap().iter().all(|index| *index < 31));
--- a/crates/callcontrol/src/lib.rs
+++ b/crates/callcontrol/src/lib.rs
@@ -1,19 +1,20 @@
-//! One exchange's controller without I/O: told things with the time, acting through [`CallControlActions`].
+//! Call control of one exchange without I/O: its methods take events with their time and act through
+//! [`CallControlActions`].
 //!
 //! | file | holds |
 //! | --- | --- |
 //! | `config` | what is read at start |
-//! | `actions` | what the office acts through, and what it tells its callers |
+//! | `actions` | the trait of outward actions, final answers and ends of calls |
 //! | `circuits` | trunk groups, the states of their circuits, selection, dual seizure |
-//! | `audit` | circuits that one end holds busy and the other idle |
+//! | `audit` | circuit audits: circuits that are busy at one end and idle at the other |
 //! | `calls` | the calls of this exchange and the circuits that each holds |
 //! | `links` | the M3UA state of the link to each other exchange |
-//! | `timers` | what rings when |
-//! | `callcontrol` | what callers, roster and clock tell |
-//! | `signalling` | what the other exchanges tell |
-//! | `context` | what the decisions may do: `mintstall::interface::ControllerActions` |
-//! | `trace` | what became of the last calls, step by step |
-//! | `status` | what is shown of it |
+//! | `timers` | the timer queue |
+//! | `callcontrol` | events from callers, the membership list, the own circuits and the clock |
+//! | `signalling` | events from other exchanges: M3UA frames and ISUP messages |
+//! | `context` | the state, and the controller's actions on it (`mintstall::interface::ControllerActions`) |
+//! | `trace` | traces of the last calls, step by step |
+//! | `status` | status figures and counters |
 
 mod actions;
 mod audit;
@@ -30,6 +31,6 @@
 
 pub use actions::{Answer, CallControlActions, CallEnd};
 pub use callcontrol::{CallControl, CallRequest};
-pub use config::{CallControlConfig, GroupConfig, NumberPlan, Timers};
+pub use config::{CallControlConfig, GroupConfig, NumberConfig, Timers};
 pub use status::{CallControlStatus, Counters, GroupStatus, LinkStatus};
 pub use trace::{Trace, TraceStep};
--- a/crates/callcontrol/src/links.rs
+++ b/crates/callcontrol/src/links.rs
@@ -1,5 +1,5 @@
-//! The link to another exchange: M3UA between two peers without a gateway (RFC 4666 clause 4.3, IPSP, both ends
-//! announcing themselves), no I/O.
+//! The link to another exchange: M3UA between two peers without a gateway (RFC 4666 clause 4.3, IPSP
+//! double exchange), no I/O.
 
 use mintstall_isup::Deframer;
 
@@ -10,14 +10,14 @@
     /// No connection.
     #[default]
     Down,
-    /// Connected; the own ASP up is not acknowledged.
+    /// Connected; the own ASP Up is not acknowledged.
     Announcing,
-    /// Acknowledged; the own ASP active is not.
+    /// ASP Up is acknowledged; the own ASP Active is not.
     Activating,
     Active,
 }
 
-/// Whether the far end said that it takes traffic.
+/// Whether the far end takes traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum RemoteAspState {
     #[default]
@@ -27,31 +27,31 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Link {
-    pub phase: LocalAspState,
-    pub far: RemoteAspState,
+    pub local_state: LocalAspState,
+    pub remote_state: RemoteAspState,
     pub deframer: Deframer,
     pub timer: Option<TimerHandle>,
-    pub grace: Option<TimerHandle>,
-    /// Signs of life asked for since anything came.
-    pub unanswered: u8,
-    /// Whether this process has reset the group's circuits at the far end, which may hold calls of one before it.
-    pub cleared: Cleared,
-    /// The last short message that the link could not take yet.
-    pub waiting: Option<Vec<u8>>,
+    pub grace_timer: Option<TimerHandle>,
+    /// Heartbeats sent since the last octets received.
+    pub unanswered_heartbeats: u8,
+    /// Whether this process has reset the group's circuits at the far end, which may hold calls of an earlier process.
+    pub initial_reset: InitialReset,
+    /// The last peer message sent while the link was not usable; it is sent when the link opens.
+    pub queued_peer_message: Option<Vec<u8>>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Cleared {
+pub(crate) enum InitialReset {
     #[default]
-    NotYet,
-    Asked,
+    NotSent,
+    Sent,
 }
 
-/// Signs of life without an answer after which a link is given up.
+/// Heartbeats without an answer after which a link is closed.
 pub(crate) const MAX_UNANSWERED_HEARTBEATS: u8 = 3;
 
 impl Link {
-    pub fn usable(&self) -> bool {
-        self.phase == LocalAspState::Active && self.far == RemoteAspState::Active
+    pub fn is_usable(&self) -> bool {
+        self.local_state == LocalAspState::Active && self.remote_state == RemoteAspState::Active
     }
 }
--- a/crates/callcontrol/src/signalling.rs
+++ b/crates/callcontrol/src/signalling.rs
@@ -1,7 +1,7 @@
-//! What the other exchanges tell: frames of a link, ISUP messages of a circuit.
+//! Events from other exchanges: M3UA frames of a link, ISUP messages of a circuit.
 //!
-//! What comes on a circuit is acted on by the circuit's state; what has no meaning in it is counted and, where the two
-//! ends must disagree, the circuit is reset (Q.764 clause 2.9.5).
+//! A message is handled according to the state of its circuit. A message that is unexpected in that state is counted and,
+//! if it shows that the two ends disagree, the circuit is reset (Q.764 clause 2.9.5).
 
 use std::time::Duration;
 
@@ -13,106 +13,107 @@
 };
 
 use crate::actions::{Answer, CallControlActions, CallEnd};
-use crate::callcontrol::{CallControl, OFFICE_DIGITS, failure, normal};
+use crate::callcontrol::{CallControl, EXCHANGE_DIGITS, local_failure, normal_clearing};
 use crate::calls::{CallRecord, HeldCircuits, IncomingSide, OutgoingSeizure, OutgoingSide};
 use crate::circuits::CircuitUse;
 use crate::config::ANSWER_MARGIN;
-use crate::context::{EventContext, in_range};
+use crate::context::{EventContext, circuits_in_range};
 use crate::links::{LocalAspState, RemoteAspState};
 use crate::timers::Timer;
 use crate::trace::TraceStep;
 
 /// No charge, subscriber free, ISUP all the way, terminating access ISDN.
-const BACKWARD: [u8; 2] = [0x16, 0x34];
+const BACKWARD_INDICATORS: [u8; 2] = [0x16, 0x34];
 
 impl CallControl {
-    /// Octets came on the link from an exchange, cut anywhere.
+    /// Handles octets received on the link from an exchange, split at any point.
     pub fn on_octets(
         &mut self,
         now: Duration,
-        plant: &mut dyn CallControlActions,
+        actions: &mut dyn CallControlActions,
         from: ExchangeNumber,
         octets: &[u8],
     ) {
-        let Some(link) = self.desk.links.get_mut(&from).filter(|link| link.phase != LocalAspState::Down)
+        let Some(link) =
+            self.state.links.get_mut(&from).filter(|link| link.local_state != LocalAspState::Down)
         else {
             return;
         };
-        // Taken out while its frames are handled, which may act on the link.
+        // Taken out of the link, on which the handling of a frame may act.
         let mut deframer = std::mem::take(&mut link.deframer);
-        link.unanswered = 0;
+        link.unanswered_heartbeats = 0;
         deframer.push(octets);
         let closing = self.closing();
-        let broken: Option<FrameError> = loop {
+        let error: Option<FrameError> = loop {
             match deframer.next().and_then(|frame| frame.map(Frame::read).transpose()) {
-                Ok(Some(frame)) => {
-                    self.handle_event(now, plant, |controller, w| w.frame(controller, from, frame, closing))
-                }
+                Ok(Some(frame)) => self.handle_event(now, actions, |controller, context| {
+                    context.on_frame(controller, from, frame, closing)
+                }),
                 Ok(None) => break None,
                 Err(error) => break Some(error),
             }
         };
-        if let Some(link) = self.desk.links.get_mut(&from) {
+        if let Some(link) = self.state.links.get_mut(&from) {
             link.deframer = deframer;
         }
-        if let Some(error) = broken {
-            self.desk.tally.unexpected += 1;
-            plant.close_link(from, &error.to_string());
+        if let Some(error) = error {
+            self.state.counters.unexpected += 1;
+            actions.close_link(from, &error.to_string());
         }
     }
 }
 
 impl EventContext<'_> {
-    fn frame(&mut self, controller: &mut Controller, from: ExchangeNumber, frame: Frame, closing: bool) {
-        let Some(link) = self.desk.links.get_mut(&from) else { return };
-        let was = link.usable();
+    fn on_frame(&mut self, controller: &mut Controller, from: ExchangeNumber, frame: Frame, closing: bool) {
+        let Some(link) = self.state.links.get_mut(&from) else { return };
+        let was_usable = link.is_usable();
         match frame {
             Frame::AspUp { .. } => {
-                link.far = RemoteAspState::Inactive;
-                self.send_frame(from, Frame::AspUpAck { asp: Some(self.desk.own.0.into()) });
+                link.remote_state = RemoteAspState::Inactive;
+                self.send_frame(from, Frame::AspUpAck { asp: Some(self.state.own.0.into()) });
             }
-            Frame::AspUpAck { .. } => self.activate(from),
+            Frame::AspUpAck { .. } => self.on_asp_up_ack(from),
             Frame::AspActive => {
-                link.far = RemoteAspState::Active;
+                link.remote_state = RemoteAspState::Active;
                 self.send_frame(from, Frame::AspActiveAck);
             }
-            Frame::AspActiveAck if link.phase == LocalAspState::Activating => {
-                link.phase = LocalAspState::Active
+            Frame::AspActiveAck if link.local_state == LocalAspState::Activating => {
+                link.local_state = LocalAspState::Active
             }
             Frame::AspInactive => {
-                link.far = RemoteAspState::Inactive;
+                link.remote_state = RemoteAspState::Inactive;
                 self.send_frame(from, Frame::AspInactiveAck);
             }
             Frame::AspDown => {
-                link.far = RemoteAspState::Inactive;
+                link.remote_state = RemoteAspState::Inactive;
                 self.send_frame(from, Frame::AspDownAck);
             }
             Frame::Heartbeat(data) => self.send_frame(from, Frame::HeartbeatAck(data)),
             Frame::Data(data)
-                if !was || data.service != m3ua::ISUP || data.dpc != u32::from(self.desk.own.0) =>
+                if !was_usable || data.service != m3ua::ISUP || data.dpc != u32::from(self.state.own.0) =>
             {
-                self.desk.tally.unexpected += 1;
+                self.state.counters.unexpected += 1;
                 self.send_frame(from, Frame::Error { code: m3ua::UNEXPECTED_MESSAGE });
             }
             Frame::Data(data) => match Message::read(data.user) {
-                Ok(message) => self.message(controller, from, message, closing),
+                Ok(message) => self.on_message(controller, from, message, closing),
                 Err(_) => {
-                    self.desk.tally.unexpected += 1;
+                    self.state.counters.unexpected += 1;
                     self.send_frame(from, Frame::Error { code: m3ua::PROTOCOL_ERROR });
                 }
             },
             Frame::Other { .. } => {
-                self.desk.tally.unexpected += 1;
+                self.state.counters.unexpected += 1;
                 self.send_frame(from, Frame::Error { code: m3ua::UNSUPPORTED_CLASS });
             }
             _ => {}
         }
-        if !was && self.desk.links.get(&from).is_some_and(|link| link.usable()) {
-            self.opened(from);
+        if !was_usable && self.state.links.get(&from).is_some_and(|link| link.is_usable()) {
+            self.on_link_open(from);
         }
     }
 
-    fn message(
+    fn on_message(
         &mut self,
         controller: &mut Controller,
         from: ExchangeNumber,
@@ -123,82 +124,82 @@
         if let Body::Peer(octets) = message.body {
             return controller.on_peer_message(self.now, self, PeerId(from.0), octets);
         }
-        let Some(index) = self.desk.groups.get(&from).and_then(|group| group.index_of(cic)) else {
-            self.desk.tally.unexpected += 1;
-            // A set-up for a circuit that is not equipped here.
+        let Some(index) = self.state.groups.get(&from).and_then(|group| group.index_of(cic)) else {
+            self.state.counters.unexpected += 1;
+            // A set-up on a circuit that this group does not have.
             if let Body::Iam(_) = message.body {
-                self.send(from, cic, Body::Rel(failure(Q850::CircuitNotAvailable)));
+                self.send(from, cic, Body::Rel(local_failure(Q850::CircuitNotAvailable)));
             }
             return;
         };
-        let used = self.desk.groups[&from].get(index).map_or(CircuitUse::Idle, |circuit| circuit.used);
+        let usage = self.state.groups[&from].get(index).map_or(CircuitUse::Idle, |circuit| circuit.usage);
         match message.body {
-            Body::Iam(iam) => self.initial_address(controller, from, index, &iam, closing),
+            Body::Iam(iam) => self.on_iam(controller, from, index, &iam, closing),
             Body::Acm { report, .. } => {
-                self.reported(controller, from, &report);
-                if let CircuitUse::SeizedOut(call) = used {
-                    if let Some(CallRecord { sink: OutgoingSide::Seized(out), .. }) =
-                        self.desk.calls.get(&call)
+                self.on_processor_report(controller, from, &report);
+                if let CircuitUse::SeizedOut(call) = usage {
+                    if let Some(CallRecord { outgoing: OutgoingSide::Seized(seizure), .. }) =
+                        self.state.calls.get(&call)
                     {
-                        let no = out.no;
-                        self.trace(call, TraceStep::Alerted { no });
+                        let number = seizure.number;
+                        self.trace(call, TraceStep::Alerted { seizure: number });
                     }
-                    self.pass_back(
+                    self.send_backward(
                         call,
                         Body::Acm {
-                            backward: BACKWARD,
-                            report: self.desk.report,
+                            backward: BACKWARD_INDICATORS,
+                            report: self.state.own_report,
                             unknown_parameters: Vec::new(),
                         },
                     );
                 }
             }
             Body::Cpg { event, .. } => {
-                if let CircuitUse::SeizedOut(call) = used {
-                    self.pass_back(call, Body::Cpg { event, unknown_parameters: Vec::new() });
+                if let CircuitUse::SeizedOut(call) = usage {
+                    self.send_backward(call, Body::Cpg { event, unknown_parameters: Vec::new() });
                 }
             }
             Body::Anm { report, .. } => {
-                self.reported(controller, from, &report);
-                match used {
-                    CircuitUse::SeizedOut(call) => self.answered(controller, call),
-                    _ => self.desk.tally.unexpected += 1,
+                self.on_processor_report(controller, from, &report);
+                match usage {
+                    CircuitUse::SeizedOut(call) => self.on_answer(controller, call),
+                    _ => self.state.counters.unexpected += 1,
                 }
             }
             Body::Rel(rel) => {
-                self.reported(controller, from, &rel.report);
-                // Also where a release of ours is on its way: each end completes the other's (Q.764 clause 2.3.1).
+                self.on_processor_report(controller, from, &rel.report);
+                // Also if a release from this end is in transit: each end completes the other's (Q.764 clause 2.3.1).
                 self.send(from, cic, Body::Rlc { unknown_parameters: Vec::new() });
-                let cause = match used {
+                let cause = match usage {
                     CircuitUse::SeizedOut(call) => match self.prevailed_on(call) {
-                        // Beside the circuit on which it signals: the far end gives up its own set-up.
+                        // Not on the signalling circuit of the seizure: the far end releases its own set-up.
                         Some(first) if first != index => return,
-                        Some(_) => crossed_cause(&rel),
+                        Some(_) => cause_after_prevailing(&rel),
                         None => seizure_cause(&rel),
                     },
                     _ => end_cause(&rel),
                 };
-                if let Some(call) = used.call() {
+                if let Some(call) = usage.call() {
                     self.on_circuits_lost(
                         controller,
                         call,
                         (from, index),
                         cause,
-                        &onward(&rel),
-                        HeldCircuits::idle,
+                        &onward_release(&rel),
+                        HeldCircuits::set_idle,
                     );
                 }
             }
-            Body::Rlc { .. } => match used {
+            Body::Rlc { .. } => match usage {
                 CircuitUse::Releasing { .. } | CircuitUse::Resetting { timer: Some(_) } => {
                     self.idle(from, index)
                 }
                 CircuitUse::Idle | CircuitUse::ReleasedWith(_) | CircuitUse::Resetting { timer: None } => {}
-                // The far end thinks that a call is over which here is not: nothing on this circuit is known any more.
+                // The call is over for the far end, but not here: the state of the circuit is unknown.
                 _ => {
-                    self.desk.tally.unexpected += 1;
-                    let rel = failure(Q850::ProtocolError);
-                    used.call().into_iter().for_each(|call| {
+                    self.state.counters.unexpected += 1;
+                    let rel = local_failure(Q850::ProtocolError);
+                    usage.call().into_iter().for_each(|call| {
                         self.on_circuits_lost(
                             controller,
                             call,
@@ -211,185 +212,203 @@
                 }
             },
             Body::Rsc => {
-                if self.desk.groups[&from].get(index).is_some_and(|circuit| circuit.blocked.here()) {
+                if self.state.groups[&from].get(index).is_some_and(|circuit| circuit.blocking.is_local()) {
                     self.send(from, cic, Body::Blo);
                 }
                 self.send(from, cic, Body::Rlc { unknown_parameters: Vec::new() });
-                self.far_reset(controller, from, index, used);
+                self.on_circuit_reset(controller, from, index, usage);
             }
             Body::Grs { count } => {
-                let meant = in_range(&self.desk.groups[&from], cic, RangeStatus { count, status: 0 });
-                let meant: Vec<u16> = meant.into_iter().map(|(index, _)| index).collect();
-                // None may be seized until all are reset and that is acknowledged: what the end of one call sets free
-                // would be reset with the next, its set-up on the way.
-                meant.iter().for_each(|index| self.block_there(from, *index, true));
+                let circuits =
+                    circuits_in_range(&self.state.groups[&from], cic, RangeStatus { count, status: 0 });
+                let indices: Vec<u16> = circuits.into_iter().map(|(index, _)| index).collect();
+                // No circuit may be seized until all are reset and the reset is acknowledged: otherwise a call that the
+                // end of another lets through could seize a circuit that is reset next, with its set-up in transit.
+                indices.iter().for_each(|index| self.set_remote_blocking(from, *index, true));
                 let mut status = 0;
-                for (at, index) in meant.iter().enumerate() {
-                    let Some(circuit) = self.desk.groups[&from].get(*index).copied() else { continue };
-                    status |= u32::from(circuit.blocked.here()) << at;
-                    self.carried_no_more(controller, from, *index, circuit.used);
+                for (offset, index) in indices.iter().enumerate() {
+                    let Some(circuit) = self.state.groups[&from].get(*index).copied() else { continue };
+                    status |= u32::from(circuit.blocking.is_local()) << offset;
+                    self.clear_circuit(controller, from, *index, circuit.usage);
                 }
                 self.send(from, cic, Body::Gra(RangeStatus { count, status }));
-                meant.iter().for_each(|index| self.block_there(from, *index, false));
+                indices.iter().for_each(|index| self.set_remote_blocking(from, *index, false));
             }
             Body::Gra(range) => {
-                for (index, blocked) in in_range(&self.desk.groups[&from], cic, range) {
-                    self.block_there(from, index, blocked);
-                    let used = self.desk.groups[&from].get(index).map(|circuit| circuit.used);
-                    if let Some(CircuitUse::Resetting { timer: None }) = used {
+                for (index, blocked) in circuits_in_range(&self.state.groups[&from], cic, range) {
+                    self.set_remote_blocking(from, index, blocked);
+                    let usage = self.state.groups[&from].get(index).map(|circuit| circuit.usage);
+                    if let Some(CircuitUse::Resetting { timer: None }) = usage {
                         self.idle(from, index);
                     }
                 }
             }
             Body::Blo => {
-                self.block_there(from, index, true);
+                self.set_remote_blocking(from, index, true);
                 self.send(from, cic, Body::Bla);
             }
             Body::Ubl => {
-                self.block_there(from, index, false);
+                self.set_remote_blocking(from, index, false);
                 self.send(from, cic, Body::Uba);
             }
             Body::Cgb { kind, range } => {
                 const HARDWARE: u8 = 1;
-                let meant = in_range(&self.desk.groups[&from], cic, range);
-                let meant: Vec<_> =
-                    meant.into_iter().filter(|(_, status)| *status).map(|(index, _)| index).collect();
-                meant.iter().for_each(|index| self.block_there(from, *index, true));
-                for index in meant.into_iter().filter(|_| kind == HARDWARE) {
-                    self.circuit_fails(controller, from, index);
+                let circuits = circuits_in_range(&self.state.groups[&from], cic, range);
+                let indices: Vec<_> =
+                    circuits.into_iter().filter(|(_, status)| *status).map(|(index, _)| index).collect();
+                indices.iter().for_each(|index| self.set_remote_blocking(from, *index, true));
+                for index in indices.into_iter().filter(|_| kind == HARDWARE) {
+                    self.on_circuit_failure(controller, from, index);
                 }
                 self.send(from, cic, Body::Cgba { kind, range });
             }
             Body::Cgu { kind, range } => {
-                for (index, _) in in_range(&self.desk.groups[&from], cic, range).into_iter().filter(|at| at.1)
+                for (index, _) in circuits_in_range(&self.state.groups[&from], cic, range)
+                    .into_iter()
+                    .filter(|(_, status)| *status)
                 {
-                    self.block_there(from, index, false);
+                    self.set_remote_blocking(from, index, false);
                 }
                 self.send(from, cic, Body::Cgua { kind, range });
             }
             Body::Cqm { count } => {
-                let states = (0..u16::from(count)).map(|at| {
-                    let group = &self.desk.groups[&from];
-                    let index = group.index_of(Cic(cic.0.saturating_add(at)));
-                    index.map_or(mintstall_isup::CircuitState::Unequipped, |index| group.state(index))
+                let states = (0..u16::from(count)).map(|offset| {
+                    let group = &self.state.groups[&from];
+                    let index = group.index_of(Cic(cic.0.saturating_add(offset)));
+                    index.map_or(mintstall_isup::CircuitState::Unequipped, |index| group.query_state(index))
                 });
                 let states = states.collect();
                 self.send(from, cic, Body::Cqr { states });
             }
-            Body::Cqr { states } => self.audited(controller, from, cic, &states),
+            Body::Cqr { states } => self.on_query_response(controller, from, cic, &states),
             Body::Bla | Body::Uba | Body::Cgba { .. } | Body::Cgua { .. } => {}
-            Body::Unknown { .. } => self.desk.tally.unexpected += 1,
+            Body::Unknown { .. } => self.state.counters.unexpected += 1,
             Body::Peer(_) => {}
         }
     }
 
-    /// The circuit on which a seizure signals, if it prevailed over a set-up of the far end.
+    /// The signalling circuit of a seizure that prevailed over a set-up of the far end.
     fn prevailed_on(&self, call: CallId) -> Option<u16> {
-        match &self.desk.calls.get(&call)?.sink {
-            OutgoingSide::Seized(out) if out.prevailed => Some(out.held.first()),
+        match &self.state.calls.get(&call)?.outgoing {
+            OutgoingSide::Seized(seizure) if seizure.prevailed => Some(seizure.held.first()),
             _ => None,
         }
     }
 
-    fn reported(
+    fn on_processor_report(
         &mut self,
         controller: &mut Controller,
         from: ExchangeNumber,
         report: &Option<ProcessorReport>,
     ) {
         let Some(report) = report else { return };
-        let far = CapacityReport {
+        let capacity = CapacityReport {
             rate: report.rate_milli.map(|milli| f64::from(milli) / 1e3),
             ..CapacityReport::default()
         };
-        let there: Vec<_> = self.desk.exchanges_at(from).collect();
-        there.into_iter().for_each(|id| controller.on_capacity_report(self.now, self, id, &far));
+        let exchanges: Vec<_> = self.state.exchanges_at(from).collect();
+        exchanges.into_iter().for_each(|id| controller.on_capacity_report(self.now, self, id, &capacity));
     }
 
-    fn block_there(&mut self, from: ExchangeNumber, index: u16, blocked: bool) {
-        if let Some(group) = self.desk.groups.get_mut(&from) {
+    fn set_remote_blocking(&mut self, from: ExchangeNumber, index: u16, blocked: bool) {
+        if let Some(group) = self.state.groups.get_mut(&from) {
             group.block(index, None, Some(blocked));
-            self.desk.changed.insert(from);
+            self.state.changed_groups.insert(from);
         }
     }
 
-    /// The far end resets a circuit: what it carried is cut, and its block there is forgotten (Q.764 clause 2.9.3).
-    fn far_reset(&mut self, controller: &mut Controller, from: ExchangeNumber, index: u16, used: CircuitUse) {
-        self.block_there(from, index, false);
-        self.carried_no_more(controller, from, index, used);
+    /// The far end resets a circuit: its call is cut, and the blocking by the far end ends (Q.764 clause 2.9.3).
+    fn on_circuit_reset(
+        &mut self,
+        controller: &mut Controller,
+        from: ExchangeNumber,
+        index: u16,
+        usage: CircuitUse,
+    ) {
+        self.set_remote_blocking(from, index, false);
+        self.clear_circuit(controller, from, index, usage);
     }
 
-    fn carried_no_more(
+    /// Frees a circuit that the far end has reset, and cuts its call.
+    fn clear_circuit(
         &mut self,
         controller: &mut Controller,
         from: ExchangeNumber,
         index: u16,
-        used: CircuitUse,
+        usage: CircuitUse,
     ) {
-        match used {
+        match usage {
             CircuitUse::Releasing { .. } => self.idle(from, index),
             _ => {
-                let rel = failure(Q850::TemporaryFailure);
-                used.call().into_iter().for_each(|call| {
+                let rel = local_failure(Q850::TemporaryFailure);
+                usage.call().into_iter().for_each(|call| {
                     self.on_circuits_lost(
                         controller,
                         call,
                         (from, index),
                         Cause::Cut,
                         &rel,
-                        HeldCircuits::idle,
+                        HeldCircuits::set_idle,
                     );
                 });
             }
         }
     }
 
-    /// Something to say backwards to where a call in transit came from.
-    fn pass_back(&mut self, call: CallId, body: Body) {
-        if let Some(CallRecord { source: IncomingSide::Trunk(held), .. }) = self.desk.calls.get(&call) {
+    /// Sends a message of a call in transit backward to the exchange that the call came from.
+    fn send_backward(&mut self, call: CallId, body: Body) {
+        if let Some(CallRecord { incoming: IncomingSide::Trunk(held), .. }) = self.state.calls.get(&call) {
             let (to, cic) = (held.to, Cic::from_index(held.first()));
             self.send(to, cic, body);
         }
     }
 
-    /// A call's seizure led to where it stands.
-    fn answered(&mut self, controller: &mut Controller, call: CallId) {
+    /// The seizure of a call is answered: the call stands.
+    fn on_answer(&mut self, controller: &mut Controller, call: CallId) {
         let now = self.now;
-        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
-        let OutgoingSide::Seized(out) = std::mem::replace(&mut leg.sink, OutgoingSide::Open) else { return };
-        self.desk.traces.step(now, call, TraceStep::Stands);
-        let (exchange, seizure, elapsed, held) = (out.exchange, out.no, now - out.at, out.held.clone());
-        let set = [leg.guard.take(), leg.alarm.take(), out.limit];
-        set.into_iter().flatten().for_each(|set| self.desk.timers.stop(set));
-        leg.sink = OutgoingSide::Standing(OutgoingSeizure { limit: None, ..out });
-        let source = match &leg.source {
+        let Some(record) = self.state.calls.get_mut(&call) else { return };
+        let OutgoingSide::Seized(seizure) = std::mem::replace(&mut record.outgoing, OutgoingSide::Open)
+        else {
+            return;
+        };
+        self.state.traces.push(now, call, TraceStep::Stands);
+        let (exchange, number, elapsed, held) =
+            (seizure.exchange, seizure.number, now - seizure.sent_at, seizure.held.clone());
+        let stopped = [record.guard_timer.take(), record.controller_timer.take(), seizure.limit_timer];
+        stopped.into_iter().flatten().for_each(|timer| self.state.timers.cancel(timer));
+        record.outgoing = OutgoingSide::Standing(OutgoingSeizure { limit_timer: None, ..seizure });
+        let incoming = match &record.incoming {
             IncomingSide::Trunk(held) => Some(held.clone()),
             IncomingSide::Subscriber => {
-                self.desk.owed -= 1;
-                self.desk.tally.stood += 1;
-                self.desk.traces.step(now, call, TraceStep::Answered(Answer::Stands));
-                self.plant.answer(call, Answer::Stands);
+                self.state.pending_answers -= 1;
+                self.state.counters.stood += 1;
+                self.state.traces.push(now, call, TraceStep::Answered(Answer::Stands));
+                self.actions.answer(call, Answer::Stands);
                 None
             }
             IncomingSide::Gone => None,
         };
-        self.put(&held, CircuitUse::StandingOut(call));
-        if let Some(source) = source {
-            self.put(&source, CircuitUse::StandingIn(call));
+        self.set_usage(&held, CircuitUse::StandingOut(call));
+        if let Some(incoming) = incoming {
+            self.set_usage(&incoming, CircuitUse::StandingIn(call));
             self.send(
-                source.to,
-                Cic::from_index(source.first()),
-                Body::Anm { report: self.desk.report, unknown_parameters: Vec::new() },
+                incoming.to,
+                Cic::from_index(incoming.first()),
+                Body::Anm { report: self.state.own_report, unknown_parameters: Vec::new() },
             );
         }
-        controller.on_seizure_answered(now, self, &SeizureAnswered { call, seizure, exchange, elapsed });
-        // Where a seizure could not be cancelled, its caller had gone long ago.
-        if let Some(CallRecord { source: IncomingSide::Gone, .. }) = self.desk.calls.get(&call) {
-            self.caller_gone(controller, call, normal(Location::Local));
+        controller.on_seizure_answered(
+            now,
+            self,
+            &SeizureAnswered { call, seizure: number, exchange, elapsed },
+        );
+        // The caller had gone, but the seizure could not be cancelled.
+        if let Some(CallRecord { incoming: IncomingSide::Gone, .. }) = self.state.calls.get(&call) {
+            self.caller_gone(controller, call, normal_clearing(Location::Local));
         }
     }
 
-    /// The circuits that a call holds at one side are lost to it; `then` says what becomes of them, `rel` goes to its
+    /// A call loses the circuits that it holds on one side; `update_circuits` sets their new state, `rel` is sent on its
     /// other side.
     pub fn on_circuits_lost(
         &mut self,
@@ -398,90 +417,100 @@
         (to, index): (ExchangeNumber, u16),
         cause: Cause,
         rel: &Rel,
-        then: fn(&HeldCircuits, &mut Self),
+        update_circuits: fn(&HeldCircuits, &mut Self),
     ) {
         let now = self.now;
-        let Some(leg) = self.desk.calls.get_mut(&call) else { return };
-        let here = |held: &HeldCircuits| held.to == to && held.indices.contains(&index);
-        if let IncomingSide::Trunk(held) = &leg.source
-            && here(held)
+        let Some(record) = self.state.calls.get_mut(&call) else { return };
+        let includes = |held: &HeldCircuits| held.to == to && held.indices.contains(&index);
+        if let IncomingSide::Trunk(held) = &record.incoming
+            && includes(held)
         {
             let held = held.clone();
-            then(&held, self);
+            update_circuits(&held, self);
             return self.caller_gone(controller, call, Rel { unknown_parameters: Vec::new(), ..rel.clone() });
         }
-        match std::mem::replace(&mut leg.sink, OutgoingSide::Open) {
-            OutgoingSide::Seized(out) if here(&out.held) => {
-                leg.last = Some(cause);
-                self.desk.traces.step(
+        match std::mem::replace(&mut record.outgoing, OutgoingSide::Open) {
+            OutgoingSide::Seized(seizure) if includes(&seizure.held) => {
+                record.last_cause = Some(cause);
+                self.state.traces.push(
                     now,
                     call,
-                    TraceStep::SeizureEnded { no: out.no, cause, elapsed: now - out.at },
+                    TraceStep::SeizureEnded {
+                        seizure: seizure.number,
+                        cause,
+                        elapsed: now - seizure.sent_at,
+                    },
                 );
-                out.limit.into_iter().for_each(|set| self.desk.timers.stop(set));
-                then(&out.held, self);
-                let closed = self.desk.closed(call);
-                controller.on_seizure_ended(now, self, &out.ended(call, now, cause, closed));
-                self.desk.finish(call);
+                seizure.limit_timer.into_iter().for_each(|timer| self.state.timers.cancel(timer));
+                update_circuits(&seizure.held, self);
+                let closed = self.state.has_final_answer(call);
+                controller.on_seizure_ended(now, self, &seizure.end_event(call, now, cause, closed));
+                self.state.remove_if_finished(call);
             }
-            OutgoingSide::Standing(out) if here(&out.held) => {
-                then(&out.held, self);
-                match &leg_source(self, call) {
-                    Some(held) => self.let_go(held, rel),
+            OutgoingSide::Standing(seizure) if includes(&seizure.held) => {
+                update_circuits(&seizure.held, self);
+                match &incoming_circuits(self, call) {
+                    Some(held) => self.release_if_seized(held, rel),
                     None => {
                         let cut = cause != Cause::Done;
-                        self.desk.tally.cut += u64::from(cut);
+                        self.state.counters.cut += u64::from(cut);
                         let end = if cut { CallEnd::Cut } else { CallEnd::Released };
                         self.trace(call, TraceStep::Ended(end));
-                        self.plant.ended(call, end);
+                        self.actions.call_ended(call, end);
                     }
                 }
-                self.desk.drop_leg(call);
-                controller.on_seizure_ended(now, self, &out.ended(call, now, cause, true));
+                self.state.remove_call(call);
+                controller.on_seizure_ended(now, self, &seizure.end_event(call, now, cause, true));
             }
-            other => leg.sink = other,
+            other => record.outgoing = other,
         }
     }
 
-    /// A link is gone: set-ups on it are lost, and whether the far end worked on them is not known.
-    pub fn link_lost(&mut self, controller: &mut Controller, to: ExchangeNumber) {
-        let grace = self.now + self.desk.t.link_grace;
-        let Some(link) = self.desk.links.get_mut(&to).filter(|link| link.phase != LocalAspState::Down) else {
+    /// A link is lost: set-ups on it fail, and it is unknown whether the far end has received them.
+    pub fn on_link_lost(&mut self, controller: &mut Controller, to: ExchangeNumber) {
+        let grace_end = self.now + self.state.durations.link_grace;
+        let Some(link) = self.state.links.get_mut(&to).filter(|link| link.local_state != LocalAspState::Down)
+        else {
             return;
         };
-        (link.phase, link.far) = (LocalAspState::Down, RemoteAspState::Inactive);
-        link.timer.take().into_iter().for_each(|set| self.desk.timers.stop(set));
-        let set = self.desk.timers.set(grace, Timer::LinkGrace(to));
-        link.grace.replace(set).into_iter().for_each(|set| self.desk.timers.stop(set));
-        self.plant.log_info(&format!("link to exchange {} is gone", to.0));
-        self.drop_calls(controller, to, |used| {
-            matches!(used, CircuitUse::SeizedOut(_) | CircuitUse::SeizedIn(_))
+        (link.local_state, link.remote_state) = (LocalAspState::Down, RemoteAspState::Inactive);
+        link.timer.take().into_iter().for_each(|timer| self.state.timers.cancel(timer));
+        let timer = self.state.timers.set(grace_end, Timer::LinkGrace(to));
+        link.grace_timer.replace(timer).into_iter().for_each(|timer| self.state.timers.cancel(timer));
+        self.actions.log_info(&format!("link to exchange {} is lost", to.0));
+        self.drop_calls(controller, to, |usage| {
+            matches!(usage, CircuitUse::SeizedOut(_) | CircuitUse::SeizedIn(_))
         });
     }
 
-    /// Standing calls have outlived their link for as long as they may.
-    pub fn link_grace(&mut self, controller: &mut Controller, to: ExchangeNumber) {
-        if let Some(link) = self.desk.links.get_mut(&to) {
-            link.grace = None;
-            self.drop_calls(controller, to, |used| used.call().is_some());
+    /// The link was not restored within `link_grace`: cuts its standing calls.
+    pub fn on_link_grace(&mut self, controller: &mut Controller, to: ExchangeNumber) {
+        if let Some(link) = self.state.links.get_mut(&to) {
+            link.grace_timer = None;
+            self.drop_calls(controller, to, |usage| usage.call().is_some());
         }
     }
 
-    fn drop_calls(&mut self, controller: &mut Controller, to: ExchangeNumber, which: fn(CircuitUse) -> bool) {
-        let Some(group) = self.desk.groups.get(&to) else { return };
+    fn drop_calls(
+        &mut self,
+        controller: &mut Controller,
+        to: ExchangeNumber,
+        is_lost: fn(CircuitUse) -> bool,
+    ) {
+        let Some(group) = self.state.groups.get(&to) else { return };
         let lost: Vec<_> =
-            group.all().filter(|(_, circuit)| which(circuit.used)).map(|(index, _)| index).collect();
-        let rel = failure(Q850::NetworkOutOfOrder);
+            group.iter().filter(|(_, circuit)| is_lost(circuit.usage)).map(|(index, _)| index).collect();
+        let rel = local_failure(Q850::NetworkOutOfOrder);
         for index in lost {
-            let used =
-                self.desk.groups.get(&to).and_then(|group| group.get(index)).map(|circuit| circuit.used);
-            if let Some(call) = used.and_then(CircuitUse::call) {
+            let usage =
+                self.state.groups.get(&to).and_then(|group| group.get(index)).map(|circuit| circuit.usage);
+            if let Some(call) = usage.and_then(CircuitUse::call) {
                 self.on_circuits_lost(controller, call, (to, index), Cause::Cut, &rel, HeldCircuits::reset);
             }
         }
     }
 
-    fn initial_address(
+    fn on_iam(
         &mut self,
         controller: &mut Controller,
         from: ExchangeNumber,
@@ -489,110 +518,110 @@
         iam: &Iam,
         closing: bool,
     ) {
-        let Some(indices) = self.incoming(controller, from, first, iam) else { return };
+        let Some(indices) = self.circuits_for_set_up(controller, from, first, iam) else { return };
         let held = HeldCircuits { to: from, indices };
         let digits = iam.called.digits();
-        let (office, number) = digits.split_at(OFFICE_DIGITS.min(digits.len()));
-        let dest = Number::parse_decimal(office).and_then(|dest| u16::try_from(dest).ok());
+        let (exchange_digits, number_digits) = digits.split_at(EXCHANGE_DIGITS.min(digits.len()));
+        let dest = Number::parse_decimal(exchange_digits).and_then(|dest| u16::try_from(dest).ok());
         let (Some(dest), Some(dialled)) =
-            (dest.filter(|_| office.len() == OFFICE_DIGITS), Number::parse_decimal(number))
+            (dest.filter(|_| exchange_digits.len() == EXCHANGE_DIGITS), Number::parse_decimal(number_digits))
         else {
             // Invalid number format (Q.850 value 28).
-            return self.release_held(&held, failure(Q850::Other(28)));
+            return self.release_held(&held, local_failure(Q850::Other(28)));
         };
-        let turned_away = if closing {
+        let refusal = if closing {
             Some(Q850::OutOfOrder)
-        } else if self.desk.calls.len() >= self.desk.max_calls {
-            self.desk.tally.overflow += 1;
+        } else if self.state.calls.len() >= self.state.max_calls {
+            self.state.counters.overflow += 1;
             Some(Q850::Congestion)
-        } else if ExchangeNumber(dest) != self.desk.own && iam.hops == Some(0) {
-            // Exchange routing error (Q.850 value 25): it would go round.
+        } else if ExchangeNumber(dest) != self.state.own && iam.hops == Some(0) {
+            // Exchange routing error (Q.850 value 25): the call would loop.
             Some(Q850::Other(25))
         } else {
             None
         };
-        if let Some(cause) = turned_away {
-            return self.release_held(&held, failure(cause));
+        if let Some(cause) = refusal {
+            return self.release_held(&held, local_failure(cause));
         }
-        let call = CallId(self.desk.next_call + 1);
-        self.desk.next_call += 1;
+        let call = CallId(self.state.next_call + 1);
+        self.state.next_call += 1;
         let identity = iam.identity.unwrap_or(CallIdentity {
             origin: from.0,
             call: call.0,
             seizure: 0,
             call_type: 0,
             customer: 0,
-            time_left_ms: self.desk.t.t7.as_millis() as u32,
+            time_left_ms: self.state.durations.t7.as_millis() as u32,
             cut: false,
             redial: false,
         });
         let width = held.indices.len() as u16;
-        let mut leg = CallRecord {
-            source: IncomingSide::Trunk(held.clone()),
-            sink: OutgoingSide::Open,
+        let mut record = CallRecord {
+            incoming: IncomingSide::Trunk(held.clone()),
+            outgoing: OutgoingSide::Open,
             identity,
             called: iam.called,
             dialled,
             dest: ExchangeNumber(dest),
             width,
-            until: self.now.saturating_add(identity.time_left()).saturating_sub(ANSWER_MARGIN),
-            guard: None,
-            alarm: None,
-            seizures: 0,
-            last: None,
+            deadline: self.now.saturating_add(identity.time_left()).saturating_sub(ANSWER_MARGIN),
+            guard_timer: None,
+            controller_timer: None,
+            seizure_count: 0,
+            last_cause: None,
         };
-        if leg.dest == self.desk.own {
-            return self.terminate(call, leg, held);
+        if record.dest == self.state.own {
+            return self.terminate(call, record, held);
         }
-        self.desk.tally.transit += 1;
+        self.state.counters.transit += 1;
         let arrived = TraceStep::Arrived { from, cic: Cic::from_index(first) };
-        self.desk.traces.begin(self.now, call, identity, ExchangeNumber(dest), dialled, arrived);
-        leg.guard = Some(self.desk.timers.set(leg.until, Timer::Guard(call)));
-        self.desk.calls.insert(call, leg);
-        self.put(&held, CircuitUse::SeizedIn(call));
-        let offer = self.desk.offer(call, None);
+        self.state.traces.start(self.now, call, identity, ExchangeNumber(dest), dialled, arrived);
+        record.guard_timer = Some(self.state.timers.set(record.deadline, Timer::GuardTime(call)));
+        self.state.calls.insert(call, record);
+        self.set_usage(&held, CircuitUse::SeizedIn(call));
+        let offer = self.state.offer(call, None);
         offer.into_iter().for_each(|offer| controller.on_offer(self.now, self, offer));
     }
 
-    /// A call for a number here: it stands at once, if the number has a line free.
-    fn terminate(&mut self, call: CallId, mut leg: CallRecord, held: HeldCircuits) {
+    /// A call for a number of this exchange: it stands at once if the number has a free line, else it is released as busy.
+    fn terminate(&mut self, call: CallId, mut record: CallRecord, held: HeldCircuits) {
         let cic = Cic::from_index(held.first());
-        if let Some((lines, taken)) = self.desk.lines.get_mut(&leg.dialled) {
+        if let Some((lines, taken)) = self.state.lines.get_mut(&record.dialled) {
             if taken >= lines {
                 let busy = Rel {
-                    report: self.desk.report,
+                    report: self.state.own_report,
                     ..Rel::new(CauseIndicators::new(Location::User, Q850::UserBusy))
                 };
                 return self.release_held(&held, busy);
             }
             *taken += 1;
         }
-        self.desk.tally.terminated += 1;
+        self.state.counters.terminated += 1;
         let arrived = TraceStep::Arrived { from: held.to, cic };
-        self.desk.traces.begin(self.now, call, leg.identity, leg.dest, leg.dialled, arrived);
+        self.state.traces.start(self.now, call, record.identity, record.dest, record.dialled, arrived);
         self.trace(call, TraceStep::StandsHere);
-        leg.sink = OutgoingSide::OwnSubscriber;
-        self.desk.calls.insert(call, leg);
-        self.put(&held, CircuitUse::StandingIn(call));
-        let report = self.desk.report;
+        record.outgoing = OutgoingSide::OwnSubscriber;
+        self.state.calls.insert(call, record);
+        self.set_usage(&held, CircuitUse::StandingIn(call));
+        let report = self.state.own_report;
         self.send(
             held.to,
             cic,
-            Body::Acm { backward: BACKWARD, report: None, unknown_parameters: Vec::new() },
+            Body::Acm { backward: BACKWARD_INDICATORS, report: None, unknown_parameters: Vec::new() },
         );
         self.send(held.to, cic, Body::Anm { report, unknown_parameters: Vec::new() });
     }
 
-    /// The circuits that a set-up asks for, if it is to be worked on; settles dual seizure (Q.764 clause 2.9.1.4): the
-    /// wider call prevails, else the end that controls the lowest circuit in dispute.
-    fn incoming(
+    /// The circuits that a set-up seizes, or none if the set-up is not accepted. Resolves dual seizure (Q.764 clause
+    /// 2.9.1.4): the wider call prevails, else the end that controls the lowest circuit in dispute.
+    fn circuits_for_set_up(
         &mut self,
         controller: &mut Controller,
         from: ExchangeNumber,
         first: u16,
         iam: &Iam,
     ) -> Option<Vec<u16>> {
-        let group = self.desk.groups.get(&from)?;
+        let group = self.state.groups.get(&from)?;
         let cic = Cic::from_index(first);
         let indices: Option<Vec<u16>> = match iam.map {
             None => Some(vec![first]),
@@ -600,79 +629,80 @@
         };
         let indices = indices.filter(|indices| indices.first() == Some(&first));
         let Some(indices) = indices else {
-            self.desk.tally.unexpected += 1;
-            if group.get(first).is_some_and(|circuit| circuit.used == CircuitUse::Idle) {
+            self.state.counters.unexpected += 1;
+            if group.get(first).is_some_and(|circuit| circuit.usage == CircuitUse::Idle) {
                 let held = HeldCircuits { to: from, indices: vec![first] };
-                self.release_held(&held, failure(Q850::CircuitNotAvailable));
+                self.release_held(&held, local_failure(Q850::CircuitNotAvailable));
             }
             return None;
         };
         let uses: Vec<_> = indices.iter().filter_map(|index| group.get(*index).copied()).collect();
-        // A release or a reset of ours is on its way: the far end gives the set-up up once it has that, if it is for
-        // the circuit that it signals on; of another it is told here, or it would wait until its limit.
-        let closing = |used| {
+        // A release or a reset from this end is in transit. If it is for the signalling circuit of the set-up, the far end
+        // gives the set-up up on receiving it; if it is for another circuit, the set-up must be released here, or it
+        // would wait until its time limit.
+        let clearing = |usage| {
             matches!(
-                used,
+                usage,
                 CircuitUse::Releasing { .. } | CircuitUse::Resetting { .. } | CircuitUse::ReleasedWith(_)
             )
         };
-        if uses.iter().any(|circuit| closing(circuit.used)) {
-            self.desk.tally.unexpected += 1;
-            if matches!(uses[0].used, CircuitUse::Idle | CircuitUse::ReleasedWith(_)) {
+        if uses.iter().any(|circuit| clearing(circuit.usage)) {
+            self.state.counters.unexpected += 1;
+            if matches!(uses[0].usage, CircuitUse::Idle | CircuitUse::ReleasedWith(_)) {
                 let held = HeldCircuits { to: from, indices: vec![first] };
-                self.release_held(&held, failure(Q850::CircuitNotAvailable));
+                self.release_held(&held, local_failure(Q850::CircuitNotAvailable));
             }
             return None;
         }
         let mut yielding = Vec::new();
         let mut stale = Vec::new();
         for (index, circuit) in indices.iter().zip(&uses) {
-            match circuit.used {
+            match circuit.usage {
                 CircuitUse::SeizedOut(call) => {
-                    self.desk.tally.dual_seizures += 1;
-                    let ours = self.desk.calls.get(&call).map_or(0, |leg| usize::from(leg.width));
-                    let prevails = match ours.cmp(&indices.len()) {
+                    self.state.counters.dual_seizures += 1;
+                    let own_width = self.state.calls.get(&call).map_or(0, |record| usize::from(record.width));
+                    let prevails = match own_width.cmp(&indices.len()) {
                         std::cmp::Ordering::Equal => group.controls(*index),
                         order => order.is_gt(),
                     };
                     if prevails {
-                        // The far end finds the same and yields.
-                        if let Some(CallRecord { sink: OutgoingSide::Seized(out), .. }) =
-                            self.desk.calls.get_mut(&call)
+                        // The far end comes to the same result and yields.
+                        if let Some(CallRecord { outgoing: OutgoingSide::Seized(seizure), .. }) =
+                            self.state.calls.get_mut(&call)
                         {
-                            out.prevailed = true;
+                            seizure.prevailed = true;
                         }
                         return None;
                     }
                     yielding.push((*index, call));
                 }
                 CircuitUse::Idle => {}
-                // The far end answered this call, and so had yielded: its set-up was overtaken by its answer.
+                // The far end answered this call, so it had yielded: its answer overtook its own set-up.
                 CircuitUse::StandingOut(_) => return None,
-                used => stale.extend(used.call().map(|call| (*index, call))),
+                usage => stale.extend(usage.call().map(|call| (*index, call))),
             }
         }
         if !stale.is_empty() {
-            // The far end holds idle what here is busy: what it carried is over, and both start afresh.
-            self.desk.tally.unexpected += 1;
-            let rel = failure(Q850::TemporaryFailure);
+            // The circuit is busy here but idle at the far end: the call on it is over, and the circuit is reset.
+            self.state.counters.unexpected += 1;
+            let rel = local_failure(Q850::TemporaryFailure);
             for (index, call) in stale {
                 self.on_circuits_lost(controller, call, (from, index), Cause::Cut, &rel, HeldCircuits::reset);
             }
             return None;
         }
-        let blocked = uses.iter().any(|circuit| circuit.blocked.here());
+        let blocked = uses.iter().any(|circuit| circuit.blocking.is_local());
         if blocked {
             self.send(from, cic, Body::Blo);
-            self.release_held(&HeldCircuits { to: from, indices }, failure(Q850::CircuitNotAvailable));
+            self.release_held(&HeldCircuits { to: from, indices }, local_failure(Q850::CircuitNotAvailable));
             return None;
         }
-        // The decisions must not take again at once what is yielded: it is let go once they know.
+        // The controller must not seize the yielded circuits again at once: they become idle after it knows of the end.
         for (index, call) in yielding {
-            self.desk.tally.yielded += 1;
-            let rel = failure(Q850::CircuitNotAvailable);
-            let held = match self.desk.calls.get(&call).map(|leg| &leg.sink) {
-                Some(OutgoingSide::Seized(out)) => out.held.clone(),
+            self.state.counters.yielded += 1;
+            let rel = local_failure(Q850::CircuitNotAvailable);
+            let held = match self.state.calls.get(&call).map(|record| &record.outgoing) {
+                Some(OutgoingSide::Seized(seizure)) => seizure.held.clone(),
                 _ => HeldCircuits { to: from, indices: vec![index] },
             };
             self.on_circuits_lost(
@@ -681,22 +711,22 @@
                 (from, index),
                 Cause::NoCircuit,
                 &rel,
-                HeldCircuits::keep,
+                HeldCircuits::leave_unchanged,
             );
-            held.idle(self);
+            held.set_idle(self);
         }
         Some(indices)
     }
 }
 
-fn leg_source(w: &EventContext, call: CallId) -> Option<HeldCircuits> {
-    match w.desk.calls.get(&call).map(|leg| &leg.source) {
+fn incoming_circuits(context: &EventContext, call: CallId) -> Option<HeldCircuits> {
+    match context.state.calls.get(&call).map(|record| &record.incoming) {
         Some(IncomingSide::Trunk(held)) => Some(held.clone()),
         _ => None,
     }
 }
 
-/// What a release means for a seizure that has no answer.
+/// The cause that a release gives a seizure without an answer.
 fn seizure_cause(rel: &Rel) -> Cause {
     if let Some(crankback) = rel.crankback {
         return Cause::TurnedBack { beyond: crankback.next_exchange_full };
@@ -711,16 +741,16 @@
     }
 }
 
-/// And for one that prevailed over a set-up of the far end, which then gave its own up: it ignored ours meanwhile, and
-/// says nothing of the number called.
-fn crossed_cause(rel: &Rel) -> Cause {
+/// The cause for a seizure that prevailed over a set-up of the far end, which then released its own: the far end has
+/// ignored the set-up from here meanwhile, so the release tells nothing about the called number.
+fn cause_after_prevailing(rel: &Rel) -> Cause {
     match seizure_cause(rel) {
         Cause::Busy if rel.cause.cause != Q850::UserBusy => Cause::NoCircuit,
         cause => cause,
     }
 }
 
-/// And for a call that stands.
+/// The cause for a standing call.
 fn end_cause(rel: &Rel) -> Cause {
     match rel.cause.cause {
         Q850::NormalClearing | Q850::NormalUnspecified => Cause::Done,
@@ -728,7 +758,7 @@
     }
 }
 
-/// What is passed on of a release at one side to the other.
-fn onward(rel: &Rel) -> Rel<'static> {
+/// The release that a release on one side of a call causes on the other.
+fn onward_release(rel: &Rel) -> Rel<'static> {
     Rel::new(CauseIndicators::new(Location::Transit, rel.cause.cause))
 }
--- a/crates/callcontrol/src/status.rs
+++ b/crates/callcontrol/src/status.rs
@@ -1,4 +1,4 @@
-//! What is shown of an office: plain figures, copied out.
+//! Status of call control: figures and counters, copied out.
 
 use std::collections::BTreeSet;
 
@@ -20,20 +20,23 @@
     pub failed: u64,
     /// Standing calls that were cut.
     pub cut: u64,
-    /// Calls that came in for a number here and stood.
+    /// Calls from other exchanges that stood at a number of this exchange.
     pub terminated: u64,
-    /// Seizures given up after their limit, circuits that both ends seized, and of those the ones yielded.
+    /// Seizures given up after their time limit.
     pub timed_out: u64,
+    /// Circuits that both ends seized.
     pub dual_seizures: u64,
+    /// Circuits of dual seizures that this end yielded.
     pub yielded: u64,
-    /// Releases sent again, circuits reset.
+    /// Releases sent again.
     pub releases_repeated: u64,
+    /// Resets sent, of single circuits or of systems.
     pub resets: u64,
     /// Circuits that an audit found busy at one end and idle at the other.
     pub stuck_found: u64,
-    /// Messages that made no sense, or none in the state of their circuit.
+    /// Messages that were invalid, or unexpected in the state of their circuit.
     pub unexpected: u64,
-    /// Offers turned away because too many calls were in hand.
+    /// Calls refused because too many were in hand.
     pub overflow: u64,
 }
 
@@ -60,72 +63,76 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallControlStatus {
     pub own: ExchangeNumber,
-    pub tally: Counters,
-    /// Calls in hand, and those of them that wait for their final answer.
+    pub counters: Counters,
+    /// Calls in hand.
     pub calls: usize,
-    pub owed: usize,
+    /// Calls of subscribers whose final answer is outstanding.
+    pub pending_answers: usize,
     pub timers: usize,
     pub traces: usize,
     pub groups: Vec<GroupStatus>,
 }
 
 impl Link {
-    fn state(&self) -> LinkStatus {
-        match self.phase {
+    fn status(&self) -> LinkStatus {
+        match self.local_state {
             LocalAspState::Down => LinkStatus::Down,
-            _ if self.usable() => LinkStatus::Up,
+            _ if self.is_usable() => LinkStatus::Up,
             _ => LinkStatus::Opening,
         }
     }
 }
 
 impl CallControl {
-    /// What its books hold against each other: circuits that carry a call that does not hold them, calls that hold circuits
-    /// which do not carry them, answers owed that nobody counts. None, ever; for tests and for a look from outside.
+    /// Inconsistencies of the state: circuits that carry a call which does not hold them, calls that hold circuits which do
+    /// not carry them, pending answers that are not counted. Always empty; for tests and for outside checks.
     pub fn inconsistencies(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        let held = |leg: &CallRecord| {
-            let source = match &leg.source {
+        let mut inconsistencies = Vec::new();
+        let held = |record: &CallRecord| {
+            let incoming = match &record.incoming {
                 IncomingSide::Trunk(held) => Some(held.clone()),
                 _ => None,
             };
-            let sink = match &leg.sink {
-                OutgoingSide::Seized(out) | OutgoingSide::Standing(out) => Some(out.held.clone()),
+            let outgoing = match &record.outgoing {
+                OutgoingSide::Seized(seizure) | OutgoingSide::Standing(seizure) => Some(seizure.held.clone()),
                 _ => None,
             };
-            source.into_iter().chain(sink)
+            incoming.into_iter().chain(outgoing)
         };
         let mut holds = BTreeSet::new();
-        for (call, leg) in &self.desk.calls {
+        for (call, record) in &self.state.calls {
             let indices =
-                held(leg).flat_map(|held| held.indices.into_iter().map(move |index| (held.to, index)));
+                held(record).flat_map(|held| held.indices.into_iter().map(move |index| (held.to, index)));
             holds.extend(indices.map(|(to, index)| (to, index, *call)));
         }
-        let circuits =
-            self.desk.groups.iter().flat_map(|(to, group)| group.all().map(move |(no, c)| (*to, no, c.used)));
+        let circuits = self
+            .state
+            .groups
+            .iter()
+            .flat_map(|(to, group)| group.iter().map(move |(index, c)| (*to, index, c.usage)));
         let carries: BTreeSet<_> =
-            circuits.filter_map(|(to, no, used)| Some((to, no, used.call()?))).collect();
+            circuits.filter_map(|(to, index, usage)| Some((to, index, usage.call()?))).collect();
         for (to, index, call) in carries.symmetric_difference(&holds) {
-            faults.push(format!("{call:?} and circuit {index} to {to:?} do not agree"));
+            inconsistencies.push(format!("{call:?} and circuit {index} to {to:?} do not agree"));
         }
-        let owed = self.desk.calls.values().filter(|leg| {
+        let pending = self.state.calls.values().filter(|record| {
             matches!(
-                (&leg.source, &leg.sink),
+                (&record.incoming, &record.outgoing),
                 (IncomingSide::Subscriber, OutgoingSide::Open | OutgoingSide::Seized(_))
             )
         });
-        let (owed, counted) = (owed.count(), self.desk.owed);
-        if owed != counted {
-            faults.push(format!("{owed} answers are owed, {counted} counted"));
+        let (pending, counted) = (pending.count(), self.state.pending_answers);
+        if pending != counted {
+            inconsistencies.push(format!("{pending} answers are pending, {counted} counted"));
         }
-        faults
+        inconsistencies
     }
 
-    pub fn state(&self) -> CallControlStatus {
-        let groups = self.desk.groups.iter().map(|(to, group)| {
-            let mut state = GroupStatus {
+    pub fn status(&self) -> CallControlStatus {
+        let groups = self.state.groups.iter().map(|(to, group)| {
+            let mut status = GroupStatus {
                 to: *to,
-                link: self.desk.links.get(to).map_or(LinkStatus::Down, Link::state),
+                link: self.state.links.get(to).map_or(LinkStatus::Down, Link::status),
                 circuits: usize::from(group.size()),
                 free: group.free(),
                 seized: 0,
@@ -134,25 +141,25 @@
                 resetting: 0,
                 blocked: 0,
             };
-            for (_, circuit) in group.all() {
-                state.blocked += usize::from(circuit.blocked != Blocking::Open);
-                match circuit.used {
+            for (_, circuit) in group.iter() {
+                status.blocked += usize::from(circuit.blocking != Blocking::Unblocked);
+                match circuit.usage {
                     CircuitUse::Idle => {}
-                    CircuitUse::SeizedOut(_) | CircuitUse::SeizedIn(_) => state.seized += 1,
-                    CircuitUse::StandingOut(_) | CircuitUse::StandingIn(_) => state.standing += 1,
-                    CircuitUse::Releasing { .. } | CircuitUse::ReleasedWith(_) => state.releasing += 1,
-                    CircuitUse::Resetting { .. } => state.resetting += 1,
+                    CircuitUse::SeizedOut(_) | CircuitUse::SeizedIn(_) => status.seized += 1,
+                    CircuitUse::StandingOut(_) | CircuitUse::StandingIn(_) => status.standing += 1,
+                    CircuitUse::Releasing { .. } | CircuitUse::ReleasedWith(_) => status.releasing += 1,
+                    CircuitUse::Resetting { .. } => status.resetting += 1,
                 }
             }
-            state
+            status
         });
         CallControlStatus {
-            own: self.desk.own,
-            tally: self.desk.tally,
-            calls: self.desk.calls.len(),
-            owed: self.desk.owed,
-            timers: self.desk.timers.len(),
-            traces: self.desk.traces.len(),
+            own: self.state.own,
+            counters: self.state.counters,
+            calls: self.state.calls.len(),
+            pending_answers: self.state.pending_answers,
+            timers: self.state.timers.len(),
+            traces: self.state.traces.len(),
             groups: groups.collect(),
         }
     }
--- a/crates/callcontrol/src/trace.rs
+++ b/crates/callcontrol/src/trace.rs
@@ -1,7 +1,7 @@
-//! What became of each call, step by step: a bounded memory of the last calls, by number and by whose they are.
+//! Traces of the last calls, step by step: a bounded table, by call and by origin.
 //!
-//! A call keeps its identity along the way, so that the same call can be looked up at the exchange that took it, at a
-//! tandem and at the one that has the number called. What the decisions did is seen in what they had done.
+//! A call keeps its identity along its path, so that it can be looked up at its origin, at a tandem and at the exchange
+//! of the called number. The controller's decisions show in the recorded actions.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,100 +14,89 @@
 /// One thing that happened to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TraceStep {
-    /// A subscriber asked for it, waiting for so long.
-    Offered {
-        left: Duration,
-    },
-    /// It came in on a circuit.
-    Arrived {
-        from: ExchangeNumber,
-        cic: Cic,
-    },
-    /// Its seizure went out on the first of so many circuits, to be given up after `limit`.
+    /// A subscriber offered it and waits for `time_left`.
+    Offered { time_left: Duration },
+    /// It arrived from another exchange on a circuit.
+    Arrived { from: ExchangeNumber, cic: Cic },
+    /// A seizure was sent on `cic`, the first of `circuits` circuits; it is given up after `limit`.
     Seized {
-        no: SeizureNumber,
+        seizure: SeizureNumber,
         exchange: ExchangeId,
         to: ExchangeNumber,
         cic: Cic,
         circuits: u16,
         limit: Duration,
     },
-    /// The far end has all digits.
-    Alerted {
-        no: SeizureNumber,
-    },
+    /// The far end has all digits (address complete).
+    Alerted { seizure: SeizureNumber },
     /// A seizure ended, or was never sent.
-    SeizureEnded {
-        no: SeizureNumber,
-        cause: Cause,
-        elapsed: Duration,
-    },
-    /// It stands: through this exchange, or at a number here.
+    SeizureEnded { seizure: SeizureNumber, cause: Cause, elapsed: Duration },
+    /// It stands over a circuit to another exchange.
     Stands,
+    /// It stands at a number of this exchange.
     StandsHere,
     /// The final answer to its caller.
     Answered(Answer),
-    /// Turned back to the exchange that it came from.
+    /// Released towards the exchange that it came from.
     TurnedBack(Q850),
-    /// Its caller hung up, gave up, or was lost with its circuit or link.
+    /// The caller hung up or gave up, or its circuit or link was lost.
     CallerGone(Q850),
-    /// A standing call ended otherwise.
+    /// The standing call ended in another way.
     Ended(CallEnd),
 }
 
-/// What is remembered of one call.
+/// The trace of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trace {
     pub call: CallId,
     pub identity: CallIdentity,
     pub dest: ExchangeNumber,
     pub dialled: u64,
-    /// With the time of each, on the office's clock.
+    /// Each with its time, on the clock of call control.
     pub steps: Vec<(Duration, TraceStep)>,
-    /// Steps that there was no room for.
-    pub left_out: u32,
+    /// Number of steps beyond the most that are kept.
+    pub steps_omitted: u32,
 }
 
 impl Trace {
-    /// What a caller sees last, or would.
-    pub fn last(&self) -> Option<&(Duration, TraceStep)> {
+    pub fn last_step(&self) -> Option<&(Duration, TraceStep)> {
         self.steps.last()
     }
 
-    /// Seizures that were out at the same time: none, if the second rule was kept.
-    pub fn seizures_out(&self) -> usize {
+    /// Most seizures that were open at the same time: at most one, if the second rule was kept.
+    pub fn max_open_seizures(&self) -> usize {
         self.steps
             .iter()
-            .fold((0usize, 0usize), |(out, most), (_, step)| {
-                let out = match step {
-                    TraceStep::Seized { .. } => out + 1,
-                    TraceStep::SeizureEnded { .. } => out.saturating_sub(1),
-                    _ => out,
+            .fold((0usize, 0usize), |(open, most), (_, step)| {
+                let open = match step {
+                    TraceStep::Seized { .. } => open + 1,
+                    TraceStep::SeizureEnded { .. } => open.saturating_sub(1),
+                    _ => open,
                 };
-                (out, most.max(out))
+                (open, most.max(open))
             })
             .1
     }
 }
 
-/// Steps of one call: five seizures with what belongs to them, and its two ends.
-const STEPS: usize = 24;
+/// Most steps kept of one call: enough for five seizures with their steps, and its begin and end.
+const MAX_STEPS: usize = 24;
 
-/// The last calls. At most `most`; the oldest goes as a new one comes.
+/// The traces of the last calls, at most `capacity`; a new one replaces the oldest.
 #[derive(Debug)]
 pub(crate) struct Traces {
-    most: usize,
+    capacity: usize,
     calls: BTreeMap<CallId, Trace>,
     order: VecDeque<CallId>,
 }
 
 impl Traces {
-    /// None are kept where `most` is nought.
-    pub fn new(most: usize) -> Self {
-        Self { most, calls: BTreeMap::new(), order: VecDeque::new() }
+    /// No traces are kept if `capacity` is zero.
+    pub fn new(capacity: usize) -> Self {
+        Self { capacity, calls: BTreeMap::new(), order: VecDeque::new() }
     }
 
-    pub fn begin(
+    pub fn start(
         &mut self,
         at: Duration,
         call: CallId,
@@ -116,12 +105,12 @@
         dialled: u64,
         step: TraceStep,
     ) {
-        if self.most == 0 {
+        if self.capacity == 0 {
             return;
         }
-        // The room of the one that goes serves the one that comes.
+        // The new trace reuses the buffer of the oldest.
         let mut steps = Vec::new();
-        if self.order.len() >= self.most
+        if self.order.len() >= self.capacity
             && let Some(oldest) = self.order.pop_front().and_then(|oldest| self.calls.remove(&oldest))
         {
             steps = oldest.steps;
@@ -129,15 +118,15 @@
         }
         steps.push((at, step));
         self.order.push_back(call);
-        self.calls.insert(call, Trace { call, identity, dest, dialled, steps, left_out: 0 });
+        self.calls.insert(call, Trace { call, identity, dest, dialled, steps, steps_omitted: 0 });
     }
 
-    pub fn step(&mut self, at: Duration, call: CallId, step: TraceStep) {
+    pub fn push(&mut self, at: Duration, call: CallId, step: TraceStep) {
         if let Some(trace) = self.calls.get_mut(&call) {
-            if trace.steps.len() < STEPS {
+            if trace.steps.len() < MAX_STEPS {
                 trace.steps.push((at, step));
             } else {
-                trace.left_out += 1;
+                trace.steps_omitted += 1;
             }
         }
     }
@@ -146,10 +135,10 @@
         self.calls.get(&call)
     }
 
-    /// The traces here of a call that another exchange took: more than one if it came again.
-    pub fn of(&self, origin: ExchangeNumber, call: u64) -> impl Iterator<Item = &Trace> {
-        let same = move |trace: &&Trace| trace.identity.origin == origin.0 && trace.identity.call == call;
-        self.calls.values().filter(same)
+    /// The traces of a call by its origin: more than one if it arrived here more than once.
+    pub fn by_origin(&self, origin: ExchangeNumber, call: u64) -> impl Iterator<Item = &Trace> {
+        let matches = move |trace: &&Trace| trace.identity.origin == origin.0 && trace.identity.call == call;
+        self.calls.values().filter(matches)
     }
 
     pub fn len(&self) -> usize {
@@ -175,29 +164,29 @@
     }
 
     fn begin(traces: &mut Traces, call: u64) {
-        let step = TraceStep::Offered { left: Duration::from_secs(3) };
-        traces.begin(Duration::ZERO, CallId(call), identity(call), ExchangeNumber(2), 5, step);
+        let step = TraceStep::Offered { time_left: Duration::from_secs(3) };
+        traces.start(Duration::ZERO, CallId(call), identity(call), ExchangeNumber(2), 5, step);
     }
 
     #[test]
-    fn the_oldest_call_goes_as_a_new_one_comes() {
+    fn a_new_call_replaces_the_oldest() {
         let mut traces = Traces::new(3);
         (1..=5).for_each(|call| begin(&mut traces, call));
         assert_eq!((traces.len(), traces.get(CallId(2)), traces.get(CallId(3)).is_some()), (3, None, true));
-        assert_eq!(traces.get(CallId(5)).unwrap().steps.len(), 1, "nothing of the one before it is left");
+        assert_eq!(traces.get(CallId(5)).unwrap().steps.len(), 1, "no step of the replaced call is left");
         let mut none = Traces::new(0);
         begin(&mut none, 1);
         assert_eq!(none.len(), 0);
     }
 
     #[test]
-    fn a_call_that_does_too_much_says_how_much_was_left_out() {
+    fn a_call_that_does_too_much_says_how_much_was_steps_omitted() {
         let mut traces = Traces::new(3);
         begin(&mut traces, 1);
-        (0..40).for_each(|_| traces.step(Duration::ZERO, CallId(1), TraceStep::Stands));
+        (0..40).for_each(|_| traces.push(Duration::ZERO, CallId(1), TraceStep::Stands));
         let trace = traces.get(CallId(1)).unwrap();
-        assert_eq!((trace.steps.len(), trace.left_out), (STEPS, 17));
-        assert_eq!(traces.of(ExchangeNumber(7), 1).count(), 1);
-        assert_eq!(traces.of(ExchangeNumber(8), 1).count(), 0);
+        assert_eq!((trace.steps.len(), trace.steps_omitted), (MAX_STEPS, 17));
+        assert_eq!(traces.by_origin(ExchangeNumber(7), 1).count(), 1);
+        assert_eq!(traces.by_origin(ExchangeNumber(8), 1).count(), 0);
     }
 }
--- a/crates/callcontrol/tests/common/mod.rs
+++ b/crates/callcontrol/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A few offices on one table: what one sends lies in a queue until it is carried over.
+//! A few exchanges in one test network: what one sends is queued until the test delivers it.
 
-// Each test file uses its part of them.
+// Each test file uses only some of these items.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, VecDeque};
@@ -11,14 +11,14 @@
 use mintstall_isup::{Deframer, Frame, Message, ProtocolData};
 
 #[derive(Default)]
-pub struct Wires {
+pub struct RecordedActions {
     pub sent: VecDeque<(ExchangeNumber, Vec<u8>)>,
     pub answers: Vec<(CallId, Answer)>,
     pub ended: Vec<(CallId, CallEnd)>,
     pub closed: Vec<(ExchangeNumber, String)>,
 }
 
-impl CallControlActions for Wires {
+impl CallControlActions for RecordedActions {
     fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
         self.sent.push_back((to, octets.to_vec()));
     }
@@ -28,22 +28,22 @@
     fn answer(&mut self, call: CallId, answer: Answer) {
         self.answers.push((call, answer));
     }
-    fn ended(&mut self, call: CallId, end: CallEnd) {
+    fn call_ended(&mut self, call: CallId, end: CallEnd) {
         self.ended.push((call, end));
     }
     fn log_info(&mut self, _: &str) {}
 }
 
-pub struct Table {
+pub struct TestNetwork {
     pub now: Duration,
-    pub offices: BTreeMap<u16, (CallControl, Wires)>,
+    pub exchanges: BTreeMap<u16, (CallControl, RecordedActions)>,
 }
 
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-pub fn plan(own: u16, others: &[u16], circuits: u16) -> CallControlConfig {
+pub fn config(own: u16, others: &[u16], circuits: u16) -> CallControlConfig {
     let call_type = |revenue, width| CallTypeConfig {
         setup_target: ms(2000),
         guard_time: ms(9000),
@@ -55,7 +55,7 @@
     };
     CallControlConfig {
         own: ExchangeNumber(own),
-        data: ControllerConfig {
+        controller: ControllerConfig {
             own: Some(ExchangeNumber(own)),
             call_types: vec![call_type(1.0, 1), call_type(3.0, 3)],
             seizure_limit: 4,
@@ -70,144 +70,154 @@
             retransmit_after: Duration::ZERO,
         },
         groups: others.iter().map(|to| GroupConfig { to: ExchangeNumber(*to), circuits }).collect(),
-        numbers: vec![NumberPlan { dialled: 77, lines: 1 }],
+        numbers: vec![NumberConfig { dialled: 77, lines: 1 }],
         timers: Timers { t1: ms(1000), t5: ms(5000), ..Timers::default() },
         max_calls: 1000,
         traces: 100,
     }
 }
 
-impl Table {
-    /// Offices 1 to `count`, all linked, groups reset and idle.
+impl TestNetwork {
+    /// Exchanges 1 to `count`, all linked, with their groups reset and idle.
     pub fn new(count: u16, circuits: u16) -> Self {
-        let mut table = Self { now: Duration::from_secs(3600), offices: BTreeMap::new() };
+        let mut network = Self { now: Duration::from_secs(3600), exchanges: BTreeMap::new() };
         let all: Vec<u16> = (1..=count).collect();
         for own in &all {
             let others: Vec<_> = all.iter().copied().filter(|other| other != own).collect();
-            let office = CallControl::new(table.now, &plan(*own, &others, circuits), 1, (*own).into());
-            table.offices.insert(*own, (office, Wires::default()));
+            let control = CallControl::new(network.now, &config(*own, &others, circuits), 1, (*own).into());
+            network.exchanges.insert(*own, (control, RecordedActions::default()));
         }
-        all.iter().for_each(|own| table.listed(*own));
+        all.iter().for_each(|own| network.send_membership(*own));
         for (a, b) in all.iter().flat_map(|a| all.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b) {
-            table.with(a, |office, now, wires| office.link_up(now, wires, ExchangeNumber(b)));
+            network.with(a, |control, now, actions| control.link_up(now, actions, ExchangeNumber(b)));
         }
-        table.carry();
-        table
+        network.deliver_all();
+        network
     }
 
-    pub fn listed(&mut self, own: u16) {
-        let line = |no: &u16| ExchangeEntry {
-            id: ExchangeId(u32::from(*no) * 10),
-            number: ExchangeNumber(*no),
+    pub fn send_membership(&mut self, own: u16) {
+        let entry = |number: &u16| ExchangeEntry {
+            id: ExchangeId(u32::from(*number) * 10),
+            number: ExchangeNumber(*number),
             zone: Zone(0),
             status: ExchangeStatus::Ready,
             started: Duration::ZERO,
         };
-        let lines: Vec<_> = self.offices.keys().map(line).collect();
-        self.with(own, |office, now, wires| office.roster(now, wires, &lines));
+        let entries: Vec<_> = self.exchanges.keys().map(entry).collect();
+        self.with(own, |control, now, actions| control.on_membership(now, actions, &entries));
     }
 
-    pub fn with<R>(&mut self, own: u16, f: impl FnOnce(&mut CallControl, Duration, &mut Wires) -> R) -> R {
+    /// Runs `f` on one exchange and checks that its state is consistent afterwards.
+    pub fn with<R>(
+        &mut self,
+        own: u16,
+        f: impl FnOnce(&mut CallControl, Duration, &mut RecordedActions) -> R,
+    ) -> R {
         let now = self.now;
-        let (office, wires) = self.offices.get_mut(&own).unwrap();
-        let result = f(office, now, wires);
-        // After whatever happens its books agree.
-        assert_eq!(office.inconsistencies(), Vec::<String>::new(), "at {own}");
+        let (control, actions) = self.exchanges.get_mut(&own).unwrap();
+        let result = f(control, now, actions);
+        assert_eq!(control.inconsistencies(), Vec::<String>::new(), "at {own}");
         result
     }
 
-    pub fn call(&mut self, from: u16, dest: u16, dialled: u64, call_type: u8) -> CallId {
-        self.with(from, |office, now, wires| {
-            let call = office.next_call();
-            let order = CallRequest {
+    pub fn offer_call(&mut self, from: u16, dest: u16, dialled: u64, call_type: u8) -> CallId {
+        self.with(from, |control, now, actions| {
+            let call = control.next_call();
+            let request = CallRequest {
                 call_type: CallType(call_type),
                 customer: CustomerId(0),
                 dest: ExchangeNumber(dest),
                 dialled: DialledNumber(dialled),
-                left: ms(3000),
+                time_left: ms(3000),
                 advised: None,
                 cut: false,
                 redial: false,
             };
-            office.offer(now, wires, call, order);
+            control.offer(now, actions, call, request);
             call
         })
     }
 
-    /// Takes from the queue of `from` what it has for `to`.
-    pub fn take(&mut self, from: u16, to: u16) -> Vec<Vec<u8>> {
-        let wires = &mut self.offices.get_mut(&from).unwrap().1;
-        let (mine, rest): (Vec<_>, Vec<_>) = wires.sent.drain(..).partition(|(at, _)| at.0 == to);
-        wires.sent.extend(rest);
-        mine.into_iter().map(|(_, octets)| octets).collect()
+    /// Removes and returns what exchange `from` has queued for `to`.
+    pub fn take_sent(&mut self, from: u16, to: u16) -> Vec<Vec<u8>> {
+        let actions = &mut self.exchanges.get_mut(&from).unwrap().1;
+        let (taken, rest): (Vec<_>, Vec<_>) = actions.sent.drain(..).partition(|(at, _)| at.0 == to);
+        actions.sent.extend(rest);
+        taken.into_iter().map(|(_, octets)| octets).collect()
     }
 
-    pub fn give(&mut self, from: u16, to: u16, octets: &[u8]) {
-        self.with(to, |office, now, wires| office.on_octets(now, wires, ExchangeNumber(from), octets));
+    pub fn deliver(&mut self, from: u16, to: u16, octets: &[u8]) {
+        self.with(to, |control, now, actions| control.on_octets(now, actions, ExchangeNumber(from), octets));
     }
 
-    /// Carries all over until nothing is left to carry; returns the names of the messages, in order.
-    pub fn carry(&mut self) -> Vec<String> {
+    /// Delivers everything queued until all queues are empty; returns the names of the messages, in order.
+    pub fn deliver_all(&mut self) -> Vec<String> {
         let mut names = Vec::new();
         loop {
-            let next =
-                self.offices.iter_mut().find_map(|(from, (_, wires))| Some((*from, wires.sent.pop_front()?)));
+            let next = self
+                .exchanges
+                .iter_mut()
+                .find_map(|(from, (_, actions))| Some((*from, actions.sent.pop_front()?)));
             let Some((from, (to, octets))) = next else { return names };
             names.extend(name(&octets).map(|name| format!("{from}>{} {name}", to.0)));
-            self.give(from, to.0, &octets);
+            self.deliver(from, to.0, &octets);
         }
     }
 
-    /// Lets time pass, ringing what is due on the way; nothing is carried.
-    pub fn pass(&mut self, span: Duration) {
-        let end = self.now + span;
+    /// Advances the time and handles the timers that are due meanwhile; delivers nothing.
+    pub fn advance(&mut self, duration: Duration) {
+        let end = self.now + duration;
         loop {
-            let due =
-                self.offices.iter().filter_map(|(no, (office, _))| Some((office.next_timer()?, *no))).min();
-            let Some((at, no)) = due.filter(|(at, _)| *at <= end) else { break };
+            let due = self
+                .exchanges
+                .iter()
+                .filter_map(|(number, (control, _))| Some((control.next_timer()?, *number)))
+                .min();
+            let Some((at, number)) = due.filter(|(at, _)| *at <= end) else { break };
             self.now = at;
-            self.with(no, |office, now, wires| office.on_timer(now, wires));
+            self.with(number, |control, now, actions| control.on_timer(now, actions));
         }
         self.now = end;
     }
 
-    pub fn cut(&mut self, a: u16, b: u16) {
-        self.take(a, b);
-        self.take(b, a);
-        self.with(a, |office, now, wires| office.link_down(now, wires, ExchangeNumber(b)));
-        self.with(b, |office, now, wires| office.link_down(now, wires, ExchangeNumber(a)));
+    /// Breaks the link between two exchanges; what is queued for it is lost.
+    pub fn break_link(&mut self, a: u16, b: u16) {
+        self.take_sent(a, b);
+        self.take_sent(b, a);
+        self.with(a, |control, now, actions| control.link_down(now, actions, ExchangeNumber(b)));
+        self.with(b, |control, now, actions| control.link_down(now, actions, ExchangeNumber(a)));
     }
 
-    pub fn mend(&mut self, a: u16, b: u16) {
-        self.with(a, |office, now, wires| office.link_up(now, wires, ExchangeNumber(b)));
-        self.with(b, |office, now, wires| office.link_up(now, wires, ExchangeNumber(a)));
+    pub fn restore_link(&mut self, a: u16, b: u16) {
+        self.with(a, |control, now, actions| control.link_up(now, actions, ExchangeNumber(b)));
+        self.with(b, |control, now, actions| control.link_up(now, actions, ExchangeNumber(a)));
     }
 
     pub fn answers(&mut self, own: u16) -> Vec<(CallId, Answer)> {
-        std::mem::take(&mut self.offices.get_mut(&own).unwrap().1.answers)
+        std::mem::take(&mut self.exchanges.get_mut(&own).unwrap().1.answers)
     }
 
-    pub fn ended(&mut self, own: u16) -> Vec<(CallId, CallEnd)> {
-        std::mem::take(&mut self.offices.get_mut(&own).unwrap().1.ended)
+    pub fn ended_calls(&mut self, own: u16) -> Vec<(CallId, CallEnd)> {
+        std::mem::take(&mut self.exchanges.get_mut(&own).unwrap().1.ended)
     }
 
-    pub fn group(&self, own: u16, to: u16) -> GroupStatus {
-        let state = self.offices[&own].0.state();
-        state.groups.into_iter().find(|group| group.to.0 == to).unwrap()
+    pub fn group_status(&self, own: u16, to: u16) -> GroupStatus {
+        let status = self.exchanges[&own].0.status();
+        status.groups.into_iter().find(|group| group.to.0 == to).unwrap()
     }
 
-    pub fn tally(&self, own: u16) -> Counters {
-        self.offices[&own].0.state().tally
+    pub fn counters(&self, own: u16) -> Counters {
+        self.exchanges[&own].0.status().counters
     }
 
-    /// Every circuit idle and every call forgotten, at all offices.
-    pub fn all_quiet(&self) {
-        for (office, _) in self.offices.values() {
-            assert_eq!(office.inconsistencies(), Vec::<String>::new());
-            let state = office.state();
-            assert_eq!((state.calls, state.owed), (0, 0), "calls left at {:?}", state.own);
-            let busy: Vec<_> = state.groups.iter().filter(|group| group.free != group.circuits).collect();
-            assert!(busy.is_empty(), "at {:?}: {busy:?}", state.own);
+    /// Asserts that every circuit is free and no call is left, at all exchanges.
+    pub fn assert_idle(&self) {
+        for (control, _) in self.exchanges.values() {
+            assert_eq!(control.inconsistencies(), Vec::<String>::new());
+            let status = control.status();
+            assert_eq!((status.calls, status.pending_answers), (0, 0), "calls left at {:?}", status.own);
+            let busy: Vec<_> = status.groups.iter().filter(|group| group.free != group.circuits).collect();
+            assert!(busy.is_empty(), "at {:?}: {busy:?}", status.own);
         }
     }
 }
--- a/crates/callcontrol/tests/fuzz.rs
+++ b/crates/callcontrol/tests/fuzz.rs
@@ -1,16 +1,17 @@
-//! Fuzz target of the office: whatever comes on a link, no panic, and every call taken gets its one answer.
+//! Fuzz target of call control: no input on a link causes a panic, and every call gets exactly one answer.
 
 mod common;
 
-use common::{Table, ms};
+use common::{TestNetwork, ms};
 use mintstall::interface::ExchangeNumber;
 
-/// Each input is a run of messages: a byte tells how many octets the next has, put into a frame of the live link.
+/// Each input is a sequence of messages, each with its length in a leading byte and sent in a frame on the open link.
 #[test]
 fn no_octets_on_a_live_link_cost_a_call_its_answer() {
     bolero::check!().with_iterations(300).for_each(|input: &[u8]| {
-        let mut table = Table::new(2, 31);
-        let calls: Vec<_> = (0..4).map(|no| table.call(1, 2, no, (no % 2) as u8)).collect();
+        let mut network = TestNetwork::new(2, 31);
+        let calls: Vec<_> =
+            (0..4).map(|dialled| network.offer_call(1, 2, dialled, (dialled % 2) as u8)).collect();
         let mut rest = input;
         while let Some((count, after)) = rest.split_first() {
             let (user, after) = after.split_at(usize::from(*count).min(after.len()));
@@ -20,14 +21,14 @@
                 mintstall_isup::ProtocolData { opc, dpc, service: 5, network: 2, priority: 0, sls: 0, user };
             let mut frame = Vec::new();
             mintstall_isup::Frame::Data(data).write(&mut frame);
-            table.give(2, 1, &frame);
-            table.pass(ms(50));
+            network.deliver(2, 1, &frame);
+            network.advance(ms(50));
         }
-        // And raw, which may break the link.
-        table.with(1, |office, now, wires| office.on_octets(now, wires, ExchangeNumber(2), input));
-        table.carry();
-        table.pass(ms(5000));
-        let answers = table.answers(1);
+        // The input is also sent without frames, which may close the link.
+        network.with(1, |control, now, actions| control.on_octets(now, actions, ExchangeNumber(2), input));
+        network.deliver_all();
+        network.advance(ms(5000));
+        let answers = network.answers(1);
         for call in calls {
             let count = answers.iter().filter(|(answered, _)| *answered == call).count();
             assert_eq!(count, 1, "answers of {call:?}: {answers:?}");
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use mintstall::interface::{CallTypeConfig, ControllerConfig, ExchangeNumber, RepeatPolicy};
-use mintstall_callcontrol::{CallControlConfig, GroupConfig, NumberPlan, Timers};
+use mintstall_callcontrol::{CallControlConfig, GroupConfig, NumberConfig, Timers};
 use mintstall_isup::Cic;
 use mintstall_limits::{ConnectionTimeouts, Limits, TokenFile, Tokens};
 use schemars::JsonSchema;
@@ -329,7 +329,7 @@
             t17_ms: ms(t.t17),
             t22_ms: ms(t.t22),
             link_ack_ms: ms(t.link_ack),
-            beat_ms: ms(t.beat),
+            beat_ms: ms(t.heartbeat),
             link_grace_ms: ms(t.link_grace),
             audit_ms: ms(t.audit),
         }
@@ -570,7 +570,7 @@
         let (rules, t) = (&self.rules, &self.timers);
         CallControlConfig {
             own: ExchangeNumber(self.exchange),
-            data: ControllerConfig {
+            controller: ControllerConfig {
                 own: Some(ExchangeNumber(self.exchange)),
                 call_types: self.call_types.iter().map(call_type).collect(),
                 seizure_limit: rules.seizures,
@@ -590,7 +590,11 @@
                 .iter()
                 .map(|link| GroupConfig { to: ExchangeNumber(link.to), circuits: link.circuits })
                 .collect(),
-            numbers: self.numbers.iter().map(|n| NumberPlan { dialled: n.number, lines: n.lines }).collect(),
+            numbers: self
+                .numbers
+                .iter()
+                .map(|n| NumberConfig { dialled: n.number, lines: n.lines })
+                .collect(),
             timers: Timers {
                 t1: ms(t.t1_ms),
                 t5: ms(t.t5_ms),
@@ -599,7 +603,7 @@
                 t17: ms(t.t17_ms),
                 t22: ms(t.t22_ms),
                 link_ack: ms(t.link_ack_ms),
-                beat: ms(t.beat_ms),
+                heartbeat: ms(t.beat_ms),
                 link_grace: ms(t.link_grace_ms),
                 audit: ms(t.audit_ms),
             },
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -189,7 +189,7 @@
     fn answer(&mut self, call: CallId, answer: Answer) {
         self.answers.push((call, answer));
     }
-    fn ended(&mut self, call: CallId, end: CallEnd) {
+    fn call_ended(&mut self, call: CallId, end: CallEnd) {
         self.ends.push((call, end));
     }
     fn log_info(&mut self, line: &str) {
@@ -626,7 +626,7 @@
         let progress = Progress::Unanswered;
         self.askers.insert(call, Asker { line, session, customer, progress, call: offer.call, id, span });
         let mut order = order(&offer);
-        order.left = order.left.saturating_sub(now.saturating_sub(since));
+        order.time_left = order.time_left.saturating_sub(now.saturating_sub(since));
         self.with(now, port, |office, wire| office.offer(now, wire, call, order));
     }
 
@@ -911,12 +911,12 @@
             }
             DirectoryNotification::CircuitsInService { to, in_service } => {
                 self.with(now, port, |office, wire| {
-                    office.circuits(now, wire, ExchangeNumber(*to), *in_service)
+                    office.set_circuits_in_service(now, wire, ExchangeNumber(*to), *in_service)
                 });
                 false
             }
             DirectoryNotification::Processor(note) => {
-                self.office.processor(processor_report(note.rate));
+                self.office.set_processor_report(processor_report(note.rate));
                 false
             }
         }
@@ -924,8 +924,8 @@
 
     fn roster_told(&mut self, now: Duration, port: &mut dyn Transport, told: &MembershipChange) {
         self.with(now, port, |office, wire| match told {
-            MembershipChange::Full(held) => office.roster(now, wire, &exchange_entries(held)),
-            MembershipChange::Delta(held) => office.roster_changes(now, wire, &exchange_entries(held)),
+            MembershipChange::Full(held) => office.on_membership(now, wire, &exchange_entries(held)),
+            MembershipChange::Delta(held) => office.on_membership_changes(now, wire, &exchange_entries(held)),
         });
     }
 
@@ -959,7 +959,8 @@
     }
 
     pub fn status(&self) -> Value {
-        let CallControlStatus { own, tally, calls, owed, timers, traces, groups } = self.office.state();
+        let CallControlStatus { own, counters, calls, pending_answers, timers, traces, groups } =
+            self.office.status();
         let groups: Vec<Value> = groups
             .iter()
             .map(|group| {
@@ -979,7 +980,7 @@
         let in_hand: Vec<_> =
             in_hand.map(|(no, calls)| json!({ "customer": no.0, "calls": calls })).collect();
         json!({
-            "exchange": own.0, "calls": calls, "owed": owed, "timers": timers, "traces": traces, "lines": self.lines.len(),
+            "exchange": own.0, "calls": calls, "owed": pending_answers, "timers": timers, "traces": traces, "lines": self.lines.len(),
             "admission": { "unanswered": self.admission.unanswered(), "waiting": self.admission.waiting(),
                 "kept_sessions": self.resumable.kept(), "repeats_told": self.repeats.told(),
                 "in_hand": in_hand },
@@ -987,11 +988,11 @@
                 "turned_down": self.roster.rejected_updates() },
             "groups": groups,
             "counts": {
-                "offered": tally.offered, "transit": tally.transit, "seizures": tally.seizures, "stood": tally.stood,
-                "refused": tally.refused, "failed": tally.failed, "cut": tally.cut, "terminated": tally.terminated,
-                "timed_out": tally.timed_out, "dual_seizures": tally.dual_seizures, "yielded": tally.yielded,
-                "releases_repeated": tally.releases_repeated, "resets": tally.resets, "stuck_found": tally.stuck_found,
-                "unexpected": tally.unexpected, "overflow": tally.overflow,
+                "offered": counters.offered, "transit": counters.transit, "seizures": counters.seizures, "stood": counters.stood,
+                "refused": counters.refused, "failed": counters.failed, "cut": counters.cut, "terminated": counters.terminated,
+                "timed_out": counters.timed_out, "dual_seizures": counters.dual_seizures, "yielded": counters.yielded,
+                "releases_repeated": counters.releases_repeated, "resets": counters.resets, "stuck_found": counters.stuck_found,
+                "unexpected": counters.unexpected, "overflow": counters.overflow,
             },
         })
     }
@@ -1013,7 +1014,7 @@
         customer: trace.identity.customer,
         dest: trace.dest.0,
         number: trace.dialled,
-        left_out: trace.left_out,
+        left_out: trace.steps_omitted,
         steps: steps.collect(),
     }
 }
@@ -1021,15 +1022,15 @@
 fn step_json(step: &TraceStep) -> Value {
     let ms = |span: &Duration| span.as_micros() as f64 / 1e3;
     match step {
-        TraceStep::Offered { left } => json!({ "step": "offered", "left_ms": ms(left) }),
+        TraceStep::Offered { time_left } => json!({ "step": "offered", "left_ms": ms(time_left) }),
         TraceStep::Arrived { from, cic } => json!({ "step": "arrived", "from": from.0, "circuit": cic.0 }),
-        TraceStep::Seized { no, exchange, to, cic, circuits, limit } => json!({
-            "step": "seized", "seizure": no.0, "exchange": exchange.0, "to": to.0, "circuit": cic.0,
+        TraceStep::Seized { seizure, exchange, to, cic, circuits, limit } => json!({
+            "step": "seized", "seizure": seizure.0, "exchange": exchange.0, "to": to.0, "circuit": cic.0,
             "circuits": circuits, "limit_ms": ms(limit),
         }),
-        TraceStep::Alerted { no } => json!({ "step": "address complete", "seizure": no.0 }),
-        TraceStep::SeizureEnded { no, cause, elapsed } => {
-            json!({ "step": "seizure ended", "seizure": no.0, "cause": format!("{cause:?}"), "after_ms": ms(elapsed) })
+        TraceStep::Alerted { seizure } => json!({ "step": "address complete", "seizure": seizure.0 }),
+        TraceStep::SeizureEnded { seizure, cause, elapsed } => {
+            json!({ "step": "seizure ended", "seizure": seizure.0, "cause": format!("{cause:?}"), "after_ms": ms(elapsed) })
         }
         TraceStep::Stands => json!({ "step": "stands" }),
         TraceStep::StandsHere => json!({ "step": "stands here" }),
@@ -1047,7 +1048,7 @@
         customer: CustomerId(offer.customer),
         dest: ExchangeNumber(offer.dest),
         dialled: DialledNumber(offer.number),
-        left: Duration::from_millis(offer.time_left_ms.into()),
+        time_left: Duration::from_millis(offer.time_left_ms.into()),
         advised: offer.advised.map(ExchangeNumber),
         cut: offer.cut,
         redial: offer.redial,
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -508,7 +508,7 @@
             self.read_tokens();
         }
         if signals.iter().any(|signal| *signal != SIGHUP) && self.stopping.is_none() {
-            info!(target: LOG_TARGET, "stopping: no new calls, {} in hand", self.exchange.office.state().calls);
+            info!(target: LOG_TARGET, "stopping: no new calls, {} in hand", self.exchange.office.status().calls);
             self.exchange.stop(&mut self.wires);
             self.stopping = Some(Instant::now());
             (self.links_in, self.lines_in, self.calls_in) = (None, None, None);
@@ -810,7 +810,7 @@
                 };
                 let held = std::mem::take(held);
                 let known = asp
-                    .filter(|asp| self.exchange.office.state().groups.iter().any(|group| group.to == *asp));
+                    .filter(|asp| self.exchange.office.status().groups.iter().any(|group| group.to == *asp));
                 let Some(from) = known else {
                     return self
                         .wires
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -53,7 +53,7 @@
     fn answer(&mut self, call: CallId, answer: Answer) {
         self.did.push(Did::Answered(call, answer));
     }
-    fn ended(&mut self, call: CallId, end: CallEnd) {
+    fn call_ended(&mut self, call: CallId, end: CallEnd) {
         self.did.push(Did::Ended(call, end));
     }
     fn log_info(&mut self, line: &str) {
@@ -177,7 +177,7 @@
                 self.with(now, office, w, |seat, now, plant| seat.office.on_timer(now, plant));
             }
         }
-        let states: Vec<_> = self.seats.iter().flatten().map(|seat| seat.office.state()).collect();
+        let states: Vec<_> = self.seats.iter().flatten().map(|seat| seat.office.status()).collect();
         let stuck = states.iter().flat_map(|state| &state.groups);
         let faults = self.seats.iter().flatten().flat_map(|seat| seat.office.inconsistencies());
         DayResult {
@@ -187,7 +187,7 @@
             events: self.events,
             stuck_circuits: stuck.map(|group| group.seized + group.releasing + group.resetting).sum(),
             calls_left: states.iter().map(|state| state.calls).sum(),
-            tallies: states.iter().map(|state| state.tally).collect(),
+            tallies: states.iter().map(|state| state.counters).collect(),
         }
     }
 
@@ -262,10 +262,10 @@
                     let (_, told) = seat.roster.apply(now, &news);
                     match &told {
                         Some(MembershipChange::Full(held)) => {
-                            seat.office.roster(now, plant, &exchange_entries(held))
+                            seat.office.on_membership(now, plant, &exchange_entries(held))
                         }
                         Some(MembershipChange::Delta(held)) => {
-                            seat.office.roster_changes(now, plant, &exchange_entries(held))
+                            seat.office.on_membership_changes(now, plant, &exchange_entries(held))
                         }
                         None => taken = false,
                     }
@@ -276,11 +276,13 @@
             }
             Action::CircuitsInService { office, to, in_service } => {
                 self.with(now, office, w, |seat, now, plant| {
-                    seat.office.circuits(now, plant, ExchangeNumber(to), in_service);
+                    seat.office.set_circuits_in_service(now, plant, ExchangeNumber(to), in_service);
                 });
             }
             Action::ProcessorReport { office, rate } => {
-                self.with(now, office, w, |seat, _, _| seat.office.processor(processor_report(Some(rate))));
+                self.with(now, office, w, |seat, _, _| {
+                    seat.office.set_processor_report(processor_report(Some(rate)))
+                });
             }
         }
     }
--- a/crates/lab/tests/model/offices.rs
+++ b/crates/lab/tests/model/offices.rs
@@ -7,7 +7,7 @@
 use mintstall::interface::*;
 use mintstall_callcontrol::{
     Answer as Final, CallControl, CallControlActions, CallControlConfig, CallEnd, CallRequest, Counters,
-    GroupConfig, NumberPlan, Timers,
+    GroupConfig, NumberConfig, Timers,
 };
 use mintstall_isup::{Body, Cic, Deframer, Frame, Iam, Message, Q850};
 use rand::{Rng, SeedableRng};
@@ -68,7 +68,7 @@
     fn answer(&mut self, call: CallId, answer: Final) {
         self.answers.push((call, answer));
     }
-    fn ended(&mut self, _: CallId, _: CallEnd) {}
+    fn call_ended(&mut self, _: CallId, _: CallEnd) {}
     fn log_info(&mut self, _: &str) {}
 }
 
@@ -152,7 +152,7 @@
         t17: ms(2000),
         t22: ms(1000),
         link_ack: ms(300),
-        beat: ms(2000),
+        heartbeat: ms(2000),
         link_grace: ms(3000),
         audit: ms(1000),
     }
@@ -167,9 +167,9 @@
     let others = (1..=count).filter(|other| *other != own);
     CallControlConfig {
         own: ExchangeNumber(own),
-        data: ControllerConfig { may_message_peers: true, ..office_data(own, kinds) },
+        controller: ControllerConfig { may_message_peers: true, ..office_data(own, kinds) },
         groups: others.map(|to| GroupConfig { to: ExchangeNumber(to), circuits: CIRCUITS }).collect(),
-        numbers: vec![NumberPlan { dialled: 77, lines: 1 }],
+        numbers: vec![NumberConfig { dialled: 77, lines: 1 }],
         timers: timers(),
         max_calls: 1000,
         traces: 10,
@@ -247,11 +247,16 @@
     }
     w.model.over();
     for (no, seat) in &w.seats {
-        let state = seat.office.state();
+        let state = seat.office.status();
         let busy: Vec<_> = state.groups.iter().filter(|group| group.free != group.circuits).collect();
-        assert_eq!((state.calls, state.owed, busy), (0, 0, vec![]), "seed {}, at {no}", w.run.seed);
-    }
-    let tallies = w.seats.values().map(|seat| seat.office.state().tally);
+        assert_eq!(
+            (state.calls, state.pending_answers, busy),
+            (0, 0, vec![]),
+            "seed {}, at {no}",
+            w.run.seed
+        );
+    }
+    let tallies = w.seats.values().map(|seat| seat.office.status().counters);
     w.tallies.extend(tallies.collect::<Vec<_>>());
     Played { model: w.model, tallies: w.tallies, seen: w.seen }
 }
@@ -322,7 +327,7 @@
                     list.remove(&line.id.0);
                 }
                 self.note_told(no, line.number.0);
-                self.with(no, |office, now, plant| office.roster_changes(now, plant, &[line]));
+                self.with(no, |office, now, plant| office.on_membership_changes(now, plant, &[line]));
             }
             Next::Trouble => self.trouble(),
             Next::Stop(no) => {
@@ -343,7 +348,7 @@
                 self.seats.insert(no, Seat { office, life, stopping: None, let_go: None });
                 let lines: Vec<_> = self.lists[&no].values().copied().collect();
                 lines.iter().for_each(|line| self.note_told(no, line.number.0));
-                self.with(no, |office, now, plant| office.roster(now, plant, &lines));
+                self.with(no, |office, now, plant| office.on_membership(now, plant, &lines));
                 self.others(no).into_iter().for_each(|other| self.after(ms(10), Next::Up(no, other)));
             }
             Next::HangsUp(..) => {}
@@ -618,7 +623,7 @@
             customer: CustomerId(0),
             dest: ExchangeNumber(dest),
             dialled: DialledNumber(dialled),
-            left: ms(left),
+            time_left: ms(left),
             advised: None,
             cut: false,
             redial: false,
@@ -626,7 +631,7 @@
         let Some(seat) = self.seats.get_mut(&no) else { return };
         let call = seat.office.next_call();
         let life = seat.life;
-        self.model.note(self.now, (no, life, call.0), What::Taken { until: self.now + order.left });
+        self.model.note(self.now, (no, life, call.0), What::Taken { until: self.now + order.time_left });
         self.with(no, |office, now, plant| office.offer(now, plant, call, order));
         let lasts = if self.chance.random_bool(0.15) { self.span(0, 150) } else { self.span(200, 3000) };
         self.after(lasts, Next::HangsUp(no, life, call));
@@ -659,7 +664,7 @@
     /// The process of an office is gone, told to stop or killed.
     fn gone(&mut self, no: u16) {
         let Some(seat) = self.seats.remove(&no) else { return };
-        self.tallies.push(seat.office.state().tally);
+        self.tallies.push(seat.office.status().counters);
         self.model.note(self.now, (no, seat.life, 0), What::Killed);
         self.lines.retain(|end, _| end.0 != no);
         self.open.retain(|whose| whose.0 != no);
@@ -682,7 +687,7 @@
                     seat.let_go = Some(now);
                     self.with(no, |office, now, plant| office.release_all(now, plant));
                     let seat = &self.seats[&no];
-                    assert_eq!(seat.office.state().owed, 0, "answers owed after all was let go");
+                    assert_eq!(seat.office.status().pending_answers, 0, "answers owed after all was let go");
                     self.after(LINGER, Next::Gone(no));
                 }
                 Some(_) if !seat.office.awaits_release() => self.gone(no),
@@ -695,7 +700,7 @@
     fn look_at_dead(&mut self) {
         let held = |w: &Self, no: u16| -> usize {
             let seats = w.seats.iter().filter(|(other, _)| **other != no);
-            let groups = seats.flat_map(|(_, seat)| seat.office.state().groups);
+            let groups = seats.flat_map(|(_, seat)| seat.office.status().groups);
             let to = groups.filter(|group| group.to.0 == no);
             to.map(|group| group.seized + group.standing).sum()
         };
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -55,7 +55,7 @@
         panic!("{why}");
     }
     fn answer(&mut self, _: CallId, _: Answer) {}
-    fn ended(&mut self, _: CallId, _: CallEnd) {}
+    fn call_ended(&mut self, _: CallId, _: CallEnd) {}
     fn log_info(&mut self, _: &str) {}
 }
 
@@ -120,7 +120,7 @@
         for no in TANDEMS {
             net.wires.from = no;
             let office = net.tandems.get_mut(&no).unwrap();
-            office.roster(START, &mut net.wires, &lines);
+            office.on_membership(START, &mut net.wires, &lines);
             [1, DEST].iter().for_each(|to| office.link_up(START, &mut net.wires, ExchangeNumber(*to)));
         }
         net.carry();
