--- a/crates/callcontrol/src/audit.rs
+++ b/crates/callcontrol/src/audit.rs
@@ -2,10 +2,11 @@
 //! group query).
 //!
 //! Lost or reordered signalling can leave a call standing at one end of a circuit while the other end has no such call;
-//! nothing else would ever release it. The audit queries one system of each group at a time, in turn. A circuit counts as
-//! stuck only if two queries in a row find the ends in disagreement and its use has not changed in between: a message
-//! that is in transit during one query has arrived by the next, so that no live circuit is freed. A stuck circuit is
-//! found within two rounds: `2 x 1.25 x audit x systems`, as jitter lengthens each interval by at most a quarter.
+//! nothing else would ever release it. The audit queries one system of each group at a time, in turn. A circuit counts
+//! as stuck only if two queries in a row find the ends in disagreement and its use has not changed in between: a
+//! message that is in transit during one query has arrived by the next, so that no live circuit is freed. A stuck
+//! circuit is found within two rounds: `2 x 1.25 x audit x systems`, as jitter lengthens each interval by at most a
+//! quarter.
 
 use std::collections::BTreeMap;
 
--- a/crates/callcontrol/src/callcontrol.rs
+++ b/crates/callcontrol/src/callcontrol.rs
@@ -33,7 +33,7 @@
     pub dialled: DialledNumber,
     /// How long the caller waits, from the offer on.
     pub time_left: Duration,
-    /// The tandem that the offer advises.
+    /// The tandem advised in the offer.
     pub advised: Option<ExchangeNumber>,
     /// The call was cut while it stood, and is set up again.
     pub cut: bool,
@@ -93,7 +93,7 @@
             next_call: (incarnation << 11) & ((1 << 53) - 1),
             pending_answers: 0,
             counters: Counters::default(),
-            traces: Traces::new(config.traces),
+            traces: Traces::new(config.max_traces),
             frame_buffer: Vec::new(),
             message_buffer: Vec::new(),
         };
@@ -125,7 +125,7 @@
         self.state
             .calls
             .values()
-            .any(|record| matches!(record.outgoing, OutgoingSide::Open | OutgoingSide::Seized(_)))
+            .any(|record| matches!(record.outgoing, OutgoingSide::Waiting | OutgoingSide::Seized(_)))
     }
 
     /// Whether a release or a reset is not yet completed by a far end whose link is usable.
@@ -249,7 +249,7 @@
                 call,
                 CallRecord {
                     incoming: IncomingSide::Subscriber,
-                    outgoing: OutgoingSide::Open,
+                    outgoing: OutgoingSide::Waiting,
                     identity,
                     called,
                     dialled: request.dialled.0,
@@ -309,8 +309,8 @@
                     to.0,
                     indices.len()
                 ));
-                // All are blocked before any call is cut: a call that its end lets through must not seize a circuit that
-                // fails next.
+                // All are blocked before any call is cut: a waiting call that proceeds when another one is cut must not
+                // seize a circuit that fails next.
                 if let Some(group) = context.state.groups.get_mut(&to) {
                     indices.iter().for_each(|index| group.block(*index, Some(fails), None));
                 }
@@ -330,10 +330,11 @@
 
     /// Releases all standing calls; those that wait for an answer fail.
     pub fn release_all(&mut self, now: Duration, actions: &mut dyn CallControlActions) {
-        // Calls without an open seizure go first: the release of another call would let the controller seize for them.
-        let has_seizure = |record: &CallRecord| !matches!(record.outgoing, OutgoingSide::Open);
+        // Calls that wait in the controller go first: otherwise the release of another call would let the controller
+        // send set-ups for them.
+        let is_routed = |record: &CallRecord| !matches!(record.outgoing, OutgoingSide::Waiting);
         let mut calls: Vec<_> =
-            self.state.calls.iter().map(|(call, record)| (has_seizure(record), *call)).collect();
+            self.state.calls.iter().map(|(call, record)| (is_routed(record), *call)).collect();
         calls.sort_unstable();
         for (_, call) in calls {
             self.handle_event(now, actions, |controller, context| {
@@ -401,7 +402,7 @@
         }
     }
 
-    pub(crate) fn closing(&self) -> bool {
+    pub(crate) fn is_closing(&self) -> bool {
         self.service == ServiceState::Closing
     }
 }
@@ -450,7 +451,7 @@
         let now = self.now;
         self.trace(call, TraceStep::CallerGone(rel.cause.cause));
         let Some(record) = self.state.calls.get_mut(&call) else { return };
-        match std::mem::replace(&mut record.outgoing, OutgoingSide::Open) {
+        match std::mem::replace(&mut record.outgoing, OutgoingSide::Waiting) {
             OutgoingSide::OwnSubscriber => {
                 self.free_line(call);
                 self.release_incoming(call, &rel);
@@ -464,7 +465,7 @@
                 let cause = if cut { Cause::Cut } else { Cause::Done };
                 controller.on_seizure_ended(now, self, &seizure.end_event(call, now, cause, true));
             }
-            outgoing @ (OutgoingSide::Open | OutgoingSide::Seized(_)) => {
+            outgoing @ (OutgoingSide::Waiting | OutgoingSide::Seized(_)) => {
                 record.outgoing = outgoing;
                 let incoming = std::mem::replace(&mut record.incoming, IncomingSide::Gone);
                 record.guard_timer.take().into_iter().for_each(|timer| self.state.timers.cancel(timer));
@@ -512,7 +513,7 @@
     /// A seizure has reached its time limit: its circuits stay taken until the far end has released them.
     fn on_seizure_limit(&mut self, controller: &mut Controller, call: CallId, number: SeizureNumber) {
         let Some(record) = self.state.calls.get_mut(&call) else { return };
-        match std::mem::replace(&mut record.outgoing, OutgoingSide::Open) {
+        match std::mem::replace(&mut record.outgoing, OutgoingSide::Waiting) {
             OutgoingSide::Seized(seizure) if seizure.number == number => {
                 record.last_cause = Some(Cause::TimedOut);
                 self.state.counters.timed_out += 1;
@@ -542,7 +543,7 @@
     fn on_guard_time(&mut self, controller: &mut Controller, call: CallId) {
         if let Some(record) = self.state.calls.get_mut(&call) {
             record.guard_timer = None;
-            if matches!(record.outgoing, OutgoingSide::Open | OutgoingSide::Seized(_)) {
+            if matches!(record.outgoing, OutgoingSide::Waiting | OutgoingSide::Seized(_)) {
                 self.caller_gone(controller, call, local_failure(Q850::RecoveryOnTimer));
             }
         }
@@ -574,7 +575,7 @@
             }
             CircuitUse::Resetting { .. } => {
                 self.send(to, Cic::from_index(index), Body::Rsc);
-                let timer = Some(self.reset_timer(to, index, durations.t17));
+                let timer = Some(self.set_reset_timer(to, index, durations.t17));
                 self.set_signalling_usage(&held, CircuitUse::Resetting { timer });
             }
             _ => {}
@@ -587,7 +588,7 @@
             self.state.groups.get(&to).and_then(|group| group.get(index)).map(|circuit| circuit.usage);
         match usage {
             Some(CircuitUse::Idle | CircuitUse::ReleasedWith(_)) | None => {}
-            Some(CircuitUse::Releasing { .. } | CircuitUse::Resetting { .. }) => self.idle(to, index),
+            Some(CircuitUse::Releasing { .. } | CircuitUse::Resetting { .. }) => self.make_idle(to, index),
             Some(usage) => {
                 // Both ends see the failure, and free all circuits of a wider call at once.
                 let rel = local_failure(Q850::TemporaryFailure);
@@ -666,7 +667,8 @@
     }
 
     /// Both ends take traffic. A process that has just started resets the groups, so that the far end clears all calls
-    /// of an earlier process; on a link that was lost, pending resets, releases and peer messages are sent again.
+    /// of an earlier process; on a link that was lost, resets and releases without an answer are sent again.
+    /// Blocking messages and the queued peer message are sent, too.
     pub fn on_link_open(&mut self, to: ExchangeNumber) {
         let next_heartbeat = self.now + self.state.with_jitter(self.state.durations.heartbeat);
         let Some(link) = self.state.links.get_mut(&to) else { return };
@@ -689,7 +691,7 @@
                 for (index, usage) in uses {
                     match usage {
                         CircuitUse::Resetting { timer: None } => {
-                            let timer = Some(self.reset_timer(to, index, self.state.durations.t16));
+                            let timer = Some(self.set_reset_timer(to, index, self.state.durations.t16));
                             self.send(to, Cic::from_index(index), Body::Rsc);
                             let indices = self.state.groups.get(&to).map(|group| group.with_released(index));
                             indices.iter().for_each(|indices| {
@@ -717,25 +719,25 @@
     }
 
     /// Resets all circuits of a system that carry no call; repeats the reset if it is not acknowledged.
-    fn reset_system(&mut self, to: ExchangeNumber, first: u16, again: Duration) {
+    fn reset_system(&mut self, to: ExchangeNumber, first: u16, repeat_after: Duration) {
         let Some(group) = self.state.groups.get_mut(&to) else { return };
         let end = (first + Cic::PER_SYSTEM).min(group.size());
         let resettable = |usage| matches!(usage, CircuitUse::Idle | CircuitUse::Resetting { timer: None });
-        let open: Vec<_> =
+        let to_reset: Vec<_> =
             (first..end).filter(|index| group.get(*index).is_some_and(|c| resettable(c.usage))).collect();
         // Circuits whose reset is acknowledged are idle, and are not reset again.
         let unacknowledged = group.iter().any(|(index, c)| {
             (first..end).contains(&index) && matches!(c.usage, CircuitUse::Resetting { timer: None })
         });
-        if again == self.state.durations.t17 && !unacknowledged || open.is_empty() {
+        if repeat_after == self.state.durations.t17 && !unacknowledged || to_reset.is_empty() {
             return;
         }
-        if again != self.state.durations.t17 {
-            open.iter().for_each(|index| group.set_usage(*index, CircuitUse::Resetting { timer: None }));
+        if repeat_after != self.state.durations.t17 {
+            to_reset.iter().for_each(|index| group.set_usage(*index, CircuitUse::Resetting { timer: None }));
         }
         self.state.counters.resets += 1;
-        let again = self.state.with_jitter(again);
-        self.state.timers.set(self.now + again, Timer::GroupReset(to, first));
+        let repeat_after = self.state.with_jitter(repeat_after);
+        self.state.timers.set(self.now + repeat_after, Timer::GroupReset(to, first));
         self.send(to, Cic::from_index(first), Body::Grs { count: (end - first) as u8 });
     }
 }
--- a/crates/callcontrol/src/calls.rs
+++ b/crates/callcontrol/src/calls.rs
@@ -57,7 +57,7 @@
 
 pub(crate) enum OutgoingSide {
     /// No seizure is open: the call waits for the controller.
-    Open,
+    Waiting,
     Seized(OutgoingSeizure),
     Standing(OutgoingSeizure),
     /// It is answered by a number of this exchange.
--- a/crates/callcontrol/src/circuits.rs
+++ b/crates/callcontrol/src/circuits.rs
@@ -26,7 +26,8 @@
         since: Duration,
         timer: TimerHandle,
     },
-    /// A reset was sent, or waits for the link. `timer` repeats it; none if the reset waits or belongs to a group reset.
+    /// A reset was sent, or waits for the link. `timer` repeats it; none if the reset waits or belongs to a group
+    /// reset.
     Resetting {
         timer: Option<TimerHandle>,
     },
@@ -113,11 +114,11 @@
     }
 
     /// Number of circuits that neither end has blocked.
-    pub fn unblocked(&self) -> usize {
+    pub fn unblocked_count(&self) -> usize {
         self.circuits.iter().filter(|circuit| circuit.blocking == Blocking::Unblocked).count()
     }
 
-    pub fn free(&self) -> usize {
+    pub fn free_count(&self) -> usize {
         self.free_local.len() + self.free_remote.len()
     }
 
@@ -165,9 +166,10 @@
         Cic::from_index(index).0.is_multiple_of(2) == self.controls_even
     }
 
-    /// Selects the circuits for a call without taking them: the lowest free one that this end controls, else the highest
-    /// of the others (Q.764 clause 2.9.1.3, method 2), which the far end takes last. A wider call takes its circuits from
-    /// one system, as its circuit map covers only one; of the systems with enough free circuits, the fullest.
+    /// Selects the circuits for a call without taking them: the lowest free one that this end controls, else the
+    /// highest of the others (Q.764 clause 2.9.1.3, method 2), which the far end takes last. A wider call takes its
+    /// circuits from one system, as its circuit map covers only one; of the systems with enough free circuits, the
+    /// fullest.
     pub fn select(&self, width: u16) -> Option<Vec<u16>> {
         if width <= 1 {
             let index = self.free_local.first().or(self.free_remote.last())?;
@@ -238,7 +240,7 @@
                 group.set_usage(index, CircuitUse::SeizedOut(CallId(call)));
             }
         }
-        assert_eq!((low.free(), high.free(), taken.len()), (5, 5, 10));
+        assert_eq!((low.free_count(), high.free_count(), taken.len()), (5, 5, 10));
     }
 
     #[test]
--- a/crates/callcontrol/src/config.rs
+++ b/crates/callcontrol/src/config.rs
@@ -16,8 +16,8 @@
     pub timers: Timers,
     /// Most calls in hand at a time, calls in transit included; further calls are refused.
     pub max_calls: usize,
-    /// Number of calls of which a trace is kept; some 500 octets each.
-    pub traces: usize,
+    /// Most calls of which a trace is kept; some 500 octets each.
+    pub max_traces: usize,
 }
 
 /// The trunk group to one other exchange.
@@ -50,7 +50,7 @@
     pub t17: Duration,
     /// T22: a group reset that is not acknowledged is sent again (15 to 60 s; T23 after that, taken as T17).
     pub t22: Duration,
-    /// T(ack) of RFC 4666 clause 4.3.4.1: an ASP up or active that is not acknowledged is sent again.
+    /// T(ack) of RFC 4666 clause 4.3.4.1: an ASP Up or ASP Active that is not acknowledged is sent again.
     pub link_ack: Duration,
     /// Interval of heartbeats on a silent link, which is closed after three of them without an answer.
     pub heartbeat: Duration,
--- a/crates/callcontrol/src/context.rs
+++ b/crates/callcontrol/src/context.rs
@@ -77,10 +77,10 @@
         self.exchanges.iter().filter(move |(_, at)| **at == number).map(|(id, _)| *id)
     }
 
-    /// Free and open circuits of the group to an exchange, for the controller.
+    /// Number of free and of unblocked circuits of the group to an exchange, for the controller.
     pub fn group_report(&self, number: ExchangeNumber) -> CapacityReport {
         let group = self.groups.get(&number);
-        let (free, size) = group.map_or((0, 0), |group| (group.free(), group.unblocked()));
+        let (free, size) = group.map_or((0, 0), |group| (group.free_count(), group.unblocked_count()));
         CapacityReport { free: Some(free as f64), size: Some(size as f64), ..CapacityReport::default() }
     }
 
@@ -103,7 +103,7 @@
     /// Removes a call if its caller is gone and its last seizure has ended.
     pub fn remove_if_finished(&mut self, call: CallId) {
         if self.calls.get(&call).is_some_and(|record| {
-            matches!((&record.incoming, &record.outgoing), (IncomingSide::Gone, OutgoingSide::Open))
+            matches!((&record.incoming, &record.outgoing), (IncomingSide::Gone, OutgoingSide::Waiting))
         }) {
             self.remove_call(call);
         }
@@ -178,19 +178,19 @@
     /// Resets circuits whose state at the far end is unknown, at once or when their link opens again.
     pub fn reset_held(&mut self, held: &HeldCircuits) {
         self.state.counters.resets += 1;
-        let is_usable = self.state.links.get(&held.to).is_some_and(Link::is_usable);
-        let timer = is_usable.then(|| self.reset_timer(held.to, held.first(), self.state.durations.t16));
+        let usable = self.state.links.get(&held.to).is_some_and(Link::is_usable);
+        let timer = usable.then(|| self.set_reset_timer(held.to, held.first(), self.state.durations.t16));
         self.send(held.to, Cic::from_index(held.first()), Body::Rsc);
         self.set_signalling_usage(held, CircuitUse::Resetting { timer });
     }
 
-    pub fn reset_timer(&mut self, to: ExchangeNumber, index: u16, after: Duration) -> TimerHandle {
+    pub fn set_reset_timer(&mut self, to: ExchangeNumber, index: u16, after: Duration) -> TimerHandle {
         let after = self.state.with_jitter(after);
         self.state.timers.set(self.now + after, Timer::Circuit(to, index))
     }
 
     /// Makes a circuit idle, with those that are released with it.
-    pub fn idle(&mut self, to: ExchangeNumber, index: u16) {
+    pub fn make_idle(&mut self, to: ExchangeNumber, index: u16) {
         let Some(group) = self.state.groups.get_mut(&to) else { return };
         let usage = group.get(index).map(|circuit| circuit.usage);
         if let Some(CircuitUse::Releasing { timer, .. } | CircuitUse::Resetting { timer: Some(timer) }) =
@@ -226,7 +226,7 @@
         }));
     }
 
-    /// Gives a call its final answer, which the controller has decided.
+    /// Gives a call the final answer that the controller has chosen, possibly because time ran out.
     pub fn send_final_answer(&mut self, call: CallId, answer: Answer) {
         let Some(record) = self.state.calls.get_mut(&call) else { return };
         match std::mem::replace(&mut record.incoming, IncomingSide::Gone) {
@@ -336,7 +336,7 @@
 
     fn cancel(&mut self, call: CallId, number: SeizureNumber) {
         let Some(record) = self.state.calls.get_mut(&call) else { return };
-        match std::mem::replace(&mut record.outgoing, OutgoingSide::Open) {
+        match std::mem::replace(&mut record.outgoing, OutgoingSide::Waiting) {
             OutgoingSide::Seized(seizure) if seizure.number == number => {
                 seizure.limit_timer.into_iter().for_each(|timer| self.state.timers.cancel(timer));
                 self.release_held(
--- a/crates/callcontrol/src/links.rs
+++ b/crates/callcontrol/src/links.rs
@@ -1,5 +1,5 @@
-//! The link to another exchange: M3UA between two peers without a gateway (RFC 4666 clause 4.3, IPSP
-//! double exchange), no I/O.
+//! The link to another exchange: M3UA between two peers without a gateway (RFC 4666 clause 4.3, IPSP double
+//! exchange), no I/O.
 
 use mintstall_isup::Deframer;
 
--- a/crates/callcontrol/src/signalling.rs
+++ b/crates/callcontrol/src/signalling.rs
@@ -1,7 +1,7 @@
 //! Events from other exchanges: M3UA frames of a link, ISUP messages of a circuit.
 //!
-//! A message is handled according to the state of its circuit. A message that is unexpected in that state is counted and,
-//! if it shows that the two ends disagree, the circuit is reset (Q.764 clause 2.9.5).
+//! A message is handled according to the state of its circuit. A message that is unexpected in that state is counted
+//! and, if it shows that the two ends disagree, the circuit is reset (Q.764 clause 2.9.5).
 
 use std::time::Duration;
 
@@ -39,11 +39,11 @@
         else {
             return;
         };
-        // Taken out of the link, on which the handling of a frame may act.
+        // Taken out of the link, since the handling of a frame may change the link.
         let mut deframer = std::mem::take(&mut link.deframer);
         link.unanswered_heartbeats = 0;
         deframer.push(octets);
-        let closing = self.closing();
+        let closing = self.is_closing();
         let error: Option<FrameError> = loop {
             match deframer.next().and_then(|frame| frame.map(Frame::read).transpose()) {
                 Ok(Some(frame)) => self.handle_event(now, actions, |controller, context| {
@@ -192,7 +192,7 @@
             }
             Body::Rlc { .. } => match usage {
                 CircuitUse::Releasing { .. } | CircuitUse::Resetting { timer: Some(_) } => {
-                    self.idle(from, index)
+                    self.make_idle(from, index)
                 }
                 CircuitUse::Idle | CircuitUse::ReleasedWith(_) | CircuitUse::Resetting { timer: None } => {}
                 // The call is over for the far end, but not here: the state of the circuit is unknown.
@@ -222,8 +222,9 @@
                 let circuits =
                     circuits_in_range(&self.state.groups[&from], cic, RangeStatus { count, status: 0 });
                 let indices: Vec<u16> = circuits.into_iter().map(|(index, _)| index).collect();
-                // No circuit may be seized until all are reset and the reset is acknowledged: otherwise a call that the
-                // end of another lets through could seize a circuit that is reset next, with its set-up in transit.
+                // No circuit may be seized until all are reset and the reset is acknowledged: otherwise a waiting call
+                // that proceeds when another one ends could seize a circuit that is reset next, with its set-up in
+                // transit.
                 indices.iter().for_each(|index| self.set_remote_blocking(from, *index, true));
                 let mut status = 0;
                 for (offset, index) in indices.iter().enumerate() {
@@ -239,7 +240,7 @@
                     self.set_remote_blocking(from, index, blocked);
                     let usage = self.state.groups[&from].get(index).map(|circuit| circuit.usage);
                     if let Some(CircuitUse::Resetting { timer: None }) = usage {
-                        self.idle(from, index);
+                        self.make_idle(from, index);
                     }
                 }
             }
@@ -338,7 +339,7 @@
         usage: CircuitUse,
     ) {
         match usage {
-            CircuitUse::Releasing { .. } => self.idle(from, index),
+            CircuitUse::Releasing { .. } => self.make_idle(from, index),
             _ => {
                 let rel = local_failure(Q850::TemporaryFailure);
                 usage.call().into_iter().for_each(|call| {
@@ -367,7 +368,7 @@
     fn on_answer(&mut self, controller: &mut Controller, call: CallId) {
         let now = self.now;
         let Some(record) = self.state.calls.get_mut(&call) else { return };
-        let OutgoingSide::Seized(seizure) = std::mem::replace(&mut record.outgoing, OutgoingSide::Open)
+        let OutgoingSide::Seized(seizure) = std::mem::replace(&mut record.outgoing, OutgoingSide::Waiting)
         else {
             return;
         };
@@ -408,8 +409,8 @@
         }
     }
 
-    /// A call loses the circuits that it holds on one side; `update_circuits` sets their new state, `rel` is sent on its
-    /// other side.
+    /// A call loses the circuits that it holds on one side; `update_circuits` sets their new state, `rel` is sent on
+    /// its other side.
     pub fn on_circuits_lost(
         &mut self,
         controller: &mut Controller,
@@ -429,7 +430,7 @@
             update_circuits(&held, self);
             return self.caller_gone(controller, call, Rel { unknown_parameters: Vec::new(), ..rel.clone() });
         }
-        match std::mem::replace(&mut record.outgoing, OutgoingSide::Open) {
+        match std::mem::replace(&mut record.outgoing, OutgoingSide::Waiting) {
             OutgoingSide::Seized(seizure) if includes(&seizure.held) => {
                 record.last_cause = Some(cause);
                 self.state.traces.push(
@@ -558,7 +559,7 @@
         let width = held.indices.len() as u16;
         let mut record = CallRecord {
             incoming: IncomingSide::Trunk(held.clone()),
-            outgoing: OutgoingSide::Open,
+            outgoing: OutgoingSide::Waiting,
             identity,
             called: iam.called,
             dialled,
@@ -583,7 +584,8 @@
         offer.into_iter().for_each(|offer| controller.on_offer(self.now, self, offer));
     }
 
-    /// A call for a number of this exchange: it stands at once if the number has a free line, else it is released as busy.
+    /// A call for a number of this exchange: it stands at once if the number has a free line, else it is released as
+    /// busy.
     fn terminate(&mut self, call: CallId, mut record: CallRecord, held: HeldCircuits) {
         let cic = Cic::from_index(held.first());
         if let Some((lines, taken)) = self.state.lines.get_mut(&record.dialled) {
@@ -637,9 +639,9 @@
             return None;
         };
         let uses: Vec<_> = indices.iter().filter_map(|index| group.get(*index).copied()).collect();
-        // A release or a reset from this end is in transit. If it is for the signalling circuit of the set-up, the far end
-        // gives the set-up up on receiving it; if it is for another circuit, the set-up must be released here, or it
-        // would wait until its time limit.
+        // A release or a reset from this end is in transit. If it is for the signalling circuit of the set-up, the far
+        // end gives the set-up up on receiving it; if it is for another circuit, the set-up must be released here, or
+        // it would wait until its time limit.
         let clearing = |usage| {
             matches!(
                 usage,
--- a/crates/callcontrol/src/status.rs
+++ b/crates/callcontrol/src/status.rs
@@ -84,8 +84,8 @@
 }
 
 impl CallControl {
-    /// Inconsistencies of the state: circuits that carry a call which does not hold them, calls that hold circuits which do
-    /// not carry them, pending answers that are not counted. Always empty; for tests and for outside checks.
+    /// Inconsistencies of the state: circuits that carry a call which does not hold them, calls that hold circuits
+    /// which do not carry them, pending answers that are not counted. Always empty; for tests and for outside checks.
     pub fn inconsistencies(&self) -> Vec<String> {
         let mut inconsistencies = Vec::new();
         let held = |record: &CallRecord| {
@@ -118,7 +118,7 @@
         let pending = self.state.calls.values().filter(|record| {
             matches!(
                 (&record.incoming, &record.outgoing),
-                (IncomingSide::Subscriber, OutgoingSide::Open | OutgoingSide::Seized(_))
+                (IncomingSide::Subscriber, OutgoingSide::Waiting | OutgoingSide::Seized(_))
             )
         });
         let (pending, counted) = (pending.count(), self.state.pending_answers);
@@ -134,7 +134,7 @@
                 to: *to,
                 link: self.state.links.get(to).map_or(LinkStatus::Down, Link::status),
                 circuits: usize::from(group.size()),
-                free: group.free(),
+                free: group.free_count(),
                 seized: 0,
                 standing: 0,
                 releasing: 0,
--- a/crates/callcontrol/tests/common/mod.rs
+++ b/crates/callcontrol/tests/common/mod.rs
@@ -73,7 +73,7 @@
         numbers: vec![NumberConfig { dialled: 77, lines: 1 }],
         timers: Timers { t1: ms(1000), t5: ms(5000), ..Timers::default() },
         max_calls: 1000,
-        traces: 100,
+        max_traces: 100,
     }
 }
 
--- a/crates/callcontrol/tests/stories.rs
+++ b/crates/callcontrol/tests/stories.rs
@@ -56,7 +56,7 @@
 fn a_full_direct_group_sends_calls_over_a_tandem() {
     let mut network = TestNetwork::new(3, 4);
     // Four direct circuits, none of them reserved: all calls have the same revenue per circuit.
-    let calls: Vec<_> = (0..4).map(|no| network.offer_call(1, 2, no, 0)).collect();
+    let calls: Vec<_> = (0..4).map(|dialled| network.offer_call(1, 2, dialled, 0)).collect();
     network.deliver_all();
     let over_tandem = network.offer_call(1, 2, 9, 0);
     let names = network.deliver_all();
@@ -263,7 +263,7 @@
 #[test]
 fn failed_circuits_cut_their_calls_and_are_not_seized_until_they_are_restored() {
     let mut network = TestNetwork::new(2, 40);
-    let calls: Vec<_> = (0..40).map(|no| network.offer_call(1, 2, no, 0)).collect();
+    let calls: Vec<_> = (0..40).map(|dialled| network.offer_call(1, 2, dialled, 0)).collect();
     network.deliver_all();
     network.with(1, |control, now, actions| {
         control.set_circuits_in_service(now, actions, ExchangeNumber(2), 10)
@@ -339,7 +339,7 @@
 #[test]
 fn a_tandem_is_used_only_with_spare_circuits_and_releases_both_sides() {
     let mut network = TestNetwork::new(3, 2);
-    (0..2).for_each(|no| _ = network.offer_call(1, 2, no, 0));
+    (0..2).for_each(|dialled| _ = network.offer_call(1, 2, dialled, 0));
     network.deliver_all();
     let third = network.offer_call(1, 2, 9, 0);
     assert!(network.take_sent(1, 3).is_empty(), "a tandem is used only with two circuits to spare");
@@ -347,8 +347,8 @@
     assert!(network.answers(1).iter().any(|(call, answer)| *call == third && *answer != Answer::Stands));
 
     let mut network = TestNetwork::new(3, 4);
-    (0..5).for_each(|no| {
-        network.offer_call(1, 2, no, 0);
+    (0..5).for_each(|dialled| {
+        network.offer_call(1, 2, dialled, 0);
         network.deliver_all();
     });
     assert_eq!(
@@ -416,7 +416,7 @@
 fn calls_to_a_lost_exchange_still_listed_as_ready_are_all_answered() {
     let mut network = TestNetwork::new(3, 31);
     network.break_link(1, 2);
-    let calls: Vec<_> = (0..6).map(|no| network.offer_call(1, 2, no, 0)).collect();
+    let calls: Vec<_> = (0..6).map(|dialled| network.offer_call(1, 2, dialled, 0)).collect();
     network.advance(ms(3000));
     let answered: Vec<_> = network.answers(1).into_iter().map(|(call, _)| call).collect();
     assert!(
@@ -458,8 +458,8 @@
     use mintstall_callcontrol::TraceStep;
     let mut network = TestNetwork::new(3, 4);
     let calls: Vec<_> = (0..5)
-        .map(|no| {
-            let call = network.offer_call(1, 2, no, 0);
+        .map(|dialled| {
+            let call = network.offer_call(1, 2, dialled, 0);
             network.deliver_all();
             call
         })
@@ -515,7 +515,7 @@
 fn releasing_all_calls_sends_no_set_up() {
     let mut network = TestNetwork::new(2, 31);
     // More calls than may be set up to one exchange at a time: the rest wait.
-    let calls: Vec<_> = (0..8).map(|no| network.offer_call(1, 2, no, 0)).collect();
+    let calls: Vec<_> = (0..8).map(|dialled| network.offer_call(1, 2, dialled, 0)).collect();
     let sent = network.take_sent(1, 2).len();
     assert!(sent < calls.len(), "some calls wait");
     network.with(1, |control, _, _| control.stop());
@@ -553,7 +553,7 @@
 #[test]
 fn a_stopping_exchange_waits_for_calls_in_transit_and_for_incomplete_releases() {
     let mut network = TestNetwork::new(3, 4);
-    (0..4).for_each(|no| _ = network.offer_call(1, 2, no, 0));
+    (0..4).for_each(|dialled| _ = network.offer_call(1, 2, dialled, 0));
     network.deliver_all();
     let over_tandem = network.offer_call(1, 2, 9, 0);
     let iam = network.take_sent(1, 3).concat();
@@ -638,8 +638,8 @@
 #[test]
 fn a_set_up_that_prevailed_is_tried_again_when_the_far_end_releases_its_own() {
     let mut network = TestNetwork::new(2, 1);
-    // Both ends seize the only circuit, which exchange 1 controls; the caller at exchange 2 hangs up before either set-up
-    // arrives.
+    // Both ends seize the only circuit, which exchange 1 controls; the caller at exchange 2 hangs up before either
+    // set-up arrives.
     let (low, high) = (network.offer_call(1, 2, 5, 0), network.offer_call(2, 1, 6, 0));
     network.with(2, |control, now, actions| control.hang_up(now, actions, high));
     for _ in 0..30 {
@@ -681,10 +681,10 @@
 fn a_waiting_call_does_not_seize_a_circuit_that_the_same_group_reset_resets_next() {
     let mut network = TestNetwork::new(2, 4);
     network.break_link(1, 2);
-    (0..2).for_each(|no| _ = network.offer_call(1, 2, no, 0));
+    (0..2).for_each(|dialled| _ = network.offer_call(1, 2, dialled, 0));
     network.advance(ms(3000));
-    // The far end restarts as a new process. As it has not answered anything yet, one call is tried to it; another call,
-    // three circuits wide, waits.
+    // The far end restarts as a new process. As it has not answered anything yet, one call is tried to it; another
+    // call, three circuits wide, waits.
     let (control, actions) = network.exchanges.get_mut(&2).unwrap();
     *control = mintstall_callcontrol::CallControl::new(network.now, &common::config(2, &[1], 4), 4096, 9);
     actions.sent.clear();
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -608,7 +608,7 @@
                 audit: ms(t.audit_ms),
             },
             max_calls: self.most_calls,
-            traces: self.traces,
+            max_traces: self.traces,
         }
     }
 }
--- a/crates/lab/tests/model/offices.rs
+++ b/crates/lab/tests/model/offices.rs
@@ -172,7 +172,7 @@
         numbers: vec![NumberConfig { dialled: 77, lines: 1 }],
         timers: timers(),
         max_calls: 1000,
-        traces: 10,
+        max_traces: 10,
     }
 }
 
