--- a/crates/callcontrol/tests/stories.rs
+++ b/crates/callcontrol/tests/stories.rs
@@ -700,7 +700,7 @@
             }
         }
     }
-    (0..2).for_each(|wide| _ = network.offer_call(1, 2, 8, wide));
+    (0..2).for_each(|call_type| _ = network.offer_call(1, 2, 8, call_type));
     let sent = |network: &mut TestNetwork| -> Vec<_> {
         network.take_sent(1, 2).iter().filter_map(|octets| name(octets)).collect()
     };
