--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -125,7 +125,7 @@
 }
 
 impl CallApiConfig {
-    pub fn patience(&self) -> ConnectionTimeouts {
+    pub fn connection_timeouts(&self) -> ConnectionTimeouts {
         let ms = Duration::from_millis;
         ConnectionTimeouts {
             handshake_timeout: ms(self.opening_ms),
@@ -356,15 +356,15 @@
     #[error("{path}: {error}")]
     Unreadable { path: PathBuf, error: std::io::Error },
     #[error("{path}:{line}:{column}: at {place}: {error}")]
-    Text { path: PathBuf, place: String, line: usize, column: usize, error: String },
-    #[error("{}", .faults.iter().map(|fault| format!("{}: {fault}", .path.display())).collect::<Vec<_>>().join("\n"))]
-    Faults { path: PathBuf, faults: Vec<String> },
+    Parse { path: PathBuf, place: String, line: usize, column: usize, error: String },
+    #[error("{}", .errors.iter().map(|error| format!("{}: {error}", .path.display())).collect::<Vec<_>>().join("\n"))]
+    Invalid { path: PathBuf, errors: Vec<String> },
 }
 
 /// Reads a file of tokens.
 pub fn read_tokens(path: &Path) -> Result<Tokens, ConfigError> {
     let file: TokenFile = read_json(path)?;
-    Tokens::read(&file).map_err(|faults| ConfigError::Faults { path: path.into(), faults })
+    Tokens::read(&file).map_err(|errors| ConfigError::Invalid { path: path.into(), errors })
 }
 
 /// Reads any JSON file of ours, with the place of what makes no sense in it.
@@ -376,7 +376,7 @@
     let value = read.map_err(|error| {
         let place = error.path().to_string();
         let error = error.into_inner();
-        ConfigError::Text {
+        ConfigError::Parse {
             path: path.into(),
             place,
             line: error.line(),
@@ -385,7 +385,7 @@
             error: error.to_string().split(" at line ").next().unwrap_or_default().to_string(),
         }
     })?;
-    reader.end().map_err(|error| ConfigError::Text {
+    reader.end().map_err(|error| ConfigError::Parse {
         path: path.into(),
         place: ".".into(),
         line: error.line(),
@@ -398,14 +398,14 @@
 impl Config {
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let config: Self = read_json(path)?;
-        match config.faults() {
-            faults if faults.is_empty() => Ok(config),
-            faults => Err(ConfigError::Faults { path: path.into(), faults }),
+        match config.validation_errors() {
+            errors if errors.is_empty() => Ok(config),
+            errors => Err(ConfigError::Invalid { path: path.into(), errors }),
         }
     }
 
     /// Every fault, each with its place.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut say = |wrong: bool, place: &str, why: String| {
             if wrong {
@@ -556,7 +556,7 @@
     }
 
     /// What the office reads at start.
-    pub fn plan(&self) -> CallControlConfig {
+    pub fn call_control_config(&self) -> CallControlConfig {
         let ms = Duration::from_millis;
         let call_type = |of: &CallType| CallTypeConfig {
             setup_target: ms(of.setup_target_ms),
@@ -637,8 +637,8 @@
             r#"{"exchange": 0, "signalling": {"links": [{"to": 2, "circuits": 5000}, {"to": 2, "circuits": 1}]},
                 "call_types": [], "rules": {"cold_share": 2}}"#,
         );
-        let Err(ConfigError::Faults { faults, .. }) = Config::read(&path) else { panic!("taken") };
-        let places: Vec<_> = faults.iter().map(|fault| fault.split(": ").next().unwrap()).collect();
+        let Err(ConfigError::Invalid { errors, .. }) = Config::read(&path) else { panic!("taken") };
+        let places: Vec<_> = errors.iter().map(|error| error.split(": ").next().unwrap()).collect();
         let wanted = [
             "exchange",
             "signalling.links[0].circuits",
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -102,16 +102,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LineOpenError {
     #[error("too many lines open at once, come back in {} ms", .0.as_millis() + 1)]
-    Later(Duration),
+    RateLimited(Duration),
     #[error("{0} lines are open")]
     Full(usize),
 }
 
 impl LineOpenError {
     /// What is said to it before it is closed.
-    pub fn text(&self) -> String {
+    pub fn error_response(&self) -> String {
         let mut fault = RpcError::new(code::TOO_MANY, self.to_string());
-        if let Self::Later(wait) = self {
+        if let Self::RateLimited(wait) = self {
             fault.come_back_ms = Some(wait.as_millis() as u64 + 1);
         }
         error_text(&Value::Null, &fault)
@@ -125,7 +125,7 @@
 }
 
 pub struct Exchange {
-    pub office: CallControl,
+    pub call_control: CallControl,
     admission: Admission<Pending>,
     tokens: Tokens,
     resumable: ResumableSessions,
@@ -203,7 +203,7 @@
         let seed = own_seed(config.exchange, seed);
         let shares = (0..).map(CustomerId).zip(config.customers.iter().map(|customer| customer.share));
         Self {
-            office: CallControl::new(now, &config.plan(), incarnation, seed),
+            call_control: CallControl::new(now, &config.call_control_config(), incarnation, seed),
             admission: Admission::new(now, config.limits.limits(), shares.collect(), seed),
             tokens: Tokens::open(),
             resumable: ResumableSessions::new(
@@ -234,7 +234,7 @@
         f: impl FnOnce(&mut CallControl, &mut Wire) -> R,
     ) -> R {
         let mut wire = Wire { port, answers: Vec::new(), ends: Vec::new() };
-        let result = f(&mut self.office, &mut wire);
+        let result = f(&mut self.call_control, &mut wire);
         let Wire { answers, ends, port } = wire;
         for (call, answer) in answers {
             let stands = answer == Answer::Stands;
@@ -263,7 +263,7 @@
         }
         for (call, end) in ends {
             if let Some(asker) = self.forget(call) {
-                let how = how_ended(end);
+                let how = end_reason(end);
                 asker.span.in_scope(|| debug!(?how, "ended"));
                 let what = CallEventKind::Ended { ended: how };
                 let event = CallEvent { exchange_call: call.0, customer: asker.customer.0, what };
@@ -334,13 +334,13 @@
 
     /// When [`Exchange::on_timer`] is next to be called.
     pub fn next_timer(&self) -> Option<Duration> {
-        let all = [self.office.next_timer(), self.admission.next_timer(), self.resumable.next_timer()];
+        let all = [self.call_control.next_timer(), self.admission.next_timer(), self.resumable.next_timer()];
         all.into_iter().flatten().min()
     }
 
     /// No new calls from now on; those that wait for their turn are refused.
     pub fn stop(&mut self, port: &mut dyn Transport) {
-        self.office.stop();
+        self.call_control.stop();
         let waiting = self.admission.drain();
         waiting.iter().for_each(|(pending, refusal)| self.refuse(port, pending, *refusal));
     }
@@ -369,14 +369,14 @@
                 self.sessions.insert(SessionId(no), LineId(no));
                 Ok(LineId(no))
             }
-            OpenOutcome::RateLimited(wait) => Err(LineOpenError::Later(wait)),
+            OpenOutcome::RateLimited(wait) => Err(LineOpenError::RateLimited(wait)),
             OpenOutcome::Full => Err(LineOpenError::Full(self.lines.len())),
         }
     }
 
     /// The connection is gone. A resumable session is kept for a while; of any other what is in hand is hung up, and
     /// nobody is told.
-    pub fn line_closed(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
+    pub fn line_disconnected(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
         let Some(held) = self.lines.get_mut(&line) else { return };
         match self.resumable.cut(now, held.session) {
             DisconnectOutcome::Over => self.end_line(now, port, line),
@@ -390,7 +390,7 @@
     }
 
     /// Its client has closed it for good: what is in hand is hung up, resumable or not.
-    pub fn line_over(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
+    pub fn line_closed_by_client(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
         self.end_line(now, port, line);
         self.take_ready(now, port);
     }
@@ -534,7 +534,7 @@
         Ok(HelloResult {
             server: "mintstall".into(),
             version: env!("CARGO_PKG_VERSION").into(),
-            exchange: self.office.own().0,
+            exchange: self.call_control.own().0,
             token: held.token.clone(),
             limits: SessionLimits {
                 calls_a_session: limits.calls_a_session,
@@ -619,13 +619,13 @@
             let next = self.admission.answered(now, session, customer, false, log);
             return self.ready.extend(next);
         };
-        let call = self.office.next_call();
+        let call = self.call_control.next_call();
         held.calls.insert(offer.call, Held::With(call));
         let span = debug_span!("call", id = call.0, line = line.0, call = offer.call, dest = offer.dest);
         span.in_scope(|| debug!(kind = offer.call_type, number = offer.number, "offered"));
         let progress = Progress::Unanswered;
         self.askers.insert(call, Asker { line, session, customer, progress, call: offer.call, id, span });
-        let mut order = order(&offer);
+        let mut order = call_request(&offer);
         order.left = order.left.saturating_sub(now.saturating_sub(since));
         self.with(now, port, |office, wire| office.offer(now, wire, call, order));
     }
@@ -834,7 +834,7 @@
         self.feed = LineDecoder::new(LONGEST_NEWS);
         port.send_to_directory(
             &ControllerNotification::RequestFullList(FullListRequest {
-                office: self.office.own().0,
+                office: self.call_control.own().0,
                 held_version: self.roster.version(),
             })
             .text(),
@@ -854,12 +854,12 @@
         let result = loop {
             match feed.next() {
                 Ok(Some(text)) => match DirectoryNotification::read(text) {
-                    Ok(note) => new |= self.feed_note(now, port, &note),
+                    Ok(note) => new |= self.on_directory_notification(now, port, &note),
                     Err(error) => {
                         port.log_info(&format!(
                             "directory: a line makes no sense and is passed over: {error}"
                         ));
-                        let (office, why) = (self.office.own().0, error.to_string());
+                        let (office, why) = (self.call_control.own().0, error.to_string());
                         port.send_to_directory(
                             &ControllerNotification::Rejected { office, version: 0, why }.text(),
                         );
@@ -874,7 +874,7 @@
     }
 
     /// One note of the directory or the plant; `true`: the roster is new.
-    pub fn feed_note(
+    pub fn on_directory_notification(
         &mut self,
         now: Duration,
         port: &mut dyn Transport,
@@ -882,7 +882,7 @@
     ) -> bool {
         match note {
             DirectoryNotification::Membership(news) => {
-                let office = self.office.own().0;
+                let office = self.call_control.own().0;
                 let (verdict, told) = self.roster.apply(now, news);
                 match verdict {
                     UpdateOutcome::Accepted { version } => {
@@ -916,7 +916,7 @@
                 false
             }
             DirectoryNotification::Processor(note) => {
-                self.office.processor(processor_report(note.rate));
+                self.call_control.processor(processor_report(note.rate));
                 false
             }
         }
@@ -930,7 +930,7 @@
     }
 
     /// The roster kept from before a restart.
-    pub fn come_back(
+    pub fn restore_membership(
         &mut self,
         now: Duration,
         wall_ms: u64,
@@ -944,7 +944,7 @@
         Ok(())
     }
 
-    pub fn keep(&self, now: Duration, wall_ms: u64) -> Option<String> {
+    pub fn membership_snapshot(&self, now: Duration, wall_ms: u64) -> Option<String> {
         serde_json::to_string(&self.roster.snapshot(now, wall_ms)?).ok()
     }
 
@@ -952,14 +952,16 @@
 
     /// What became here of a call that an exchange took; of one taken here, where none is named.
     pub fn traces(&self, origin: Option<u16>, call: u64) -> Vec<CallTrace> {
-        match origin.filter(|origin| *origin != self.office.own().0) {
-            Some(origin) => self.office.traces_of(ExchangeNumber(origin), call).map(trace_json).collect(),
-            None => self.office.trace(CallId(call)).into_iter().map(trace_json).collect(),
+        match origin.filter(|origin| *origin != self.call_control.own().0) {
+            Some(origin) => {
+                self.call_control.traces_of(ExchangeNumber(origin), call).map(trace_json).collect()
+            }
+            None => self.call_control.trace(CallId(call)).into_iter().map(trace_json).collect(),
         }
     }
 
     pub fn status(&self) -> Value {
-        let CallControlStatus { own, tally, calls, owed, timers, traces, groups } = self.office.state();
+        let CallControlStatus { own, tally, calls, owed, timers, traces, groups } = self.call_control.state();
         let groups: Vec<Value> = groups
             .iter()
             .map(|group| {
@@ -1036,12 +1038,12 @@
         TraceStep::Answered(answer) => json!({ "step": "answered", "answer": final_answer(*answer) }),
         TraceStep::TurnedBack(cause) => json!({ "step": "turned back", "cause": cause.value() }),
         TraceStep::CallerGone(cause) => json!({ "step": "caller gone", "cause": cause.value() }),
-        TraceStep::Ended(end) => json!({ "step": "ended", "how": how_ended(*end) }),
+        TraceStep::Ended(end) => json!({ "step": "ended", "how": end_reason(*end) }),
     }
 }
 
 /// A call as its subscriber's message asks for it.
-pub fn order(offer: &Offer) -> CallRequest {
+pub fn call_request(offer: &Offer) -> CallRequest {
     CallRequest {
         call_type: CallType(offer.call_type),
         customer: CustomerId(offer.customer),
@@ -1064,7 +1066,7 @@
     }
 }
 
-pub fn how_ended(end: CallEnd) -> EndReason {
+pub fn end_reason(end: CallEnd) -> EndReason {
     match end {
         CallEnd::HungUp => EndReason::HungUp,
         CallEnd::Released => EndReason::Released,
--- a/crates/daemon/src/output_buffer.rs
+++ b/crates/daemon/src/output_buffer.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether the last has been pushed.
-    pub fn is_last(&self) -> bool {
+    pub fn last_pushed(&self) -> bool {
         self.most == 0
     }
 
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -163,7 +163,7 @@
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let Purpose::Calls { end, .. } = &mut connection.purpose else { return };
         let out = std::mem::take(end.out());
-        match end.ended().is_some() || end.closing() && !connection.out.is_last() {
+        match end.ended().is_some() || end.closing() && !connection.out.last_pushed() {
             true => connection.out.push_last(&out),
             false => connection.out.push(&out),
         }
@@ -370,7 +370,7 @@
                 lines: BTreeMap::new(),
                 directory: None,
                 strangers: ConnectionMonitor::new(strangers),
-                clients: ConnectionMonitor::new(config.calls.patience()),
+                clients: ConnectionMonitor::new(config.calls.connection_timeouts()),
                 admins: 0,
                 most_unread: config.calls.most_unread,
                 started: now,
@@ -428,7 +428,7 @@
                 since: None,
                 entries: all.map(entry).collect(),
             };
-            self.exchange.feed_note(
+            self.exchange.on_directory_notification(
                 now,
                 &mut self.wires,
                 &mintstall_membership::DirectoryNotification::Membership(news),
@@ -436,7 +436,7 @@
         }
         let Some(path) = &self.keep else { return };
         match std::fs::read(path) {
-            Ok(text) => match self.exchange.come_back(now, wall_ms(), &mut self.wires, &text) {
+            Ok(text) => match self.exchange.restore_membership(now, wall_ms(), &mut self.wires, &text) {
                 Ok(()) => info!(target: LOG_TARGET, path = %path.display(), "roster of before taken"),
                 Err(error) => {
                     warn!(target: LOG_TARGET, path = %path.display(), "{error}; waiting for the directory")
@@ -508,7 +508,7 @@
             self.read_tokens();
         }
         if signals.iter().any(|signal| *signal != SIGHUP) && self.stopping.is_none() {
-            info!(target: LOG_TARGET, "stopping: no new calls, {} in hand", self.exchange.office.state().calls);
+            info!(target: LOG_TARGET, "stopping: no new calls, {} in hand", self.exchange.call_control.state().calls);
             self.exchange.stop(&mut self.wires);
             self.stopping = Some(Instant::now());
             (self.links_in, self.lines_in, self.calls_in) = (None, None, None);
@@ -531,13 +531,13 @@
     fn stopped(&mut self) -> bool {
         let Some(since) = self.stopping else { return false };
         let Some(let_go) = self.let_go else {
-            if !self.exchange.office.has_unanswered_calls() || since.elapsed() >= STOP_WITHIN {
+            if !self.exchange.call_control.has_unanswered_calls() || since.elapsed() >= STOP_WITHIN {
                 self.let_all_go();
             }
             return false;
         };
         let written = self.wires.connections.values().all(|connection| connection.out.waiting() == 0);
-        let released = !self.exchange.office.awaits_release();
+        let released = !self.exchange.call_control.awaits_release();
         if !(written && released) && let_go.elapsed() < LET_GO_WITHIN {
             return false;
         }
@@ -578,7 +578,7 @@
                     Err(why) => {
                         debug!(target: LOG_TARGET, %from, "line turned away: {why}");
                         // Best effort: whoever does not read it sees the close.
-                        let _ = (&stream).write_all(format!("{}\n", why.text()).as_bytes());
+                        let _ = (&stream).write_all(format!("{}\n", why.error_response()).as_bytes());
                         continue;
                     }
                 },
@@ -785,7 +785,7 @@
                     }
                     Err(why) => {
                         let wait = match why {
-                            LineOpenError::Later(wait) => wait.as_secs() + 1,
+                            LineOpenError::RateLimited(wait) => wait.as_secs() + 1,
                             LineOpenError::Full(_) => 2,
                         };
                         let busy = HandshakeRejection {
@@ -809,8 +809,9 @@
                     _ => None,
                 };
                 let held = std::mem::take(held);
-                let known = asp
-                    .filter(|asp| self.exchange.office.state().groups.iter().any(|group| group.to == *asp));
+                let known = asp.filter(|asp| {
+                    self.exchange.call_control.state().groups.iter().any(|group| group.to == *asp)
+                });
                 let Some(from) = known else {
                     return self
                         .wires
@@ -869,7 +870,9 @@
 
     /// Written beside and moved into place, so that a half-written file never takes the place of a good one.
     fn keep_roster(&mut self, now: Duration) {
-        let (Some(path), Some(text)) = (&self.keep, self.exchange.keep(now, wall_ms())) else { return };
+        let (Some(path), Some(text)) = (&self.keep, self.exchange.membership_snapshot(now, wall_ms())) else {
+            return;
+        };
         let beside = path.with_extension("new");
         if let Err(error) = std::fs::write(&beside, text).and_then(|()| std::fs::rename(&beside, path)) {
             warn!(target: LOG_TARGET, path = %path.display(), "the roster can't be kept: {error}");
@@ -900,9 +903,9 @@
                 debug!(target: LOG_TARGET, line = line.0, code = end.ended().map(|ended| ended.code), "line closed: {why}");
                 match end.ended() {
                     Some(ended) if ended.by_far_end && ended.code == close::NORMAL => {
-                        self.exchange.line_over(now, &mut self.wires, line);
+                        self.exchange.line_closed_by_client(now, &mut self.wires, line);
                     }
-                    _ => self.exchange.line_closed(now, &mut self.wires, line),
+                    _ => self.exchange.line_disconnected(now, &mut self.wires, line),
                 }
             }
             Purpose::Knocking(_) => debug!(target: LOG_TARGET, "client closed in its handshake: {why}"),
@@ -910,7 +913,7 @@
             Purpose::Line(line) => {
                 self.wires.lines.remove(&line);
                 debug!(target: LOG_TARGET, line = line.0, "line closed: {why}");
-                self.exchange.line_closed(now, &mut self.wires, line);
+                self.exchange.line_disconnected(now, &mut self.wires, line);
             }
             Purpose::Directory => {
                 self.wires.directory = None;
--- a/crates/daemon/tests/admission.rs
+++ b/crates/daemon/tests/admission.rs
@@ -56,7 +56,7 @@
         let now = Duration::from_secs(3600);
         let exchange = Exchange::new(now, &config, 2, 1);
         let mut room = Self { exchange, wires: Wires::default(), now, far: Far::default() };
-        room.exchange.feed_note(now, &mut room.wires, &common::roster());
+        room.exchange.on_directory_notification(now, &mut room.wires, &common::roster());
         room.exchange.link_up(now, &mut room.wires, FAR);
         room.far();
         room
@@ -183,7 +183,7 @@
     let (gone, stays) = (room.line(), room.line());
     (1..=3).for_each(|call| room.offer(gone, call, 0));
     room.offer(stays, 1, 1);
-    room.exchange.line_closed(room.now, &mut room.wires, gone);
+    room.exchange.line_disconnected(room.now, &mut room.wires, gone);
     room.far();
     assert_eq!((room.far.set_ups.len(), room.figures()), (1, (1, 0)), "the other line's call is out");
     room.stands();
@@ -223,10 +223,10 @@
         LimitsConfig { opens_per_s: 10.0, opens_at_once: 2.0, sessions: 3, ..LimitsConfig::default() };
     let mut room = Room::new(limits);
     assert!(room.exchange.line_open(room.now).is_ok() && room.exchange.line_open(room.now).is_ok());
-    assert!(room.exchange.line_open(room.now).unwrap_err().text().contains("come back in"));
+    assert!(room.exchange.line_open(room.now).unwrap_err().error_response().contains("come back in"));
     room.now += Duration::from_secs(1);
     assert!(room.exchange.line_open(room.now).is_ok());
-    assert!(room.exchange.line_open(room.now).unwrap_err().text().contains("3 lines are open"));
+    assert!(room.exchange.line_open(room.now).unwrap_err().error_response().contains("3 lines are open"));
 }
 
 #[test]
@@ -268,7 +268,7 @@
     }
 
     fn cut(&mut self, line: LineId) {
-        self.exchange.line_closed(self.now, &mut self.wires, line);
+        self.exchange.line_disconnected(self.now, &mut self.wires, line);
         self.far();
     }
 }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -18,7 +18,7 @@
     }))
     .unwrap();
     let config = Config { limits, ..config };
-    assert_eq!(config.faults(), Vec::<String>::new());
+    assert_eq!(config.validation_errors(), Vec::<String>::new());
     config
 }
 
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -101,7 +101,7 @@
             far: Far::default(),
             clients: (0..CLIENTS as u64).map(client).collect(),
         };
-        net.exchange.feed_note(now, &mut net.wires, &common::roster());
+        net.exchange.on_directory_notification(now, &mut net.wires, &common::roster());
         net.exchange.link_up(now, &mut net.wires, FAR);
         net.carry();
         net
@@ -232,7 +232,7 @@
         let gone: Vec<Wire> = client.wires.extract_if(.., |wire| wire.cut).collect();
         for wire in gone {
             if let Server::Open(line, _) = wire.server {
-                self.exchange.line_closed(self.now, &mut self.wires, line);
+                self.exchange.line_disconnected(self.now, &mut self.wires, line);
             }
         }
         self.carry();
@@ -322,7 +322,7 @@
         let status = self.exchange.status();
         assert_eq!(status["calls"], standing, "{status}");
         assert_eq!(status["admission"]["unanswered"], 0);
-        assert_eq!(self.exchange.office.inconsistencies(), Vec::<String>::new());
+        assert_eq!(self.exchange.call_control.inconsistencies(), Vec::<String>::new());
     }
 }
 
--- a/crates/lab/benches/ordinary_call.rs
+++ b/crates/lab/benches/ordinary_call.rs
@@ -468,7 +468,11 @@
         mintstall_membership::MembershipUpdate { version: 1, since: None, entries: vec![entry(1), entry(2)] };
     let far_no = mintstall::interface::ExchangeNumber(2);
     let mut far = Far { out: Vec::new(), answers: 0 };
-    exchange.feed_note(now, &mut far, &mintstall_membership::DirectoryNotification::Membership(news));
+    exchange.on_directory_notification(
+        now,
+        &mut far,
+        &mintstall_membership::DirectoryNotification::Membership(news),
+    );
     exchange.line_open(now).expect("a line");
     exchange.link_up(now, &mut far, far_no);
     let mut turn = |exchange: &mut Exchange, far: &mut Far, text: &str| {
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -7,7 +7,7 @@
 use mintstall::interface::{CallId, ExchangeNumber};
 use mintstall_callapi::FinalAnswer;
 use mintstall_callcontrol::{Answer, CallControl, CallControlActions, CallEnd};
-use mintstall_daemon::exchange::{final_answer, how_ended, order, processor_report};
+use mintstall_daemon::exchange::{call_request, end_reason, final_answer, processor_report};
 use mintstall_daemon::exchange_entries;
 use mintstall_emulator::{Action, Day, LinkMode, Observer, Score, Simulation};
 use mintstall_membership::{Membership, MembershipChange, MembershipLimits};
@@ -207,7 +207,7 @@
                 let seat = Seat {
                     office: CallControl::new(
                         now + CLOCK_START,
-                        &config.plan(),
+                        &config.call_control_config(),
                         u64::from(incarnation) << 11,
                         seed,
                     ),
@@ -242,7 +242,7 @@
                 let call = seat.office.next_call();
                 seat.calls.insert(offer.call, call);
                 seat.names.insert(call, offer.call);
-                seat.office.offer(now, plant, call, order(&offer));
+                seat.office.offer(now, plant, call, call_request(&offer));
             }),
             Action::HangUp { office, call } => {
                 let seat = self.seats[usize::from(office) - 1].as_ref();
@@ -327,7 +327,7 @@
                     let Some(seat) = self.seats[usize::from(no) - 1].as_mut() else { continue };
                     let Some(name) = seat.names.remove(&call) else { continue };
                     seat.calls.remove(&name);
-                    self.simulation.call_ended(now, no, name, how_ended(end), w);
+                    self.simulation.call_ended(now, no, name, end_reason(end), w);
                 }
             }
         }
--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -109,9 +109,10 @@
         let news = json!({ "version": 1, "entries": [entry(1), entry(2), entry(3), entry(4)] });
         let note =
             mintstall_membership::DirectoryNotification::Membership(serde_json::from_value(news).unwrap());
-        first.feed_note(START, &mut wires, &note);
-        let tandem =
-            |no: u16| CallControl::new(START, &config(no, &[(1, 310), (DEST, 310)]).plan(), 1, no.into());
+        first.on_directory_notification(START, &mut wires, &note);
+        let tandem = |no: u16| {
+            CallControl::new(START, &config(no, &[(1, 310), (DEST, 310)]).call_control_config(), 1, no.into())
+        };
         let (tandems, set_ups) = (TANDEMS.map(|no| (no, tandem(no))).into(), BTreeMap::new());
         let mut net = Self { now: START, first, tandems, wires, far, line, set_ups };
         for to in [DEST, TANDEMS[0], TANDEMS[1]] {
