--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a controller: JSON with a schema, checked at start.
+//! The configuration of a controller: JSON with a schema, checked at start. The keys are documented on the fields.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -25,34 +25,36 @@
     pub subscribers: Subscribers,
     #[serde(default)]
     pub calls: CallApiConfig,
-    /// Where the directory is; without one the roster is all exchanges of `signalling.links`, ready.
+    /// The directory server. Without one, the membership is the own exchange and all exchanges of `signalling.links`, all
+    /// ready.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub directory: Option<Directory>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub admin: Option<Admin>,
     pub call_types: Vec<CallType>,
-    /// Numbers of the own exchange that have few lines.
+    /// Numbers of the own exchange that have a limited count of lines.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub numbers: Vec<Number>,
-    /// Whose subscribers call; offers name them by their place. None: all are one.
+    /// The customers to whom subscribers belong; an offer names its customer by the index in this list. Without any, all
+    /// subscribers belong to one customer.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub customers: Vec<Customer>,
     #[serde(default)]
     pub limits: LimitsConfig,
-    /// The file of tokens; read again on SIGHUP. None: nobody is asked for one.
+    /// The token file, read again on SIGHUP. Without one, no client needs a token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tokens: Option<PathBuf>,
     #[serde(default)]
     pub rules: Rules,
     #[serde(default)]
     pub timers: TimersMs,
-    /// Calls in hand at a time, those in transit too; what comes beyond is refused.
-    #[serde(default = "most_calls")]
+    /// Maximum of simultaneous calls, transit calls included. Further calls are refused.
+    #[serde(default = "default_most_calls")]
     pub most_calls: usize,
-    /// Calls of which what became of them is remembered, step by step, some 500 octets each.
-    #[serde(default = "traces")]
+    /// How many of the last calls keep a trace of their steps, some 500 octets each.
+    #[serde(default = "default_traces")]
     pub traces: usize,
-    /// Starts the random numbers; none: drawn anew at each start.
+    /// Seed of the random numbers. Without one, each start draws a new seed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
 }
@@ -60,7 +62,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Signalling {
-    /// Where other exchanges connect to; needed if any link has no `connect`.
+    /// The address to which other exchanges connect. Required if any link has no `connect`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
     pub links: Vec<Link>,
@@ -71,9 +73,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Link {
     pub to: u16,
-    /// Circuits of the group, at most 3968.
+    /// Number of circuits of the group, at most 3968.
     pub circuits: u16,
-    /// Where to connect to; without one, the far end connects here.
+    /// The address to connect to. Without one, the far end connects to this exchange.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub connect: Option<SocketAddr>,
 }
@@ -81,44 +83,45 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Subscribers {
-    /// Where subscriber lines connect to: newline-delimited JSON-RPC 2.0.
+    /// The address to which subscriber lines connect, with newline-delimited JSON-RPC 2.0.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
 }
 
-/// Where clients ask for calls over WebSocket; the reference is `docs/call-control.md`.
+/// The call-control API over WebSocket; the reference is `docs/call-control.md`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "Calls")]
 pub struct CallApiConfig {
     #[serde(skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
-    /// Origins of browser pages that may connect (`https://host`); none: no page may. Clients that are no pages name none.
+    /// Origins of the browser pages that may connect (`https://host`). If empty, no page may connect. Clients that are not
+    /// browser pages send no origin.
     pub origins: BTreeSet<String>,
-    /// How long the opening handshake may take, and how many connections may be at it at a time.
+    /// Timeout of the opening handshake, and the maximum of simultaneous handshakes.
     pub opening_ms: u64,
     pub most_opening: usize,
-    /// A connection that was silent for so long is pinged, and dropped when nothing comes back for so long.
+    /// A connection that is idle for `quiet_ms` is pinged, and dropped if nothing is received within `answer_ms`.
     pub quiet_ms: u64,
     pub answer_ms: u64,
-    /// How long the closing handshake may take.
+    /// Timeout of the closing handshake.
     pub closing_ms: u64,
-    /// Octets that may wait to be read by one client, before it is closed as too slow.
+    /// Maximum of octets that wait to be written to one client. Beyond it the connection is closed as too slow.
     pub most_unread: usize,
 }
 
 impl Default for CallApiConfig {
     fn default() -> Self {
-        let patience = ConnectionTimeouts::default();
+        let timeouts = ConnectionTimeouts::default();
         let ms = |span: Duration| span.as_millis() as u64;
         Self {
             listen: None,
             origins: BTreeSet::new(),
-            opening_ms: ms(patience.handshake_timeout),
-            most_opening: patience.max_handshakes,
-            quiet_ms: ms(patience.idle_timeout),
-            answer_ms: ms(patience.pong_timeout),
-            closing_ms: ms(patience.close_timeout),
+            opening_ms: ms(timeouts.handshake_timeout),
+            most_opening: timeouts.max_handshakes,
+            quiet_ms: ms(timeouts.idle_timeout),
+            answer_ms: ms(timeouts.pong_timeout),
+            closing_ms: ms(timeouts.close_timeout),
             most_unread: 256 << 10,
         }
     }
@@ -141,7 +144,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Directory {
     pub connect: SocketAddr,
-    /// Where the last good roster is kept for the next start.
+    /// The file that keeps the last valid membership list for the next start.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub keep: Option<PathBuf>,
 }
@@ -156,15 +159,15 @@
 #[serde(deny_unknown_fields)]
 pub struct CallType {
     pub name: String,
-    /// It is to stand within this.
+    /// Target for the time from the offer to the answer.
     pub setup_target_ms: u64,
-    /// Its caller waits so long in all.
+    /// How long the caller waits for an answer in all.
     pub guard_time_ms: u64,
     pub revenue: f64,
-    /// Circuits it takes, at most 31: they lie in one 2048 kbit/s system.
-    #[serde(default = "one")]
+    /// Circuits that a call takes, at most 31, since all lie in one 2048 kbit/s system.
+    #[serde(default = "default_width")]
     pub width: u16,
-    /// How long it lasts on average.
+    /// Mean duration of a call.
     pub mean_hold_ms: u64,
 }
 
@@ -179,41 +182,44 @@
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     pub name: String,
-    /// Its part of what can be worked on while more is offered, beside those of the others.
+    /// Weight of the customer when more calls are offered than can be handled; the capacity is divided in proportion to
+    /// the customers' weights.
     pub share: f64,
 }
 
-/// What is let in before a call is offered to the decisions.
+/// Admission limits, applied before a call is offered to call control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "LimitsPlan")]
 pub struct LimitsConfig {
-    /// Subscriber lines at a time, opened a second, and at once.
+    /// Subscriber lines: the maximum that is open, the rate at which they may be opened, and the burst.
     pub sessions: usize,
     pub opens_per_s: f64,
     pub opens_at_once: f64,
-    /// Calls in hand on one line, and of one customer.
+    /// Maximum of simultaneous calls of one line, and of one customer.
     pub calls_a_session: usize,
     pub calls_a_customer: usize,
-    /// Offers of one line a second, and at once.
+    /// Rate and burst of the offers of one line.
     pub offers_per_s: f64,
     pub offers_at_once: f64,
-    /// Requests of one line a second of any kind, and at once.
+    /// Rate and burst of the requests of one line, of any kind.
     pub requests_per_s: f64,
     pub requests_at_once: f64,
-    /// Offers that wait for their final answer at a time; what comes beyond takes turns by customers' shares.
+    /// Maximum of offers without a final answer. Further offers are queued and served by the customers' shares.
     pub unanswered: usize,
-    /// Offers that may wait for their turn, and for which share of their callers' time.
+    /// Maximum of queued offers, and the share of the caller's remaining time that an offer may be queued.
     pub waiting: usize,
     pub wait_share: f64,
-    /// How long a resumable session is kept after a cut, how many at a time, and how many texts for each.
+    /// How long a resumable session is kept after its connection is lost, how many sessions are kept, and how many messages
+    /// are kept for each.
     pub resume_ms: u64,
     pub resume_sessions: usize,
     pub resume_texts: usize,
-    /// How long the answer of an offer is remembered for one that comes again under its number, and how many are.
+    /// How long the answer to an offer is cached for a repeated offer with the same call number, and how many answers are
+    /// cached.
     pub repeat_ms: u64,
     pub repeats: usize,
-    /// Events of calls kept for watchers.
+    /// Number of call events that are kept for subscribers of `calls.subscribe`.
     pub news: usize,
 }
 
@@ -265,22 +271,22 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Seizures a call may make.
+    /// Maximum of seizures of one call.
     pub seizures: u8,
-    /// Whether a seizure may be cancelled once its caller has gone.
+    /// Whether a seizure may be cancelled after its caller has given up.
     pub may_cancel: bool,
-    /// The longest wait that callers follow when told one; 0: they are told none.
+    /// The longest retry time that a refused caller is given. 0: callers are given none.
     pub longest_come_back_ms: u64,
-    /// Whether controllers may send each other short messages.
+    /// Whether controllers may send short messages to each other.
     pub may_tell: bool,
-    /// A cold exchange sent more than this many times what it can do for a while falls over.
+    /// A cold exchange fails when it is offered more than this multiple of its capacity for some time.
     pub fall_multiple: f64,
-    /// Share of its capacity that an exchange has when it starts, and how long it takes to warm up at most.
+    /// Share of its capacity that an exchange has when it starts, and the longest time that the warm-up takes.
     pub cold_share: f64,
     pub warm_up_ms: u64,
-    /// How long circuits may stay taken after a time-out, a cut or a cancel.
+    /// How long circuits may stay in use after a seizure timed out, was cut or was cancelled.
     pub release_wait_ms: u64,
-    /// A waiting set-up is repeated after this; 0: never.
+    /// Time after which a set-up without a response is sent again; 0: never.
     pub repeat_after_ms: u64,
 }
 
@@ -300,7 +306,7 @@
     }
 }
 
-/// Timers of Q.764 and RFC 4666, as far as they bear here; the standards' middle values by default.
+/// The timers of Q.764 and RFC 4666 that apply here. The defaults are the middle values of the standards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimersMs {
@@ -313,44 +319,44 @@
     pub link_ack_ms: u64,
     pub beat_ms: u64,
     pub link_grace_ms: u64,
-    /// Each group is audited this often, one system of 31 circuits at a time.
+    /// Interval at which each group is audited, one system of 31 circuits at a time.
     pub audit_ms: u64,
 }
 
 impl Default for TimersMs {
     fn default() -> Self {
-        let t = Timers::default();
+        let timers = Timers::default();
         let ms = |span: Duration| span.as_millis() as u64;
         Self {
-            t1_ms: ms(t.t1),
-            t5_ms: ms(t.t5),
-            t7_ms: ms(t.t7),
-            t16_ms: ms(t.t16),
-            t17_ms: ms(t.t17),
-            t22_ms: ms(t.t22),
-            link_ack_ms: ms(t.link_ack),
-            beat_ms: ms(t.beat),
-            link_grace_ms: ms(t.link_grace),
-            audit_ms: ms(t.audit),
+            t1_ms: ms(timers.t1),
+            t5_ms: ms(timers.t5),
+            t7_ms: ms(timers.t7),
+            t16_ms: ms(timers.t16),
+            t17_ms: ms(timers.t17),
+            t22_ms: ms(timers.t22),
+            link_ack_ms: ms(timers.link_ack),
+            beat_ms: ms(timers.beat),
+            link_grace_ms: ms(timers.link_grace),
+            audit_ms: ms(timers.audit),
         }
     }
 }
 
-fn one() -> u16 {
+fn default_width() -> u16 {
     1
 }
 
-/// The last ten seconds or more at a hundred calls a second.
-fn traces() -> usize {
+/// Enough for the last ten seconds or more at 100 calls/s.
+fn default_traces() -> usize {
     2000
 }
 
 /// 20,000 calls take some tens of MiB.
-fn most_calls() -> usize {
+fn default_most_calls() -> usize {
     20_000
 }
 
-/// Why a configuration can't be used: each fault with its place.
+/// Why a configuration file can't be used. An invalid file is reported with all its errors and their places.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     #[error("{path}: {error}")]
@@ -361,19 +367,18 @@
     Invalid { path: PathBuf, errors: Vec<String> },
 }
 
-/// Reads a file of tokens.
 pub fn read_tokens(path: &Path) -> Result<Tokens, ConfigError> {
     let file: TokenFile = read_json(path)?;
     Tokens::read(&file).map_err(|errors| ConfigError::Invalid { path: path.into(), errors })
 }
 
-/// Reads any JSON file of ours, with the place of what makes no sense in it.
+/// Reads a JSON file. A parse error names the place in the file and the path of the value.
 pub fn read_json<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| ConfigError::Unreadable { path: path.into(), error })?;
     let mut reader = serde_json::Deserializer::from_str(&text);
-    let read = serde_path_to_error::deserialize(&mut reader);
-    let value = read.map_err(|error| {
+    let parsed = serde_path_to_error::deserialize(&mut reader);
+    let value = parsed.map_err(|error| {
         let place = error.path().to_string();
         let error = error.into_inner();
         ConfigError::Parse {
@@ -381,7 +386,7 @@
             place,
             line: error.line(),
             column: error.column(),
-            // The library adds the line itself.
+            // serde_json appends line and column to its message; they are in the fields above.
             error: error.to_string().split(" at line ").next().unwrap_or_default().to_string(),
         }
     })?;
@@ -390,7 +395,7 @@
         place: ".".into(),
         line: error.line(),
         column: error.column(),
-        error: "something follows the end".into(),
+        error: "unexpected text after the end of the JSON value".into(),
     })?;
     Ok(value)
 }
@@ -404,175 +409,198 @@
         }
     }
 
-    /// Every fault, each with its place.
+    /// All errors, each as "place: reason".
     pub fn validation_errors(&self) -> Vec<String> {
-        let mut found = Vec::new();
-        let mut say = |wrong: bool, place: &str, why: String| {
-            if wrong {
-                found.push(format!("{place}: {why}"));
+        let mut errors = Vec::new();
+        let mut reject_if = |invalid: bool, place: &str, reason: String| {
+            if invalid {
+                errors.push(format!("{place}: {reason}"));
             }
         };
-        let offices = 1..=16_383;
-        say(
-            !offices.contains(&self.exchange),
+        let exchange_numbers = 1..=16_383;
+        reject_if(
+            !exchange_numbers.contains(&self.exchange),
             "exchange",
             format!("{} is not within 1 to 16383", self.exchange),
         );
-        let mut seen = BTreeSet::new();
-        for (at, link) in self.signalling.links.iter().enumerate() {
-            let place = format!("signalling.links[{at}]");
+        let mut linked = BTreeSet::new();
+        for (index, link) in self.signalling.links.iter().enumerate() {
+            let place = format!("signalling.links[{index}]");
             let to = link.to;
-            say(!offices.contains(&to), &format!("{place}.to"), format!("{to} is not within 1 to 16383"));
-            say(to == self.exchange, &format!("{place}.to"), "is the own exchange".into());
-            say(!seen.insert(to), &format!("{place}.to"), format!("exchange {to} has a link already"));
-            let most = Cic::MAX_PER_GROUP;
-            say(
-                link.circuits > most,
+            reject_if(
+                !exchange_numbers.contains(&to),
+                &format!("{place}.to"),
+                format!("{to} is not within 1 to 16383"),
+            );
+            reject_if(to == self.exchange, &format!("{place}.to"), "is the own exchange".into());
+            reject_if(
+                !linked.insert(to),
+                &format!("{place}.to"),
+                format!("exchange {to} has a link already"),
+            );
+            let max = Cic::MAX_PER_GROUP;
+            reject_if(
+                link.circuits > max,
                 &format!("{place}.circuits"),
-                format!("{} are more than {most}", link.circuits),
+                format!("{} is more than {max}", link.circuits),
             );
             let listens = self.signalling.listen.is_some();
-            say(
+            reject_if(
                 link.connect.is_none() && !listens,
                 &place,
                 "has no connect, and signalling.listen is missing".into(),
             );
         }
-        say(self.call_types.is_empty(), "call_types", "are missing".into());
-        say(self.call_types.len() > 255, "call_types", "are more than 255".into());
-        for (at, of) in self.call_types.iter().enumerate() {
-            let place = |field: &str| format!("call_types[{at}].{field}");
-            say(
-                !(1..=31).contains(&of.width),
+        reject_if(self.call_types.is_empty(), "call_types", "is empty".into());
+        reject_if(self.call_types.len() > 255, "call_types", "has more than 255 entries".into());
+        for (index, call_type) in self.call_types.iter().enumerate() {
+            let place = |field: &str| format!("call_types[{index}].{field}");
+            reject_if(
+                !(1..=31).contains(&call_type.width),
                 &place("width"),
-                format!("{} is not within 1 to 31", of.width),
+                format!("{} is not within 1 to 31", call_type.width),
             );
-            let guard = of.guard_time_ms;
-            say(
+            let guard = call_type.guard_time_ms;
+            reject_if(
                 !(1..=3_600_000).contains(&guard),
                 &place("guard_time_ms"),
                 format!("{guard} is not within 1 to 3600000"),
             );
-            say(of.setup_target_ms == 0, &place("setup_target_ms"), "is 0".into());
-            say(
-                !(of.revenue >= 0.0 && of.revenue.is_finite()),
+            reject_if(call_type.setup_target_ms == 0, &place("setup_target_ms"), "is 0".into());
+            reject_if(
+                !(call_type.revenue >= 0.0 && call_type.revenue.is_finite()),
                 &place("revenue"),
-                format!("{} is below 0", of.revenue),
+                format!("{} is below 0", call_type.revenue),
             );
-            say(of.mean_hold_ms == 0, &place("mean_hold_ms"), "is 0".into());
+            reject_if(call_type.mean_hold_ms == 0, &place("mean_hold_ms"), "is 0".into());
         }
-        let mut seen = BTreeSet::new();
-        for (at, number) in self.numbers.iter().enumerate() {
-            let place = format!("numbers[{at}].number");
-            say(!seen.insert(number.number), &place, format!("{} is named before", number.number));
+        let mut listed = BTreeSet::new();
+        for (index, number) in self.numbers.iter().enumerate() {
+            let place = format!("numbers[{index}].number");
+            reject_if(!listed.insert(number.number), &place, format!("{} is listed already", number.number));
         }
         let rules = &self.rules;
-        say(
+        reject_if(
             !(1..=16).contains(&rules.seizures),
             "rules.seizures",
             format!("{} is not within 1 to 16", rules.seizures),
         );
-        say(
+        reject_if(
             !(0.0..=1.0).contains(&rules.cold_share),
             "rules.cold_share",
-            format!("{} is no share", rules.cold_share),
+            format!("{} is not within 0 to 1", rules.cold_share),
         );
         let multiple = rules.fall_multiple;
-        say(
+        reject_if(
             !(multiple > 0.0 && multiple.is_finite()),
             "rules.fall_multiple",
             format!("{multiple} is not above 0"),
         );
-        for (at, customer) in self.customers.iter().enumerate() {
-            let wrong = !(customer.share > 0.0 && customer.share.is_finite());
-            say(wrong, &format!("customers[{at}].share"), format!("{} is not above 0", customer.share));
+        for (index, customer) in self.customers.iter().enumerate() {
+            let invalid = !(customer.share > 0.0 && customer.share.is_finite());
+            reject_if(
+                invalid,
+                &format!("customers[{index}].share"),
+                format!("{} is not above 0", customer.share),
+            );
         }
-        let l = &self.limits;
+        let limits = &self.limits;
         let rates = [
-            ("opens_per_s", l.opens_per_s),
-            ("opens_at_once", l.opens_at_once),
-            ("offers_per_s", l.offers_per_s),
-            ("offers_at_once", l.offers_at_once),
-            ("requests_per_s", l.requests_per_s),
-            ("requests_at_once", l.requests_at_once),
+            ("opens_per_s", limits.opens_per_s),
+            ("opens_at_once", limits.opens_at_once),
+            ("offers_per_s", limits.offers_per_s),
+            ("offers_at_once", limits.offers_at_once),
+            ("requests_per_s", limits.requests_per_s),
+            ("requests_at_once", limits.requests_at_once),
         ];
         for (name, rate) in rates {
-            say(
+            reject_if(
                 !(rate > 0.0 && rate.is_finite()),
                 &format!("limits.{name}"),
                 format!("{rate} is not above 0"),
             );
         }
-        let counts =
-            [("sessions", l.sessions), ("calls_a_session", l.calls_a_session), ("unanswered", l.unanswered)];
+        let counts = [
+            ("sessions", limits.sessions),
+            ("calls_a_session", limits.calls_a_session),
+            ("unanswered", limits.unanswered),
+        ];
         for (name, count) in counts {
-            say(count == 0, &format!("limits.{name}"), "is 0".into());
+            reject_if(count == 0, &format!("limits.{name}"), "is 0".into());
         }
-        say(
-            !(0.0..=1.0).contains(&l.wait_share),
+        reject_if(
+            !(0.0..=1.0).contains(&limits.wait_share),
             "limits.wait_share",
-            format!("{} is no share", l.wait_share),
+            format!("{} is not within 0 to 1", limits.wait_share),
         );
-        let c = &self.calls;
-        let spans = [
-            ("opening_ms", c.opening_ms),
-            ("quiet_ms", c.quiet_ms),
-            ("answer_ms", c.answer_ms),
-            ("closing_ms", c.closing_ms),
+        let calls = &self.calls;
+        let timeouts = [
+            ("opening_ms", calls.opening_ms),
+            ("quiet_ms", calls.quiet_ms),
+            ("answer_ms", calls.answer_ms),
+            ("closing_ms", calls.closing_ms),
         ];
-        for (name, ms) in spans {
-            let wrong = !(1..=86_400_000).contains(&ms);
-            say(wrong, &format!("calls.{name}"), format!("{ms} is not within 1 to 86400000"));
+        for (name, ms) in timeouts {
+            let invalid = !(1..=86_400_000).contains(&ms);
+            reject_if(invalid, &format!("calls.{name}"), format!("{ms} is not within 1 to 86400000"));
         }
-        say(c.most_opening == 0, "calls.most_opening", "is 0".into());
-        let least = 64 << 10;
-        say(c.most_unread < least, "calls.most_unread", format!("{} is less than {least}", c.most_unread));
-        for origin in &c.origins {
-            let wrong = !origin.contains("://") || origin.ends_with('/');
-            say(wrong, "calls.origins", format!("{origin:?} is no origin, such as \"https://host:port\""));
+        reject_if(calls.most_opening == 0, "calls.most_opening", "is 0".into());
+        let min = 64 << 10;
+        reject_if(
+            calls.most_unread < min,
+            "calls.most_unread",
+            format!("{} is less than {min}", calls.most_unread),
+        );
+        for origin in &calls.origins {
+            let invalid = !origin.contains("://") || origin.ends_with('/');
+            reject_if(
+                invalid,
+                "calls.origins",
+                format!("{origin:?} is not an origin such as \"https://host:port\""),
+            );
         }
-        say(self.traces > 1_000_000, "traces", format!("{} are more than 1000000", self.traces));
-        say(self.most_calls == 0, "most_calls", "is 0".into());
-        let t = &self.timers;
-        let all = [
-            t.t1_ms,
-            t.t5_ms,
-            t.t7_ms,
-            t.t16_ms,
-            t.t17_ms,
-            t.t22_ms,
-            t.link_ack_ms,
-            t.beat_ms,
-            t.link_grace_ms,
-            t.audit_ms,
+        reject_if(self.traces > 1_000_000, "traces", format!("{} is more than 1000000", self.traces));
+        reject_if(self.most_calls == 0, "most_calls", "is 0".into());
+        let timers = &self.timers;
+        let all_timers = [
+            timers.t1_ms,
+            timers.t5_ms,
+            timers.t7_ms,
+            timers.t16_ms,
+            timers.t17_ms,
+            timers.t22_ms,
+            timers.link_ack_ms,
+            timers.beat_ms,
+            timers.link_grace_ms,
+            timers.audit_ms,
         ];
-        say(
-            all.iter().any(|ms| !(1..=86_400_000).contains(ms)),
+        reject_if(
+            all_timers.iter().any(|ms| !(1..=86_400_000).contains(ms)),
             "timers",
-            "are not all within 1 to 86400000".into(),
+            "a timer is not within 1 to 86400000".into(),
         );
-        say(t.t5_ms < t.t1_ms, "timers.t5_ms", "is shorter than t1_ms".into());
-        found
+        reject_if(timers.t5_ms < timers.t1_ms, "timers.t5_ms", "is shorter than t1_ms".into());
+        errors
     }
 
-    /// What the office reads at start.
+    /// The configuration of call control.
     pub fn call_control_config(&self) -> CallControlConfig {
         let ms = Duration::from_millis;
-        let call_type = |of: &CallType| CallTypeConfig {
-            setup_target: ms(of.setup_target_ms),
-            guard_time: ms(of.guard_time_ms),
-            revenue: of.revenue,
-            width: of.width,
-            mean_hold: ms(of.mean_hold_ms),
+        let call_type_config = |call_type: &CallType| CallTypeConfig {
+            setup_target: ms(call_type.setup_target_ms),
+            guard_time: ms(call_type.guard_time_ms),
+            revenue: call_type.revenue,
+            width: call_type.width,
+            mean_hold: ms(call_type.mean_hold_ms),
             repeats: RepeatPolicy::Freely,
             pools: Vec::new(),
         };
-        let (rules, t) = (&self.rules, &self.timers);
+        let (rules, timers) = (&self.rules, &self.timers);
         CallControlConfig {
             own: ExchangeNumber(self.exchange),
             data: ControllerConfig {
                 own: Some(ExchangeNumber(self.exchange)),
-                call_types: self.call_types.iter().map(call_type).collect(),
+                call_types: self.call_types.iter().map(call_type_config).collect(),
                 seizure_limit: rules.seizures,
                 may_cancel: rules.may_cancel,
                 max_retry_after: ms(rules.longest_come_back_ms),
@@ -590,18 +618,22 @@
                 .iter()
                 .map(|link| GroupConfig { to: ExchangeNumber(link.to), circuits: link.circuits })
                 .collect(),
-            numbers: self.numbers.iter().map(|n| NumberPlan { dialled: n.number, lines: n.lines }).collect(),
+            numbers: self
+                .numbers
+                .iter()
+                .map(|number| NumberPlan { dialled: number.number, lines: number.lines })
+                .collect(),
             timers: Timers {
-                t1: ms(t.t1_ms),
-                t5: ms(t.t5_ms),
-                t7: ms(t.t7_ms),
-                t16: ms(t.t16_ms),
-                t17: ms(t.t17_ms),
-                t22: ms(t.t22_ms),
-                link_ack: ms(t.link_ack_ms),
-                beat: ms(t.beat_ms),
-                link_grace: ms(t.link_grace_ms),
-                audit: ms(t.audit_ms),
+                t1: ms(timers.t1_ms),
+                t5: ms(timers.t5_ms),
+                t7: ms(timers.t7_ms),
+                t16: ms(timers.t16_ms),
+                t17: ms(timers.t17_ms),
+                t22: ms(timers.t22_ms),
+                link_ack: ms(timers.link_ack_ms),
+                beat: ms(timers.beat_ms),
+                link_grace: ms(timers.link_grace_ms),
+                audit: ms(timers.audit_ms),
             },
             max_calls: self.most_calls,
             traces: self.traces,
@@ -613,33 +645,36 @@
 mod tests {
     use super::*;
 
-    fn written(text: &str) -> PathBuf {
+    fn config_file(text: &str) -> PathBuf {
         use std::sync::atomic::{AtomicU32, Ordering};
         static COUNT: AtomicU32 = AtomicU32::new(0);
-        let no = COUNT.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("mintstall-config-{}-{no}.json", std::process::id()));
+        let number = COUNT.fetch_add(1, Ordering::Relaxed);
+        let path =
+            std::env::temp_dir().join(format!("mintstall-config-{}-{number}.json", std::process::id()));
         std::fs::write(&path, text).unwrap();
         path
     }
 
     #[test]
-    fn a_fault_of_the_text_is_told_with_its_place() {
-        let path = written("{\"exchange\": 1,\n \"call_types\": [{\"name\": 3}]}");
+    fn a_parse_error_names_its_place() {
+        let path = config_file("{\"exchange\": 1,\n \"call_types\": [{\"name\": 3}]}");
         let error = Config::read(&path).unwrap_err().to_string();
         assert!(error.contains(":2:") && error.contains("at call_types[0].name"), "{error}");
-        let path = written("{\"exchange\": 1, \"call_types\": [], \"more\": 2}");
+        let path = config_file("{\"exchange\": 1, \"call_types\": [], \"more\": 2}");
         assert!(Config::read(&path).unwrap_err().to_string().contains("unknown field `more`"));
     }
 
     #[test]
-    fn every_fault_of_the_sense_is_told_at_once() {
-        let path = written(
+    fn all_validation_errors_are_reported_at_once() {
+        let path = config_file(
             r#"{"exchange": 0, "signalling": {"links": [{"to": 2, "circuits": 5000}, {"to": 2, "circuits": 1}]},
                 "call_types": [], "rules": {"cold_share": 2}}"#,
         );
-        let Err(ConfigError::Invalid { errors, .. }) = Config::read(&path) else { panic!("taken") };
+        let Err(ConfigError::Invalid { errors, .. }) = Config::read(&path) else {
+            panic!("the configuration is accepted")
+        };
         let places: Vec<_> = errors.iter().map(|error| error.split(": ").next().unwrap()).collect();
-        let wanted = [
+        let expected = [
             "exchange",
             "signalling.links[0].circuits",
             "signalling.links[0]",
@@ -648,6 +683,6 @@
             "call_types",
             "rules.cold_share",
         ];
-        assert_eq!(places, wanted);
+        assert_eq!(places, expected);
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! | file | holds |
 //! | --- | --- |
-//! | `config` | the configuration: JSON, its schema, every fault found with its place |
-//! | `exchange` | office, roster and subscriber lines together, without I/O |
-//! | `output_buffer` | what waits to be written, bounded |
+//! | `config` | the configuration: JSON with a schema, and its checks |
+//! | `exchange` | call control, membership and subscriber lines together, without I/O |
+//! | `output_buffer` | a size-limited buffer of octets to be written to a connection |
 //! | `server` | the mio loop: sockets, timers, signals |
 
 pub mod config;
--- a/crates/daemon/src/output_buffer.rs
+++ b/crates/daemon/src/output_buffer.rs
@@ -1,11 +1,13 @@
-//! What waits to be written, bounded: a reader that is too slow for it is dropped.
+//! A size-limited buffer of octets to be written to a connection. A peer that reads too slowly for the limit is dropped.
 
-/// Octets waiting for one connection.
+/// Octets that wait to be written to one connection.
 #[derive(Debug)]
 pub struct OutputBuffer {
-    held: Vec<u8>,
+    pending: Vec<u8>,
+    /// Octets of `pending` that are written already.
     written: usize,
-    most: usize,
+    /// Maximum of octets that may wait; 0 once the last octets were pushed.
+    limit: usize,
     overrun: Overrun,
 }
 
@@ -13,15 +15,16 @@
 enum Overrun {
     #[default]
     Not,
-    /// More was to be written than may wait: the connection is to be closed.
+    /// The limit was exceeded: the connection is to be closed.
     Yes,
 }
 
-/// Octets that may wait for a connection: some seconds of a link at 1,000 calls a second.
+/// Octets that may wait for a connection: some seconds of a link at 1,000 calls/s.
 pub const DEFAULT_OUTPUT_LIMIT: usize = 1 << 20;
 
-/// Room that is kept for what comes next; thousands of connections are idle at a time.
-const ROOM_KEPT: usize = 4 << 10;
+/// Capacity in octets that an empty buffer keeps at most. Thousands of connections are idle at a time, and larger buffers
+/// would hold memory without use.
+const MAX_IDLE_CAPACITY: usize = 4 << 10;
 
 impl Default for OutputBuffer {
     fn default() -> Self {
@@ -30,43 +33,47 @@
 }
 
 impl OutputBuffer {
-    /// At most so many octets wait.
-    pub fn new(most: usize) -> Self {
-        Self { held: Vec::new(), written: 0, most, overrun: Overrun::Not }
+    /// A buffer in which at most `limit` octets wait.
+    pub fn new(limit: usize) -> Self {
+        Self { pending: Vec::new(), written: 0, limit, overrun: Overrun::Not }
     }
 
+    /// Adds octets to be written. If they exceed the limit they are dropped and the buffer is overrun.
     pub fn push(&mut self, octets: &[u8]) {
-        if self.waiting() + octets.len() > self.most {
+        if self.waiting() + octets.len() > self.limit {
             self.overrun = Overrun::Yes;
         } else {
-            self.held.extend_from_slice(octets);
+            self.pending.extend_from_slice(octets);
         }
     }
 
-    /// The last that is written, whatever waits: a few octets that say why it ends.
+    /// Adds the last octets, regardless of the limit: a few that tell the peer why the connection ends. Octets pushed
+    /// later are dropped.
     pub fn push_last(&mut self, octets: &[u8]) {
         self.overrun = Overrun::Not;
-        self.most = 0;
-        self.held.extend_from_slice(octets);
+        self.limit = 0;
+        self.pending.extend_from_slice(octets);
     }
 
+    /// Octets that wait to be written.
     pub fn waiting(&self) -> usize {
-        self.held.len() - self.written
+        self.pending.len() - self.written
     }
 
+    /// Whether more octets were pushed than may wait.
     pub fn overrun(&self) -> bool {
         self.overrun == Overrun::Yes
     }
 
-    /// Whether the last has been pushed.
+    /// Whether [`OutputBuffer::push_last`] was called.
     pub fn last_pushed(&self) -> bool {
-        self.most == 0
+        self.limit == 0
     }
 
-    /// Writes as much as goes; `Ok(true)` once nothing waits.
-    pub fn write_to(&mut self, to: &mut impl std::io::Write) -> std::io::Result<bool> {
+    /// Writes until the writer would block or the buffer is empty; `Ok(true)`: it is empty.
+    pub fn write_to(&mut self, writer: &mut impl std::io::Write) -> std::io::Result<bool> {
         while self.waiting() > 0 {
-            match to.write(&self.held[self.written..]) {
+            match writer.write(&self.pending[self.written..]) {
                 Ok(0) => return Err(std::io::ErrorKind::WriteZero.into()),
                 Ok(count) => self.written += count,
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return Ok(false),
@@ -74,8 +81,8 @@
                 Err(error) => return Err(error),
             }
         }
-        self.held.clear();
-        self.held.shrink_to(ROOM_KEPT);
+        self.pending.clear();
+        self.pending.shrink_to(MAX_IDLE_CAPACITY);
         self.written = 0;
         Ok(true)
     }
@@ -86,30 +93,30 @@
     use super::*;
 
     #[test]
-    fn a_reader_too_slow_for_what_may_wait_is_told() {
-        let mut out = OutputBuffer::default();
-        (0..DEFAULT_OUTPUT_LIMIT / 1024).for_each(|_| out.push(&[0; 1024]));
-        assert!(!out.overrun());
-        out.push(&[0]);
-        assert!(out.overrun() && out.waiting() == DEFAULT_OUTPUT_LIMIT);
-        assert!(out.write_to(&mut Vec::new()).unwrap());
+    fn exceeding_the_limit_is_reported_and_memory_is_released_after_writing() {
+        let mut buffer = OutputBuffer::default();
+        (0..DEFAULT_OUTPUT_LIMIT / 1024).for_each(|_| buffer.push(&[0; 1024]));
+        assert!(!buffer.overrun());
+        buffer.push(&[0]);
+        assert!(buffer.overrun() && buffer.waiting() == DEFAULT_OUTPUT_LIMIT);
+        assert!(buffer.write_to(&mut Vec::new()).unwrap());
         assert_eq!(
-            (out.waiting(), out.held.capacity() <= ROOM_KEPT),
+            (buffer.waiting(), buffer.pending.capacity() <= MAX_IDLE_CAPACITY),
             (0, true),
-            "and its memory is given back"
+            "the memory is released"
         );
     }
 
     #[test]
-    fn the_last_is_written_whatever_waits_and_nothing_after_it() {
-        let mut out = OutputBuffer::new(4);
-        out.push(b"abcd");
-        out.push(b"e");
-        assert!(out.overrun());
-        out.push_last(b"why");
-        out.push(b"more");
+    fn the_last_octets_are_written_after_an_overrun_and_later_ones_are_dropped() {
+        let mut buffer = OutputBuffer::new(4);
+        buffer.push(b"abcd");
+        buffer.push(b"e");
+        assert!(buffer.overrun());
+        buffer.push_last(b"why");
+        buffer.push(b"more");
         let mut written = Vec::new();
-        out.write_to(&mut written).unwrap();
+        buffer.write_to(&mut written).unwrap();
         assert_eq!(written, b"abcdwhy");
     }
 }
