--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -1,4 +1,5 @@
-//! Office, roster and subscriber lines together, without I/O: texts and octets in, texts and octets out.
+//! Call control, membership and subscriber lines together, without I/O: octets and messages in, octets and messages out.
+//! Connections, timers and signals are left to `server`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -35,70 +36,72 @@
 
 use crate::config::Config;
 
-/// One connection on which calls are asked for.
+/// A connection on which a client makes calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LineId(pub u64);
 
-/// What an exchange acts through.
+/// The connections through which an exchange sends, and its log.
 pub trait Transport {
     fn send_to_link(&mut self, to: ExchangeNumber, octets: &[u8]);
     fn close_link(&mut self, to: ExchangeNumber, why: &str);
-    /// A text for a subscriber line, its end not included.
+    /// Sends a message on a subscriber line. The transport adds the delimiter.
     fn send_to_line(&mut self, line: LineId, text: &str);
     fn close_line(&mut self, line: LineId, why: &str);
-    /// Whether what waits for a line is little enough to add what can wait.
+    /// Whether little enough waits to be written to a line for messages that are not urgent.
     fn has_room(&self, line: LineId) -> bool;
-    /// A text for the directory.
+    /// Sends a message to the directory. The transport adds the delimiter.
     fn send_to_directory(&mut self, text: &str);
     fn log_info(&mut self, line: &str);
 }
 
-/// Octets of the longest text that a line may carry: an offer has some 200.
+/// Longest message on a line: an offer has some 200 octets.
 pub const MAX_MESSAGE_OCTETS: usize = 16 << 10;
-/// And of the directory: 2,048 entries of some 100 octets.
-const LONGEST_NEWS: usize = 1 << 20;
+/// Longest message of the directory: 2,048 entries of some 100 octets.
+const MAX_DIRECTORY_MESSAGE_OCTETS: usize = 1 << 20;
 
-struct Line {
-    cutter: LineDecoder,
-    /// The session whose it is: that of the connection, or one taken up.
+struct LineState {
+    decoder: LineDecoder,
+    /// The session of the line: the one opened with the connection, or a resumed one.
     session: SessionId,
-    /// The name of the token that it presented.
+    /// The name of the token that the client presented.
     token: Option<String>,
-    /// What waits to be said once its session is taken up again; none while it has a connection.
+    /// Messages kept until the session is resumed; none while the line is connected.
     backlog: Option<Backlog<String>>,
-    /// By the client's numbers. Emptied as calls end.
-    calls: BTreeMap<u64, Held>,
+    /// Calls by the client's numbers, until they end.
+    calls: BTreeMap<u64, LineCall>,
 }
 
-/// Where a call of a line is.
+/// How far a call of a line has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Held {
-    /// It waits for its turn.
-    Waiting,
-    With(CallId),
+enum LineCall {
+    /// It waits in the admission queue.
+    Queued,
+    Placed(CallId),
 }
 
-/// An offer on its way in.
-struct Pending {
+/// An offer that is not admitted yet.
+struct PendingOffer {
     line: LineId,
     session: SessionId,
     id: Option<Value>,
     offer: Offer,
-    since: Duration,
+    received_at: Duration,
 }
 
-struct Asker {
+/// A call that was offered to call control, with the line that asked for it.
+struct ActiveCall {
     line: LineId,
     session: SessionId,
     customer: CustomerId,
     progress: Progress,
+    /// The client's number of the call.
     call: u64,
     id: Option<Value>,
-    /// Spans the call from its offer to its end in the log.
+    /// Log span of the call, from its offer to its end.
     span: Span,
 }
 
-/// Why a connection is not taken as a line.
+/// Why a connection is not accepted as a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LineOpenError {
     #[error("too many lines open at once, come back in {} ms", .0.as_millis() + 1)]
@@ -108,13 +111,13 @@
 }
 
 impl LineOpenError {
-    /// What is said to it before it is closed.
+    /// The message that is sent to the client before its connection is closed.
     pub fn error_response(&self) -> String {
-        let mut fault = RpcError::new(code::TOO_MANY, self.to_string());
+        let mut rpc_error = RpcError::new(code::TOO_MANY, self.to_string());
         if let Self::RateLimited(wait) = self {
-            fault.come_back_ms = Some(wait.as_millis() as u64 + 1);
+            rpc_error.come_back_ms = Some(wait.as_millis() as u64 + 1);
         }
-        error_text(&Value::Null, &fault)
+        error_text(&Value::Null, &rpc_error)
     }
 }
 
@@ -124,67 +127,70 @@
     Stands,
 }
 
+/// An exchange with its subscriber lines.
 pub struct Exchange {
     pub call_control: CallControl,
-    admission: Admission<Pending>,
+    admission: Admission<PendingOffer>,
     tokens: Tokens,
-    resumable: ResumableSessions,
-    repeats: AnswerCache<OfferResult>,
-    news: EventLog<CallEvent>,
-    /// Draws the keys of sessions.
-    keys: StdRng,
-    resume_texts: usize,
+    resumable_sessions: ResumableSessions,
+    answer_cache: AnswerCache<OfferResult>,
+    event_log: EventLog<CallEvent>,
+    /// Random numbers for session keys.
+    key_rng: StdRng,
+    max_backlog_messages: usize,
+    /// How long answers are cached, as given to clients.
     repeat_ms: u64,
-    /// Offers whose turn has come. Emptied before anything returns.
-    ready: VecDeque<Pending>,
-    /// Cut sessions with more to hear than is kept. Emptied likewise.
-    overflown: Vec<LineId>,
-    /// What a session that is taken up is told after its welcome. Emptied with it.
-    owed_texts: Vec<String>,
-    roster: Membership,
-    feed: LineDecoder,
-    lines: BTreeMap<LineId, Line>,
-    /// Which line each session has, or had when it was cut. Emptied with the lines.
+    /// Admitted offers that are not placed yet. Empty whenever a public method returns.
+    admitted: VecDeque<PendingOffer>,
+    /// Disconnected lines whose backlog is full; their sessions are ended. Empty whenever a public method returns.
+    overflowed: Vec<LineId>,
+    /// The backlog of a resumed session, sent after the result of `session.hello`. Empty after that.
+    resumed_messages: Vec<String>,
+    membership: Membership,
+    directory_decoder: LineDecoder,
+    lines: BTreeMap<LineId, LineState>,
+    /// The line of each session, or the last one if the session is disconnected. Entries go with their lines.
     sessions: BTreeMap<SessionId, LineId>,
-    /// Who asked for each call. Emptied as calls end.
-    askers: BTreeMap<CallId, Asker>,
+    /// Calls offered to call control, until they end.
+    active_calls: BTreeMap<CallId, ActiveCall>,
 }
 
-/// What starts an exchange's random numbers. Guards against exchanges that are configured alike, seed included, drawing
-/// alike and so trying again in step.
+/// The seed of an exchange's random numbers: exchanges with the same configured seed must not draw the same numbers, or
+/// they would retry at the same times.
 pub fn own_seed(exchange: u16, seed: u64) -> u64 {
     seed ^ u64::from(exchange) << 40
 }
 
-/// A roster's lines as the decisions read them.
-pub fn exchange_entries(held: &[mintstall_membership::Member]) -> Vec<ExchangeEntry> {
-    let line = |held: &mintstall_membership::Member| ExchangeEntry {
-        id: ExchangeId(held.entry.exchange),
-        number: ExchangeNumber(held.entry.office),
-        zone: Zone(held.entry.region),
-        status: match held.entry.status {
+/// The members of the membership list as the controller's entries.
+pub fn exchange_entries(members: &[mintstall_membership::Member]) -> Vec<ExchangeEntry> {
+    let entry = |member: &mintstall_membership::Member| ExchangeEntry {
+        id: ExchangeId(member.entry.exchange),
+        number: ExchangeNumber(member.entry.office),
+        zone: Zone(member.entry.region),
+        status: match member.entry.status {
             MemberStatus::Ready => ExchangeStatus::Ready,
             MemberStatus::Draining => ExchangeStatus::Draining,
             MemberStatus::Gone => ExchangeStatus::Gone,
         },
-        started: held.started,
+        started: member.started,
     };
-    held.iter().map(line).collect()
+    members.iter().map(entry).collect()
 }
 
-/// What the office does, written down until it has returned: answers need its callers' names.
-struct Wire<'a> {
-    port: &'a mut dyn Transport,
+/// The actions of call control. Answers and ends are collected and handled once call control has returned, since they
+/// need the exchange's records of the calls.
+struct CollectedActions<'a> {
+    transport: &'a mut dyn Transport,
     answers: Vec<(CallId, Answer)>,
     ends: Vec<(CallId, CallEnd)>,
 }
 
-impl CallControlActions for Wire<'_> {
+impl CallControlActions for CollectedActions<'_> {
     fn send(&mut self, to: ExchangeNumber, octets: &[u8]) {
-        self.port.send_to_link(to, octets);
+        self.transport.send_to_link(to, octets);
     }
     fn close_link(&mut self, to: ExchangeNumber, why: &str) {
-        self.port.close_link(to, why);
+        self.transport.close_link(to, why);
     }
     fn answer(&mut self, call: CallId, answer: Answer) {
         self.answers.push((call, answer));
@@ -193,12 +199,12 @@
         self.ends.push((call, end));
     }
     fn log_info(&mut self, line: &str) {
-        self.port.log_info(line);
+        self.transport.log_info(line);
     }
 }
 
 impl Exchange {
-    /// `now` must be well above zero: it is the clock on which processors that started earlier are told.
+    /// `now` must be well above zero: start times of processors that started earlier are given on the same clock.
     pub fn new(now: Duration, config: &Config, incarnation: u64, seed: u64) -> Self {
         let seed = own_seed(config.exchange, seed);
         let shares = (0..).map(CustomerId).zip(config.customers.iter().map(|customer| customer.share));
@@ -206,257 +212,281 @@
             call_control: CallControl::new(now, &config.call_control_config(), incarnation, seed),
             admission: Admission::new(now, config.limits.limits(), shares.collect(), seed),
             tokens: Tokens::open(),
-            resumable: ResumableSessions::new(
+            resumable_sessions: ResumableSessions::new(
                 Duration::from_millis(config.limits.resume_ms),
                 config.limits.resume_sessions,
             ),
-            keys: StdRng::from_os_rng(),
-            repeats: AnswerCache::new(Duration::from_millis(config.limits.repeat_ms), config.limits.repeats),
-            news: EventLog::new(config.limits.news),
-            resume_texts: config.limits.resume_texts,
+            key_rng: StdRng::from_os_rng(),
+            answer_cache: AnswerCache::new(
+                Duration::from_millis(config.limits.repeat_ms),
+                config.limits.repeats,
+            ),
+            event_log: EventLog::new(config.limits.news),
+            max_backlog_messages: config.limits.resume_texts,
             repeat_ms: config.limits.repeat_ms,
-            ready: VecDeque::new(),
-            overflown: Vec::new(),
+            admitted: VecDeque::new(),
+            overflowed: Vec::new(),
             sessions: BTreeMap::new(),
-            owed_texts: Vec::new(),
-            roster: Membership::new(MembershipLimits::default()),
-            feed: LineDecoder::new(LONGEST_NEWS),
+            resumed_messages: Vec::new(),
+            membership: Membership::new(MembershipLimits::default()),
+            directory_decoder: LineDecoder::new(MAX_DIRECTORY_MESSAGE_OCTETS),
             lines: BTreeMap::new(),
-            askers: BTreeMap::new(),
+            active_calls: BTreeMap::new(),
         }
     }
 
-    /// Runs something of the office and gives out what it answers.
-    fn with<R>(
+    /// Runs `f` on call control, then handles the answers and ends that it produced.
+    fn with_call_control<R>(
         &mut self,
         now: Duration,
-        port: &mut dyn Transport,
-        f: impl FnOnce(&mut CallControl, &mut Wire) -> R,
+        transport: &mut dyn Transport,
+        f: impl FnOnce(&mut CallControl, &mut CollectedActions) -> R,
     ) -> R {
-        let mut wire = Wire { port, answers: Vec::new(), ends: Vec::new() };
-        let result = f(&mut self.call_control, &mut wire);
-        let Wire { answers, ends, port } = wire;
+        let mut collected = CollectedActions { transport, answers: Vec::new(), ends: Vec::new() };
+        let result = f(&mut self.call_control, &mut collected);
+        let CollectedActions { answers, ends, transport } = collected;
         for (call, answer) in answers {
             let stands = answer == Answer::Stands;
-            let Some(asker) = self.askers.get_mut(&call) else { continue };
-            asker.progress = if stands { Progress::Stands } else { Progress::Unanswered };
+            let Some(active) = self.active_calls.get_mut(&call) else { continue };
+            active.progress = if stands { Progress::Stands } else { Progress::Unanswered };
             let answer = final_answer(answer);
-            asker.span.in_scope(|| debug!(?answer, "answered"));
-            let answered = OfferResult { call: asker.call, exchange_call: call.0, answer };
-            let (session, customer, line) = (asker.session, asker.customer, asker.line);
-            if let Some(id) = &asker.id {
+            active.span.in_scope(|| debug!(?answer, "answered"));
+            let answered = OfferResult { call: active.call, exchange_call: call.0, answer };
+            let (session, customer, line) = (active.session, active.customer, active.line);
+            if let Some(id) = &active.id {
                 let text = result_text(id, answered);
-                self.say(port, line, None, text);
+                self.send_or_keep(transport, line, None, text);
             }
-            self.repeats.answered(now, session, answered.call, answered);
+            self.answer_cache.answered(now, session, answered.call, answered);
             let event = CallEvent {
                 exchange_call: call.0,
                 customer: customer.0,
                 what: CallEventKind::Answered(answer),
             };
-            self.news.push(customer, event);
-            let log = &mut |line: &str| port.log_info(line);
-            self.ready.extend(self.admission.answered(now, session, customer, stands, log));
+            self.event_log.push(customer, event);
+            let log = &mut |line: &str| transport.log_info(line);
+            self.admitted.extend(self.admission.answered(now, session, customer, stands, log));
             if !stands {
-                self.forget(call);
+                self.remove_call(call);
             }
         }
         for (call, end) in ends {
-            if let Some(asker) = self.forget(call) {
+            if let Some(active) = self.remove_call(call) {
                 let how = end_reason(end);
-                asker.span.in_scope(|| debug!(?how, "ended"));
+                active.span.in_scope(|| debug!(?how, "ended"));
                 let what = CallEventKind::Ended { ended: how };
-                let event = CallEvent { exchange_call: call.0, customer: asker.customer.0, what };
-                self.news.push(asker.customer, event);
-                let text = ended_text(&CallEndedNotification { call: asker.call, how });
-                self.say(port, asker.line, Some(asker.call), text);
+                let event = CallEvent { exchange_call: call.0, customer: active.customer.0, what };
+                self.event_log.push(active.customer, event);
+                let text = ended_text(&CallEndedNotification { call: active.call, how });
+                self.send_or_keep(transport, active.line, Some(active.call), text);
             }
         }
         result
     }
 
-    /// Says something on a line, or keeps it for when its session is taken up; `about`: a notification about that call.
-    fn say(&mut self, port: &mut dyn Transport, line: LineId, about: Option<u64>, text: String) {
-        let Some(held) = self.lines.get_mut(&line) else { return };
-        let Some(backlog) = &mut held.backlog else { return port.send_to_line(line, &text) };
-        let kept = match about {
+    /// Sends a message on a line, or keeps it in the backlog of a disconnected session. `notified_call`: the message is a
+    /// notification about that call.
+    fn send_or_keep(
+        &mut self,
+        transport: &mut dyn Transport,
+        line: LineId,
+        notified_call: Option<u64>,
+        text: String,
+    ) {
+        let Some(state) = self.lines.get_mut(&line) else { return };
+        let Some(backlog) = &mut state.backlog else { return transport.send_to_line(line, &text) };
+        let kept = match notified_call {
             Some(call) => backlog.note(call, text),
             None => backlog.answer(text),
         };
         if let Err(overflow) = kept {
-            port.log_info(&format!("session {} is over: {overflow}", held.session.0));
-            self.overflown.push(line);
+            transport.log_info(&format!("session {} ended: {overflow}", state.session.0));
+            self.overflowed.push(line);
         }
     }
 
-    fn forget(&mut self, call: CallId) -> Option<Asker> {
-        let asker = self.askers.remove(&call)?;
-        if asker.progress == Progress::Stands {
-            self.admission.over(asker.session, asker.customer);
+    fn remove_call(&mut self, call: CallId) -> Option<ActiveCall> {
+        let active = self.active_calls.remove(&call)?;
+        if active.progress == Progress::Stands {
+            self.admission.over(active.session, active.customer);
         }
-        if let Some(line) = self.lines.get_mut(&asker.line) {
-            line.calls.remove(&asker.call);
+        if let Some(line) = self.lines.get_mut(&active.line) {
+            line.calls.remove(&active.call);
         }
-        Some(asker)
+        Some(active)
     }
 
-    pub fn link_up(&mut self, now: Duration, port: &mut dyn Transport, to: ExchangeNumber) {
-        self.with(now, port, |office, wire| office.link_up(now, wire, to));
+    pub fn link_up(&mut self, now: Duration, transport: &mut dyn Transport, to: ExchangeNumber) {
+        self.with_call_control(now, transport, |call_control, actions| {
+            call_control.link_up(now, actions, to)
+        });
     }
 
-    pub fn link_down(&mut self, now: Duration, port: &mut dyn Transport, to: ExchangeNumber) {
-        self.with(now, port, |office, wire| office.link_down(now, wire, to));
-        self.take_ready(now, port);
+    pub fn link_down(&mut self, now: Duration, transport: &mut dyn Transport, to: ExchangeNumber) {
+        self.with_call_control(now, transport, |call_control, actions| {
+            call_control.link_down(now, actions, to)
+        });
+        self.process_admitted(now, transport);
     }
 
     pub fn link_octets(
         &mut self,
         now: Duration,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         from: ExchangeNumber,
         octets: &[u8],
     ) {
-        self.with(now, port, |office, wire| office.on_octets(now, wire, from, octets));
-        self.take_ready(now, port);
+        self.with_call_control(now, transport, |call_control, actions| {
+            call_control.on_octets(now, actions, from, octets)
+        });
+        self.process_admitted(now, transport);
     }
 
-    pub fn on_timer(&mut self, now: Duration, port: &mut dyn Transport) {
-        for (pending, refusal) in self.admission.on_timer(now, &mut |text| port.log_info(text)) {
-            self.refuse(port, &pending, refusal);
+    pub fn on_timer(&mut self, now: Duration, transport: &mut dyn Transport) {
+        for (pending, error) in self.admission.on_timer(now, &mut |text| transport.log_info(text)) {
+            self.refuse(transport, &pending, error);
         }
-        let over = self.resumable.expired(now);
-        if !over.is_empty() {
-            self.end_sessions(now, port, &over);
+        let expired = self.resumable_sessions.expired(now);
+        if !expired.is_empty() {
+            self.end_sessions(now, transport, &expired);
         }
-        self.with(now, port, |office, wire| office.on_timer(now, wire));
-        self.take_ready(now, port);
+        self.with_call_control(now, transport, |call_control, actions| call_control.on_timer(now, actions));
+        self.process_admitted(now, transport);
     }
 
     /// When [`Exchange::on_timer`] is next to be called.
     pub fn next_timer(&self) -> Option<Duration> {
-        let all = [self.call_control.next_timer(), self.admission.next_timer(), self.resumable.next_timer()];
+        let all = [
+            self.call_control.next_timer(),
+            self.admission.next_timer(),
+            self.resumable_sessions.next_timer(),
+        ];
         all.into_iter().flatten().min()
     }
 
-    /// No new calls from now on; those that wait for their turn are refused.
-    pub fn stop(&mut self, port: &mut dyn Transport) {
+    /// Refuses new calls from now on, and the offers that are queued.
+    pub fn stop(&mut self, transport: &mut dyn Transport) {
         self.call_control.stop();
-        let waiting = self.admission.drain();
-        waiting.iter().for_each(|(pending, refusal)| self.refuse(port, pending, *refusal));
+        let queued = self.admission.drain();
+        queued.iter().for_each(|(pending, error)| self.refuse(transport, pending, *error));
     }
 
-    /// All calls that are left are let go.
-    pub fn release_all(&mut self, now: Duration, port: &mut dyn Transport) {
-        self.with(now, port, |office, wire| office.release_all(now, wire));
-        // Their answers gave others their turn, which are refused: nobody is let in any more.
-        self.take_ready(now, port);
+    /// Releases all remaining calls.
+    pub fn release_all(&mut self, now: Duration, transport: &mut dyn Transport) {
+        self.with_call_control(now, transport, |call_control, actions| {
+            call_control.release_all(now, actions)
+        });
+        // The answers to the released calls admit queued offers, which are refused: no new call is accepted any more.
+        self.process_admitted(now, transport);
     }
 
     // Subscriber lines.
 
-    /// A connection for calls, if there is room for one more.
+    /// Opens a line for a new connection, within the limits.
     pub fn line_open(&mut self, now: Duration) -> Result<LineId, LineOpenError> {
         match self.admission.open(now) {
-            OpenOutcome::Open(SessionId(no)) => {
-                let line = Line {
-                    cutter: LineDecoder::new(MAX_MESSAGE_OCTETS),
-                    session: SessionId(no),
+            OpenOutcome::Open(SessionId(number)) => {
+                let state = LineState {
+                    decoder: LineDecoder::new(MAX_MESSAGE_OCTETS),
+                    session: SessionId(number),
                     token: None,
                     backlog: None,
                     calls: BTreeMap::new(),
                 };
-                self.lines.insert(LineId(no), line);
-                self.sessions.insert(SessionId(no), LineId(no));
-                Ok(LineId(no))
+                self.lines.insert(LineId(number), state);
+                self.sessions.insert(SessionId(number), LineId(number));
+                Ok(LineId(number))
             }
             OpenOutcome::RateLimited(wait) => Err(LineOpenError::RateLimited(wait)),
             OpenOutcome::Full => Err(LineOpenError::Full(self.lines.len())),
         }
     }
 
-    /// The connection is gone. A resumable session is kept for a while; of any other what is in hand is hung up, and
-    /// nobody is told.
-    pub fn line_disconnected(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
-        let Some(held) = self.lines.get_mut(&line) else { return };
-        match self.resumable.cut(now, held.session) {
-            DisconnectOutcome::Over => self.end_line(now, port, line),
+    /// The connection is lost. A resumable session is kept for some time; the calls of any other session are hung up, and
+    /// no message about them is sent.
+    pub fn line_disconnected(&mut self, now: Duration, transport: &mut dyn Transport, line: LineId) {
+        let Some(state) = self.lines.get_mut(&line) else { return };
+        match self.resumable_sessions.cut(now, state.session) {
+            DisconnectOutcome::Over => self.end_line(now, transport, line),
             DisconnectOutcome::Kept { displaced, .. } => {
-                held.backlog = Some(Backlog::new(self.resume_texts));
-                held.cutter = LineDecoder::new(MAX_MESSAGE_OCTETS);
-                self.end_sessions(now, port, &displaced);
+                state.backlog = Some(Backlog::new(self.max_backlog_messages));
+                state.decoder = LineDecoder::new(MAX_MESSAGE_OCTETS);
+                self.end_sessions(now, transport, &displaced);
             }
         }
-        self.take_ready(now, port);
+        self.process_admitted(now, transport);
     }
 
-    /// Its client has closed it for good: what is in hand is hung up, resumable or not.
-    pub fn line_closed_by_client(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
-        self.end_line(now, port, line);
-        self.take_ready(now, port);
+    /// The client has closed the line on purpose: its calls are hung up, whether the session is resumable or not.
+    pub fn line_closed_by_client(&mut self, now: Duration, transport: &mut dyn Transport, line: LineId) {
+        self.end_line(now, transport, line);
+        self.process_admitted(now, transport);
     }
 
-    fn end_sessions(&mut self, now: Duration, port: &mut dyn Transport, sessions: &[SessionId]) {
+    fn end_sessions(&mut self, now: Duration, transport: &mut dyn Transport, sessions: &[SessionId]) {
         for session in sessions {
             if let Some(line) = self.sessions.get(session).copied() {
-                self.end_line(now, port, line);
+                self.end_line(now, transport, line);
             }
         }
     }
 
-    fn end_line(&mut self, now: Duration, port: &mut dyn Transport, line: LineId) {
-        let Some(Line { calls, session, .. }) = self.lines.remove(&line) else { return };
+    fn end_line(&mut self, now: Duration, transport: &mut dyn Transport, line: LineId) {
+        let Some(LineState { calls, session, .. }) = self.lines.remove(&line) else { return };
         self.sessions.remove(&session);
-        self.resumable.forget(session);
-        self.repeats.over(session);
-        self.news.leave(session);
-        self.admission.close(now, session, &mut |text| port.log_info(text));
-        for held in calls.into_values() {
-            let Held::With(call) = held else { continue };
-            let asker = self.askers.remove(&call);
-            self.with(now, port, |office, wire| office.hang_up(now, wire, call));
-            if let Some(asker) = asker.filter(|asker| asker.progress == Progress::Unanswered) {
-                let log = &mut |text: &str| port.log_info(text);
-                let next = self.admission.answered(now, session, asker.customer, false, log);
-                self.ready.extend(next);
+        self.resumable_sessions.forget(session);
+        self.answer_cache.over(session);
+        self.event_log.leave(session);
+        self.admission.close(now, session, &mut |text| transport.log_info(text));
+        for line_call in calls.into_values() {
+            let LineCall::Placed(call) = line_call else { continue };
+            let active = self.active_calls.remove(&call);
+            self.with_call_control(now, transport, |call_control, actions| {
+                call_control.hang_up(now, actions, call)
+            });
+            if let Some(active) = active.filter(|active| active.progress == Progress::Unanswered) {
+                let log = &mut |text: &str| transport.log_info(text);
+                let next = self.admission.answered(now, session, active.customer, false, log);
+                self.admitted.extend(next);
             }
         }
     }
 
-    /// A session that was cut is taken up on another line: its calls, and what was not said.
-    fn take_up(
+    /// Moves a disconnected session with its calls and its backlog to another line.
+    fn resume_session(
         &mut self,
         now: Duration,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         line: LineId,
         key: &str,
     ) -> Result<Vec<CallState>, RpcError> {
         let invalid = |text: &str| RpcError::new(code::INVALID_PARAMS, text);
         let key = u128::from_str_radix(key, 16).map_err(|_| invalid("resume is no session's key"))?;
-        let here = self.lines.get(&line).ok_or_else(|| invalid("the line is closed"))?;
-        if !here.calls.is_empty() {
+        let current = self.lines.get(&line).ok_or_else(|| invalid("the line is closed"))?;
+        if !current.calls.is_empty() {
             return Err(invalid("a session is taken up before anything else is asked for"));
         }
-        let resumed = self.resumable.resume(now, SessionKey(key), here.token.as_deref());
+        let resumed = self.resumable_sessions.resume(now, SessionKey(key), current.token.as_deref());
         let session = resumed.map_err(|error| RpcError::new(code::DENIED, error.to_string()))?;
-        if here.session == session {
+        if current.session == session {
             return Err(invalid("the session is this connection's own"));
         }
-        let before = self.sessions.insert(session, line);
-        let before = before.and_then(|no| Some((no, self.lines.remove(&no)?)));
-        let (before_no, before) = before.ok_or_else(|| invalid("the session has nothing left"))?;
-        if before.backlog.is_none() {
-            // Open still, for all that is known here: its client knows better.
-            port.close_line(before_no, "its session was taken up on another connection");
+        let previous = self.sessions.insert(session, line);
+        let previous = previous.and_then(|line| Some((line, self.lines.remove(&line)?)));
+        let (previous_line, previous) = previous.ok_or_else(|| invalid("the session has nothing left"))?;
+        if previous.backlog.is_none() {
+            // The exchange still takes the previous connection for open; the client has lost it.
+            transport.close_line(previous_line, "its session was taken up on another connection");
         }
-        let here = self.lines.get_mut(&line).ok_or_else(|| invalid("the line is closed"))?;
-        let fresh = std::mem::replace(&mut here.session, session);
-        here.calls = before.calls;
-        let calls = here.calls.clone();
-        for held in here.calls.values() {
-            if let Held::With(call) = held
-                && let Some(asker) = self.askers.get_mut(call)
+        let current = self.lines.get_mut(&line).ok_or_else(|| invalid("the line is closed"))?;
+        let unused_session = std::mem::replace(&mut current.session, session);
+        current.calls = previous.calls;
+        let calls = current.calls.clone();
+        for line_call in current.calls.values() {
+            if let LineCall::Placed(call) = line_call
+                && let Some(active) = self.active_calls.get_mut(call)
             {
-                asker.line = line;
+                active.line = line;
             }
         }
         self.admission.for_each_waiting(|pending| {
@@ -464,37 +494,38 @@
                 pending.line = line;
             }
         });
-        self.sessions.remove(&fresh);
-        self.admission.close(now, fresh, &mut |text| port.log_info(text));
-        let calls = calls.into_iter().map(|(call, held)| self.call_state(call, held)).collect();
-        // Said after the welcome: the client must know whose they are.
-        let mut backlog = before.backlog;
+        self.sessions.remove(&unused_session);
+        self.admission.close(now, unused_session, &mut |text| transport.log_info(text));
+        let calls = calls.into_iter().map(|(call, line_call)| self.call_state(call, line_call)).collect();
+        // Sent after the result of session.hello: the client must know first which session the messages belong to.
+        let mut backlog = previous.backlog;
         while let Some(text) = backlog.as_mut().and_then(Backlog::pop) {
-            self.owed_texts.push(text);
+            self.resumed_messages.push(text);
         }
         Ok(calls)
     }
 
-    /// Offers whose turn has come go to the decisions, and what that answers may bring others their turn.
-    fn take_ready(&mut self, now: Duration, port: &mut dyn Transport) {
+    /// Places admitted offers until there are none left: the answers to some may admit others. Ends sessions whose backlog
+    /// is full, and notifies watchers.
+    fn process_admitted(&mut self, now: Duration, transport: &mut dyn Transport) {
         loop {
-            if let Some(line) = self.overflown.pop() {
-                self.end_line(now, port, line);
-            } else if let Some(pending) = self.ready.pop_front() {
-                self.take(now, port, pending);
+            if let Some(line) = self.overflowed.pop() {
+                self.end_line(now, transport, line);
+            } else if let Some(pending) = self.admitted.pop_front() {
+                self.place_call(now, transport, pending);
             } else {
                 break;
             }
         }
-        self.tell_watchers(port);
+        self.notify_watchers(transport);
     }
 
-    /// The tokens in force from now on; what stands is left alone.
+    /// Replaces the tokens. Standing calls are not affected.
     pub fn set_tokens(&mut self, tokens: Tokens) {
         self.tokens = tokens;
     }
 
-    /// Whether a token allows something on the admin port.
+    /// Whether a token allows requests on the admin port.
     pub fn admin_may(&self, token: Option<&str>) -> Result<(), AuthError> {
         if !self.tokens.asks() {
             return Ok(());
@@ -506,28 +537,28 @@
     fn hello(
         &mut self,
         now: Duration,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         line: LineId,
         hello: &Hello,
     ) -> Result<HelloResult, RpcError> {
-        let held =
+        let state =
             self.lines.get_mut(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         if self.tokens.asks() {
             let token = hello.token.as_deref().ok_or(AuthError::NoToken);
             let grant = token.and_then(|token| self.tokens.present(token));
             let grant = grant.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
-            held.token = Some(grant.name.clone());
+            state.token = Some(grant.name.clone());
         }
-        debug!(line = line.0, client = hello.client, token = held.token, "hello");
+        debug!(line = line.0, client = hello.client, token = state.token, "hello");
         let calls = match &hello.resume {
-            Some(key) => self.take_up(now, port, line, key)?,
+            Some(key) => self.resume_session(now, transport, line, key)?,
             None => Vec::new(),
         };
-        let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
+        let state = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let mut session = hello.resume.clone();
         if hello.resumable && session.is_none() {
-            let key = SessionKey(self.keys.random());
-            self.resumable.register(held.session, key, held.token.clone());
+            let key = SessionKey(self.key_rng.random());
+            self.resumable_sessions.register(state.session, key, state.token.clone());
             session = Some(format!("{:032x}", key.0));
         }
         let limits = self.admission.gate.limits();
@@ -535,73 +566,73 @@
             server: "mintstall".into(),
             version: env!("CARGO_PKG_VERSION").into(),
             exchange: self.call_control.own().0,
-            token: held.token.clone(),
+            token: state.token.clone(),
             limits: SessionLimits {
                 calls_a_session: limits.calls_a_session,
                 calls_a_customer: limits.calls_a_customer,
                 offers_per_s: limits.offers_per_s,
                 requests_per_s: limits.requests_per_s,
                 text_octets: MAX_MESSAGE_OCTETS,
-                kept_ms: self.resumable.span().as_millis() as u64,
+                kept_ms: self.resumable_sessions.span().as_millis() as u64,
                 repeat_ms: self.repeat_ms,
             },
             session,
             calls,
-            owed: self.owed_texts.len(),
+            owed: self.resumed_messages.len(),
         })
     }
 
-    /// What was not let in: a call answered as refused where a later try may do better, else a fault of the client.
-    fn refuse(&mut self, port: &mut dyn Transport, pending: &Pending, refusal: AdmissionError) {
+    /// Answers an offer that is not admitted: as refused if a later attempt may succeed, else by an error.
+    fn refuse(&mut self, transport: &mut dyn Transport, pending: &PendingOffer, error: AdmissionError) {
         let (line, call) = (pending.line, pending.offer.call);
-        if let Some(held) = self.lines.get_mut(&line)
-            && held.calls.get(&call) == Some(&Held::Waiting)
+        if let Some(state) = self.lines.get_mut(&line)
+            && state.calls.get(&call) == Some(&LineCall::Queued)
         {
-            held.calls.remove(&call);
+            state.calls.remove(&call);
         }
-        debug!(line = line.0, call, "not let in: {refusal}");
+        debug!(line = line.0, call, "offer not admitted: {error}");
         let Some(id) = &pending.id else { return };
-        match refusal {
+        match error {
             AdmissionError::RateLimited { retry_after } | AdmissionError::Overloaded { retry_after } => {
                 let answer = FinalAnswer::Refused { come_back_ms: retry_after.as_millis() as u32 };
                 let text = result_text(id, OfferResult { call, exchange_call: 0, answer });
-                self.say(port, line, None, text);
+                self.send_or_keep(transport, line, None, text);
             }
             other => {
                 let text = error_text(id, &RpcError::new(code::TOO_MANY, other.to_string()));
-                self.say(port, line, None, text);
+                self.send_or_keep(transport, line, None, text);
             }
         }
     }
 
     fn subscribe(&mut self, line: LineId, cursor: Option<u64>) -> Result<u64, RpcError> {
-        let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
-        let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
+        let state = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
+        let allowed = self.tokens.check(state.token.as_deref(), Scope::Watch, None);
         allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
-        let sees = self.tokens.named(held.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
-        let cursor = self.news.watch(held.session, cursor, sees);
+        let filter = self.tokens.named(state.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
+        let cursor = self.event_log.watch(state.session, cursor, filter);
         cursor.map_err(|error| RpcError::new(code::INVALID_PARAMS, error.to_string()))
     }
 
-    /// Tells those who watch what is new, as far as their connections have room.
-    fn tell_watchers(&mut self, port: &mut dyn Transport) {
-        const AT_ONCE: usize = 256;
-        if self.news.watchers() == 0 {
+    /// Sends new call events to the watchers whose connections have room.
+    fn notify_watchers(&mut self, transport: &mut dyn Transport) {
+        const MAX_EVENTS_AT_ONCE: usize = 256;
+        if self.event_log.watchers() == 0 {
             return;
         }
-        for session in self.news.behind() {
-            let there = |line: &LineId| self.lines.get(line).is_some_and(|line| line.backlog.is_none());
-            let line = self.sessions.get(&session).copied().filter(there);
-            let Some(line) = line.filter(|line| port.has_room(*line)) else { continue };
-            let told = self.news.tell(session, AT_ONCE);
-            if told.missed > 0 {
-                port.send_to_line(
+        for session in self.event_log.behind() {
+            let connected = |line: &LineId| self.lines.get(line).is_some_and(|line| line.backlog.is_none());
+            let line = self.sessions.get(&session).copied().filter(connected);
+            let Some(line) = line.filter(|line| transport.has_room(*line)) else { continue };
+            let batch = self.event_log.tell(session, MAX_EVENTS_AT_ONCE);
+            if batch.missed > 0 {
+                transport.send_to_line(
                     line,
-                    &notification_text("call.news.missed", NewsMissedNotification { count: told.missed }),
+                    &notification_text("call.news.missed", NewsMissedNotification { count: batch.missed }),
                 );
             }
-            for (number, event) in told.events {
-                port.send_to_line(
+            for (number, event) in batch.events {
+                transport.send_to_line(
                     line,
                     &notification_text("call.news", CallNewsNotification { number, event }),
                 );
@@ -609,155 +640,164 @@
         }
     }
 
-    /// An offer goes to the decisions, with the time that its caller has left.
-    fn take(&mut self, now: Duration, port: &mut dyn Transport, pending: Pending) {
-        let Pending { line, session, id, offer, since } = pending;
+    /// Passes an admitted offer to call control, with the time that its caller has left.
+    fn place_call(&mut self, now: Duration, transport: &mut dyn Transport, pending: PendingOffer) {
+        let PendingOffer { line, session, id, offer, received_at } = pending;
         let customer = CustomerId(offer.customer);
-        let Some(held) = self.lines.get_mut(&line) else {
-            // Its line closed as its turn came: its place goes on.
-            let log = &mut |text: &str| port.log_info(text);
+        let Some(state) = self.lines.get_mut(&line) else {
+            // The line was closed in the meantime: the next queued offer is admitted instead.
+            let log = &mut |text: &str| transport.log_info(text);
             let next = self.admission.answered(now, session, customer, false, log);
-            return self.ready.extend(next);
+            return self.admitted.extend(next);
         };
         let call = self.call_control.next_call();
-        held.calls.insert(offer.call, Held::With(call));
+        state.calls.insert(offer.call, LineCall::Placed(call));
         let span = debug_span!("call", id = call.0, line = line.0, call = offer.call, dest = offer.dest);
         span.in_scope(|| debug!(kind = offer.call_type, number = offer.number, "offered"));
         let progress = Progress::Unanswered;
-        self.askers.insert(call, Asker { line, session, customer, progress, call: offer.call, id, span });
-        let mut order = call_request(&offer);
-        order.left = order.left.saturating_sub(now.saturating_sub(since));
-        self.with(now, port, |office, wire| office.offer(now, wire, call, order));
+        self.active_calls
+            .insert(call, ActiveCall { line, session, customer, progress, call: offer.call, id, span });
+        let mut request = call_request(&offer);
+        request.left = request.left.saturating_sub(now.saturating_sub(received_at));
+        self.with_call_control(now, transport, |call_control, actions| {
+            call_control.offer(now, actions, call, request)
+        });
     }
 
-    pub fn line_octets(&mut self, now: Duration, port: &mut dyn Transport, line: LineId, octets: &[u8]) {
-        let Some(held) = self.lines.get_mut(&line) else { return };
-        // Taken out while its texts are acted on.
-        let mut cutter = std::mem::replace(&mut held.cutter, LineDecoder::new(MAX_MESSAGE_OCTETS));
-        cutter.push(octets);
+    pub fn line_octets(&mut self, now: Duration, transport: &mut dyn Transport, line: LineId, octets: &[u8]) {
+        let Some(state) = self.lines.get_mut(&line) else { return };
+        // Taken out of the line while its messages are handled.
+        let mut decoder = std::mem::replace(&mut state.decoder, LineDecoder::new(MAX_MESSAGE_OCTETS));
+        decoder.push(octets);
         loop {
-            match cutter.next() {
-                Ok(Some(text)) => self.text(now, port, line, text),
+            match decoder.next() {
+                Ok(Some(text)) => self.handle_message(now, transport, line, text),
                 Ok(None) => break,
                 Err(error) => {
-                    let fault = RpcError::new(code::PARSE, error.to_string());
-                    port.send_to_line(line, &error_text(&Value::Null, &fault));
-                    port.close_line(line, &error.to_string());
+                    let rpc_error = RpcError::new(code::PARSE, error.to_string());
+                    transport.send_to_line(line, &error_text(&Value::Null, &rpc_error));
+                    transport.close_line(line, &error.to_string());
                     break;
                 }
             }
         }
-        if let Some(held) = self.lines.get_mut(&line) {
-            held.cutter = cutter;
+        if let Some(state) = self.lines.get_mut(&line) {
+            state.decoder = decoder;
         }
-        self.take_ready(now, port);
+        self.process_admitted(now, transport);
     }
 
-    /// One whole text of a line whose connection carries texts.
-    pub fn line_text(&mut self, now: Duration, port: &mut dyn Transport, line: LineId, text: &[u8]) {
-        self.text(now, port, line, text);
-        self.take_ready(now, port);
+    /// A whole message of a line whose transport keeps message boundaries (WebSocket).
+    pub fn line_text(&mut self, now: Duration, transport: &mut dyn Transport, line: LineId, text: &[u8]) {
+        self.handle_message(now, transport, line, text);
+        self.process_admitted(now, transport);
     }
 
-    fn text(&mut self, now: Duration, port: &mut dyn Transport, line: LineId, text: &[u8]) {
+    fn handle_message(&mut self, now: Duration, transport: &mut dyn Transport, line: LineId, text: &[u8]) {
         let Some(session) = self.lines.get(&line).map(|line| line.session) else { return };
         let allowed = self.admission.gate.request(now, session);
         let RequestMessage { id, request } = match RequestMessage::read(text) {
-            Ok(asked) => asked,
-            Err((id, fault)) => return port.send_to_line(line, &error_text(&id, &fault)),
+            Ok(message) => message,
+            Err((id, error)) => return transport.send_to_line(line, &error_text(&id, &error)),
         };
-        if let Err(refusal) = allowed {
-            let mut fault = RpcError::new(code::TOO_FAST, refusal.to_string());
-            if let AdmissionError::RateLimited { retry_after } = refusal {
-                fault.come_back_ms = Some(retry_after.as_millis() as u64 + 1);
+        if let Err(error) = allowed {
+            let mut rpc_error = RpcError::new(code::TOO_FAST, error.to_string());
+            if let AdmissionError::RateLimited { retry_after } = error {
+                rpc_error.come_back_ms = Some(retry_after.as_millis() as u64 + 1);
             }
-            return id.iter().for_each(|id| port.send_to_line(line, &error_text(id, &fault)));
+            return id.iter().for_each(|id| transport.send_to_line(line, &error_text(id, &rpc_error)));
         }
-        let done = match request {
-            Request::Hello(hello) => self.hello(now, port, line, &hello).map(|welcome| {
-                id.iter().for_each(|id| port.send_to_line(line, &result_text(id, &welcome)));
-                self.owed_texts.drain(..).for_each(|text| port.send_to_line(line, &text));
+        let result = match request {
+            Request::Hello(hello) => self.hello(now, transport, line, &hello).map(|result| {
+                id.iter().for_each(|id| transport.send_to_line(line, &result_text(id, &result)));
+                self.resumed_messages.drain(..).for_each(|text| transport.send_to_line(line, &text));
             }),
             Request::Subscribe(subscribe) => self.subscribe(line, subscribe.cursor).map(|cursor| {
-                id.iter().for_each(|id| port.send_to_line(line, &result_text(id, Subscribed { cursor })));
-            }),
-            Request::Offer(offer) => self.offer(now, port, line, &id, &offer),
-            Request::Hangup(hangup) => self.hang_up(now, port, line, hangup.call).map(|()| {
                 id.iter()
-                    .for_each(|id| port.send_to_line(line, &result_text(id, CallAck { call: hangup.call })));
+                    .for_each(|id| transport.send_to_line(line, &result_text(id, Subscribed { cursor })));
             }),
-            Request::Cancel(cancel) => self.cancel(now, port, line, cancel.call).map(|()| {
-                id.iter()
-                    .for_each(|id| port.send_to_line(line, &result_text(id, CallAck { call: cancel.call })));
+            Request::Offer(offer) => self.handle_offer(now, transport, line, &id, &offer),
+            Request::Hangup(hangup) => self.hang_up(now, transport, line, hangup.call).map(|()| {
+                id.iter().for_each(|id| {
+                    transport.send_to_line(line, &result_text(id, CallAck { call: hangup.call }))
+                });
+            }),
+            Request::Cancel(cancel) => self.cancel(now, transport, line, cancel.call).map(|()| {
+                id.iter().for_each(|id| {
+                    transport.send_to_line(line, &result_text(id, CallAck { call: cancel.call }))
+                });
             }),
             Request::Get(get) => self.get(now, line, get.call).map(|state| {
-                id.iter().for_each(|id| port.send_to_line(line, &result_text(id, state)));
+                id.iter().for_each(|id| transport.send_to_line(line, &result_text(id, state)));
             }),
             Request::TraceGet(get) => self.trace_get(line, get).map(|traces| {
                 id.iter().for_each(|id| {
-                    port.send_to_line(line, &result_text(id, Traced { traces: traces.clone() }))
+                    transport.send_to_line(line, &result_text(id, Traced { traces: traces.clone() }))
                 });
             }),
         };
-        if let (Err(fault), Some(id)) = (done, id) {
-            port.send_to_line(line, &error_text(&id, &fault));
+        if let (Err(error), Some(id)) = (result, id) {
+            transport.send_to_line(line, &error_text(&id, &error));
         }
     }
 
-    fn offer(
+    fn handle_offer(
         &mut self,
         now: Duration,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         line: LineId,
         id: &Option<Value>,
         offer: &Offer,
     ) -> Result<(), RpcError> {
-        let held =
+        let state =
             self.lines.get_mut(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
         let allowed =
-            self.tokens.check(held.token.as_deref(), Scope::Offer, Some(CustomerId(offer.customer)));
+            self.tokens.check(state.token.as_deref(), Scope::Offer, Some(CustomerId(offer.customer)));
         allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
-        if let CachedAnswer::Answered(answered) = self.repeats.offer(now, held.session, offer.call) {
-            id.iter().for_each(|id| port.send_to_line(line, &result_text(id, answered)));
+        if let CachedAnswer::Answered(answered) = self.answer_cache.offer(now, state.session, offer.call) {
+            id.iter().for_each(|id| transport.send_to_line(line, &result_text(id, answered)));
             return Ok(());
         }
-        if held.calls.contains_key(&offer.call) {
+        if state.calls.contains_key(&offer.call) {
             return Err(RpcError::new(
                 code::NUMBER_IN_USE,
                 format!("call {} is in hand already", offer.call),
             ));
         }
-        let session = held.session;
-        let pending = Pending { line, session, id: id.clone(), offer: offer.clone(), since: now };
-        let (customer, left) = (CustomerId(offer.customer), Duration::from_millis(offer.time_left_ms.into()));
-        let log = &mut |text: &str| port.log_info(text);
-        let (verdict, displaced) = self.admission.offer(now, session, customer, left, pending, log);
-        match verdict {
-            AdmissionDecision::Admit(pending) => self.take(now, port, pending),
-            AdmissionDecision::Queued => _ = held.calls.insert(offer.call, Held::Waiting),
-            AdmissionDecision::Refused(pending, refusal) => self.refuse(port, &pending, refusal),
+        let session = state.session;
+        let pending = PendingOffer { line, session, id: id.clone(), offer: offer.clone(), received_at: now };
+        let (customer, time_left) =
+            (CustomerId(offer.customer), Duration::from_millis(offer.time_left_ms.into()));
+        let log = &mut |text: &str| transport.log_info(text);
+        let (decision, evicted) = self.admission.offer(now, session, customer, time_left, pending, log);
+        match decision {
+            AdmissionDecision::Admit(pending) => self.place_call(now, transport, pending),
+            AdmissionDecision::Queued => _ = state.calls.insert(offer.call, LineCall::Queued),
+            AdmissionDecision::Refused(pending, error) => self.refuse(transport, &pending, error),
         }
-        displaced.iter().for_each(|(pending, refusal)| self.refuse(port, pending, *refusal));
+        evicted.iter().for_each(|(pending, error)| self.refuse(transport, pending, *error));
         Ok(())
     }
 
     fn hang_up(
         &mut self,
         now: Duration,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         line: LineId,
         call: u64,
     ) -> Result<(), RpcError> {
-        let known = self.lines.get(&line).and_then(|line| line.calls.get(&call)).copied();
+        let line_call = self.lines.get(&line).and_then(|line| line.calls.get(&call)).copied();
         let unknown = || RpcError::new(code::UNKNOWN_CALL, format!("no call {call} is in hand"));
-        let id = match known.ok_or_else(unknown)? {
-            Held::With(id) => id,
-            Held::Waiting => {
-                let which = |pending: &Pending| pending.line == line && pending.offer.call == call;
-                let pending = self.admission.withdraw(now, which, &mut |text| port.log_info(text));
+        let id = match line_call.ok_or_else(unknown)? {
+            LineCall::Placed(id) => id,
+            LineCall::Queued => {
+                let is_withdrawn =
+                    |pending: &PendingOffer| pending.line == line && pending.offer.call == call;
+                let pending =
+                    self.admission.withdraw(now, is_withdrawn, &mut |text| transport.log_info(text));
                 self.lines.get_mut(&line).into_iter().for_each(|line| _ = line.calls.remove(&call));
                 if let Some(id) = pending.and_then(|pending| pending.id) {
-                    port.send_to_line(
+                    transport.send_to_line(
                         line,
                         &result_text(&id, OfferResult { call, exchange_call: 0, answer: FinalAnswer::Fails }),
                     );
@@ -765,36 +805,39 @@
                 return Ok(());
             }
         };
-        // The final answer of a call that is given up goes out within, before the reply to this.
-        self.with(now, port, |office, wire| office.hang_up(now, wire, id));
-        if let Some(asker) = self.forget(id) {
-            asker.span.in_scope(|| debug!("hung up"));
+        // If the call has no final answer yet, it is sent in here, before the response to this request.
+        self.with_call_control(now, transport, |call_control, actions| {
+            call_control.hang_up(now, actions, id)
+        });
+        if let Some(active) = self.remove_call(id) {
+            active.span.in_scope(|| debug!("hung up"));
         }
         Ok(())
     }
 
-    /// Gives up a call that has no answer yet.
+    /// Gives up a call that has no final answer yet.
     fn cancel(
         &mut self,
         now: Duration,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         line: LineId,
         call: u64,
     ) -> Result<(), RpcError> {
-        let held = self.lines.get(&line).and_then(|line| line.calls.get(&call)).copied();
-        if let Some(Held::With(id)) = held
-            && self.askers.get(&id).is_some_and(|asker| asker.progress == Progress::Stands)
+        let line_call = self.lines.get(&line).and_then(|line| line.calls.get(&call)).copied();
+        if let Some(LineCall::Placed(id)) = line_call
+            && self.active_calls.get(&id).is_some_and(|active| active.progress == Progress::Stands)
         {
             return Err(RpcError::new(code::STANDS, format!("call {call} stands: hang it up")));
         }
-        self.hang_up(now, port, line, call)
+        self.hang_up(now, transport, line, call)
     }
 
-    fn call_state(&self, call: u64, held: Held) -> CallState {
-        match held {
-            Held::Waiting => CallState { call, exchange_call: 0, state: CallStatus::Waits },
-            Held::With(id) => {
-                let stands = self.askers.get(&id).is_some_and(|asker| asker.progress == Progress::Stands);
+    fn call_state(&self, call: u64, line_call: LineCall) -> CallState {
+        match line_call {
+            LineCall::Queued => CallState { call, exchange_call: 0, state: CallStatus::Waits },
+            LineCall::Placed(id) => {
+                let stands =
+                    self.active_calls.get(&id).is_some_and(|active| active.progress == Progress::Stands);
                 let state = if stands { CallStatus::Stands } else { CallStatus::Offered };
                 CallState { call, exchange_call: id.0, state }
             }
@@ -803,23 +846,23 @@
 
     fn get(&mut self, now: Duration, line: LineId, call: u64) -> Result<CallState, RpcError> {
         let unknown = || RpcError::new(code::UNKNOWN_CALL, format!("no call {call} is known"));
-        let held = self.lines.get(&line).ok_or_else(unknown)?;
-        if let Some(held) = held.calls.get(&call) {
-            return Ok(self.call_state(call, *held));
+        let state = self.lines.get(&line).ok_or_else(unknown)?;
+        if let Some(line_call) = state.calls.get(&call) {
+            return Ok(self.call_state(call, *line_call));
         }
         let OfferResult { exchange_call, answer, .. } =
-            self.repeats.get(now, held.session, call).ok_or_else(unknown)?;
+            self.answer_cache.get(now, state.session, call).ok_or_else(unknown)?;
         Ok(CallState { call, exchange_call, state: CallStatus::Over { answer } })
     }
 
-    /// Whoever may watch sees the traces of the customers that its token sees.
+    /// A client with the watch scope sees the traces of the customers that its token covers.
     fn trace_get(&self, line: LineId, get: TraceGet) -> Result<Vec<CallTrace>, RpcError> {
-        let held = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
-        let allowed = self.tokens.check(held.token.as_deref(), Scope::Watch, None);
+        let state = self.lines.get(&line).ok_or(RpcError::new(code::UNKNOWN_CALL, "the line is closed"))?;
+        let allowed = self.tokens.check(state.token.as_deref(), Scope::Watch, None);
         allowed.map_err(|denied| RpcError::new(code::DENIED, denied.to_string()))?;
-        let sees = self.tokens.named(held.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
+        let filter = self.tokens.named(state.token.as_deref()).map_or(CustomerFilter::All, Grant::sees);
         let mut traces = self.traces(get.origin, get.exchange_call);
-        traces.retain(|trace| sees.includes(CustomerId(trace.customer)));
+        traces.retain(|trace| filter.includes(CustomerId(trace.customer)));
         if traces.is_empty() {
             let why = format!("call {} is not among the last calls", get.exchange_call);
             return Err(RpcError::new(code::UNKNOWN_CALL, why));
@@ -829,73 +872,74 @@
 
     // Directory.
 
-    /// The directory is there: it is asked for all that is new.
-    pub fn directory_open(&mut self, port: &mut dyn Transport) {
-        self.feed = LineDecoder::new(LONGEST_NEWS);
-        port.send_to_directory(
+    /// The directory is connected: asks it for all changes since the version held.
+    pub fn directory_connected(&mut self, transport: &mut dyn Transport) {
+        self.directory_decoder = LineDecoder::new(MAX_DIRECTORY_MESSAGE_OCTETS);
+        transport.send_to_directory(
             &ControllerNotification::RequestFullList(FullListRequest {
                 office: self.call_control.own().0,
-                held_version: self.roster.version(),
+                held_version: self.membership.version(),
             })
             .text(),
         );
     }
 
-    /// `Err`: what came makes no sense as a line, and the connection is to be closed. `Ok(true)`: the roster is new.
+    /// `Err`: the octets are no valid line, and the connection is to be closed. `Ok(true)`: the membership has changed.
     pub fn directory_octets(
         &mut self,
         now: Duration,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         octets: &[u8],
     ) -> Result<bool, String> {
-        self.feed.push(octets);
-        let mut feed = std::mem::replace(&mut self.feed, LineDecoder::new(LONGEST_NEWS));
-        let mut new = false;
+        self.directory_decoder.push(octets);
+        let mut decoder =
+            std::mem::replace(&mut self.directory_decoder, LineDecoder::new(MAX_DIRECTORY_MESSAGE_OCTETS));
+        let mut changed = false;
         let result = loop {
-            match feed.next() {
+            match decoder.next() {
                 Ok(Some(text)) => match DirectoryNotification::read(text) {
-                    Ok(note) => new |= self.on_directory_notification(now, port, &note),
+                    Ok(notification) => {
+                        changed |= self.on_directory_notification(now, transport, &notification)
+                    }
                     Err(error) => {
-                        port.log_info(&format!(
-                            "directory: a line makes no sense and is passed over: {error}"
-                        ));
+                        transport.log_info(&format!("directory: ignoring an invalid notification: {error}"));
                         let (office, why) = (self.call_control.own().0, error.to_string());
-                        port.send_to_directory(
+                        transport.send_to_directory(
                             &ControllerNotification::Rejected { office, version: 0, why }.text(),
                         );
                     }
                 },
-                Ok(None) => break Ok(new),
+                Ok(None) => break Ok(changed),
                 Err(error) => break Err(error.to_string()),
             }
         };
-        self.feed = feed;
+        self.directory_decoder = decoder;
         result
     }
 
-    /// One note of the directory or the plant; `true`: the roster is new.
+    /// Handles a notification of the directory (membership) or of the exchange's equipment (circuits, processor). `true`:
+    /// the membership has changed.
     pub fn on_directory_notification(
         &mut self,
         now: Duration,
-        port: &mut dyn Transport,
-        note: &DirectoryNotification,
+        transport: &mut dyn Transport,
+        notification: &DirectoryNotification,
     ) -> bool {
-        match note {
-            DirectoryNotification::Membership(news) => {
+        match notification {
+            DirectoryNotification::Membership(update) => {
                 let office = self.call_control.own().0;
-                let (verdict, told) = self.roster.apply(now, news);
-                match verdict {
-                    UpdateOutcome::Accepted { version } => {
-                        port.send_to_directory(&ControllerNotification::Accepted { office, version }.text())
-                    }
+                let (outcome, change) = self.membership.apply(now, update);
+                match outcome {
+                    UpdateOutcome::Accepted { version } => transport
+                        .send_to_directory(&ControllerNotification::Accepted { office, version }.text()),
                     UpdateOutcome::Rejected { version, why } => {
-                        port.log_info(&format!("roster version {version} turned down: {why}"));
-                        port.send_to_directory(
+                        transport.log_info(&format!("membership version {version} rejected: {why}"));
+                        transport.send_to_directory(
                             &ControllerNotification::Rejected { office, version, why: why.to_string() }
                                 .text(),
                         );
                         if matches!(why, RejectReason::Gap { .. } | RejectReason::NoBaseVersion { .. }) {
-                            port.send_to_directory(
+                            transport.send_to_directory(
                                 &ControllerNotification::RequestFullList(FullListRequest {
                                     office,
                                     held_version: None,
@@ -905,52 +949,62 @@
                         }
                     }
                 }
-                let new = told.is_some();
-                told.iter().for_each(|told| self.roster_told(now, port, told));
-                new
+                let changed = change.is_some();
+                change.iter().for_each(|change| self.apply_membership_change(now, transport, change));
+                changed
             }
             DirectoryNotification::CircuitsInService { to, in_service } => {
-                self.with(now, port, |office, wire| {
-                    office.circuits(now, wire, ExchangeNumber(*to), *in_service)
+                self.with_call_control(now, transport, |call_control, actions| {
+                    call_control.circuits(now, actions, ExchangeNumber(*to), *in_service)
                 });
                 false
             }
-            DirectoryNotification::Processor(note) => {
-                self.call_control.processor(processor_report(note.rate));
+            DirectoryNotification::Processor(report) => {
+                self.call_control.processor(processor_report(report.rate));
                 false
             }
         }
     }
 
-    fn roster_told(&mut self, now: Duration, port: &mut dyn Transport, told: &MembershipChange) {
-        self.with(now, port, |office, wire| match told {
-            MembershipChange::Full(held) => office.roster(now, wire, &exchange_entries(held)),
-            MembershipChange::Delta(held) => office.roster_changes(now, wire, &exchange_entries(held)),
+    fn apply_membership_change(
+        &mut self,
+        now: Duration,
+        transport: &mut dyn Transport,
+        change: &MembershipChange,
+    ) {
+        self.with_call_control(now, transport, |call_control, actions| match change {
+            MembershipChange::Full(members) => call_control.roster(now, actions, &exchange_entries(members)),
+            MembershipChange::Delta(members) => {
+                call_control.roster_changes(now, actions, &exchange_entries(members))
+            }
         });
     }
 
-    /// The roster kept from before a restart.
+    /// Restores the membership from a snapshot of before a restart. `wall_ms` is the time of day, in milliseconds since
+    /// 1970.
     pub fn restore_membership(
         &mut self,
         now: Duration,
         wall_ms: u64,
-        port: &mut dyn Transport,
+        transport: &mut dyn Transport,
         text: &[u8],
     ) -> Result<(), String> {
-        let (roster, told) = Membership::restore(MembershipLimits::default(), now, wall_ms, text)
+        let (membership, change) = Membership::restore(MembershipLimits::default(), now, wall_ms, text)
             .map_err(|error| error.to_string())?;
-        self.roster = roster;
-        self.roster_told(now, port, &told);
+        self.membership = membership;
+        self.apply_membership_change(now, transport, &change);
         Ok(())
     }
 
+    /// The membership as JSON for [`Exchange::restore_membership`], if there is any.
     pub fn membership_snapshot(&self, now: Duration, wall_ms: u64) -> Option<String> {
-        serde_json::to_string(&self.roster.snapshot(now, wall_ms)?).ok()
+        serde_json::to_string(&self.membership.snapshot(now, wall_ms)?).ok()
     }
 
-    // What is shown.
+    // Status and traces.
 
-    /// What became here of a call that an exchange took; of one taken here, where none is named.
+    /// Traces of the part of a call that was handled here. `origin`: the exchange at which the call was offered; `None`: the
+    /// own exchange.
     pub fn traces(&self, origin: Option<u16>, call: u64) -> Vec<CallTrace> {
         match origin.filter(|origin| *origin != self.call_control.own().0) {
             Some(origin) => {
@@ -961,7 +1015,8 @@
     }
 
     pub fn status(&self) -> Value {
-        let CallControlStatus { own, tally, calls, owed, timers, traces, groups } = self.call_control.state();
+        let CallControlStatus { own, tally: counters, calls, owed, timers, traces, groups } =
+            self.call_control.state();
         let groups: Vec<Value> = groups
             .iter()
             .map(|group| {
@@ -977,29 +1032,29 @@
                 })
             })
             .collect();
-        let in_hand = self.admission.gate.greediest(10).into_iter();
+        let busiest = self.admission.gate.greediest(10).into_iter();
         let in_hand: Vec<_> =
-            in_hand.map(|(no, calls)| json!({ "customer": no.0, "calls": calls })).collect();
+            busiest.map(|(customer, calls)| json!({ "customer": customer.0, "calls": calls })).collect();
         json!({
             "exchange": own.0, "calls": calls, "owed": owed, "timers": timers, "traces": traces, "lines": self.lines.len(),
             "admission": { "unanswered": self.admission.unanswered(), "waiting": self.admission.waiting(),
-                "kept_sessions": self.resumable.kept(), "repeats_told": self.repeats.told(),
+                "kept_sessions": self.resumable_sessions.kept(), "repeats_told": self.answer_cache.told(),
                 "in_hand": in_hand },
-            "roster": { "version": self.roster.version(), "entries": self.roster.entries().count(),
-                "turned_down": self.roster.rejected_updates() },
+            "roster": { "version": self.membership.version(), "entries": self.membership.entries().count(),
+                "turned_down": self.membership.rejected_updates() },
             "groups": groups,
             "counts": {
-                "offered": tally.offered, "transit": tally.transit, "seizures": tally.seizures, "stood": tally.stood,
-                "refused": tally.refused, "failed": tally.failed, "cut": tally.cut, "terminated": tally.terminated,
-                "timed_out": tally.timed_out, "dual_seizures": tally.dual_seizures, "yielded": tally.yielded,
-                "releases_repeated": tally.releases_repeated, "resets": tally.resets, "stuck_found": tally.stuck_found,
-                "unexpected": tally.unexpected, "overflow": tally.overflow,
+                "offered": counters.offered, "transit": counters.transit, "seizures": counters.seizures, "stood": counters.stood,
+                "refused": counters.refused, "failed": counters.failed, "cut": counters.cut, "terminated": counters.terminated,
+                "timed_out": counters.timed_out, "dual_seizures": counters.dual_seizures, "yielded": counters.yielded,
+                "releases_repeated": counters.releases_repeated, "resets": counters.resets, "stuck_found": counters.stuck_found,
+                "unexpected": counters.unexpected, "overflow": counters.overflow,
             },
         })
     }
 }
 
-/// A trace as it is told: times in milliseconds since its first step.
+/// The JSON form of a trace, with times in milliseconds since its first step.
 fn trace_json(trace: &Trace) -> CallTrace {
     let first = trace.steps.first().map_or(Duration::ZERO, |(at, _)| *at);
     let steps = trace.steps.iter().map(|(at, step)| {
@@ -1042,7 +1097,7 @@
     }
 }
 
-/// A call as its subscriber's message asks for it.
+/// The call request of an offer.
 pub fn call_request(offer: &Offer) -> CallRequest {
     CallRequest {
         call_type: CallType(offer.call_type),
@@ -1074,7 +1129,8 @@
     }
 }
 
-/// A report in the thousandths that the signalling carries; what is no figure is not told.
+/// A processor report with the rate in the thousandths that the signalling carries. A rate that is not a finite number of
+/// at least 0 is left out.
 pub fn processor_report(rate: Option<f64>) -> ProcessorReport {
     let rate = rate.filter(|rate| rate.is_finite() && *rate >= 0.0);
     ProcessorReport { rate_milli: rate.map(|rate| (rate * 1e3).min(f64::from(u32::MAX)) as u32) }
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -44,54 +44,54 @@
 const CLOCK_START: Duration = Duration::from_secs(3600);
 /// An orderly stop gives calls that wait for an answer so long, those in transit too. A call whose caller would wait
 /// longer than that fails then, before its caller's time.
-const STOP_WITHIN: Duration = Duration::from_secs(30);
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 /// After the last call is let go, what is still to be written and to be completed by far ends that can be reached gets
 /// this long. T1 is longer: a far end that does not answer in this time is left to its own timers.
-const LET_GO_WITHIN: Duration = Duration::from_secs(2);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Connections that have not said which exchange they are.
-const MOST_STRANGERS: usize = 64;
-const STRANGER_FOR: Duration = Duration::from_secs(5);
-const MOST_ADMINS: usize = 64;
+const MAX_UNIDENTIFIED_CONNECTIONS: usize = 64;
+const IDENTIFICATION_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_ADMIN_CONNECTIONS: usize = 64;
 /// Connections accepted before others are served again: an accept storm must not keep those that are open waiting.
-const ACCEPT_AT_ONCE: usize = 64;
+const MAX_ACCEPTS_AT_ONCE: usize = 64;
 /// A reconnect waits a draw from half of this, doubled with each failure up to the last.
-const REDIAL_FIRST: Duration = Duration::from_millis(100);
-const REDIAL_LAST: Duration = Duration::from_secs(5);
-const LONGEST_ADMIN_TEXT: usize = 4096;
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(5);
+const MAX_ADMIN_MESSAGE_OCTETS: usize = 4096;
 
 const SIGNALS: Token = Token(0);
-const LINKS_IN: Token = Token(1);
-const LINES_IN: Token = Token(2);
-const ADMINS_IN: Token = Token(3);
-const CALLS_IN: Token = Token(4);
+const LINK_LISTENER: Token = Token(1);
+const LINE_LISTENER: Token = Token(2);
+const ADMIN_LISTENER: Token = Token(3);
+const CALL_LISTENER: Token = Token(4);
 const FIRST_CONNECTION: usize = 16;
 
 /// What a connection is for.
 enum Purpose {
-    /// Dialled, not connected yet.
-    Dialling(Dialled),
+    /// ConnectTarget, not connected yet.
+    Connecting(ConnectTarget),
     Link(ExchangeNumber),
     /// Came in on the signalling port and has not said who it is.
-    Stranger {
+    Unidentified {
         deframer: Deframer,
         octets: Vec<u8>,
     },
     Line(LineId),
     /// Came in for calls, its handshake not whole yet.
-    Knocking(ServerHandshake),
+    Handshake(ServerHandshake),
     /// A line over WebSocket.
-    Calls {
+    WebSocket {
         line: LineId,
-        end: Box<WebSocketConnection>,
+        socket: Box<WebSocketConnection>,
     },
     /// Told why it is closed; it goes once that is written.
-    Leaving,
+    Closing,
     Directory,
     Admin(LineDecoder),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Dialled {
+enum ConnectTarget {
     Link(ExchangeNumber),
     Directory,
 }
@@ -99,21 +99,21 @@
 struct Connection {
     stream: TcpStream,
     purpose: Purpose,
-    out: OutputBuffer,
-    /// Whether it is registered for writing too.
-    writing: Writing,
+    output: OutputBuffer,
+    /// Whether it is registered for write_state too.
+    write_state: WriteState,
     /// It goes once what waits is written.
-    leaving: bool,
+    close_after_flush: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Writing {
+enum WriteState {
     Idle,
-    Waits,
+    Blocked,
 }
 
-/// Who is dialled, where, and when next.
-struct Redial {
+/// Who is target, where, and when next.
+struct Reconnect {
     to: SocketAddr,
     failures: u32,
     due: Option<Instant>,
@@ -122,20 +122,20 @@
 /// All connections; what the exchange acts through.
 struct Connections {
     poll: Poll,
-    connections: BTreeMap<Token, Connection>,
+    by_token: BTreeMap<Token, Connection>,
     links: BTreeMap<ExchangeNumber, Token>,
     lines: BTreeMap<LineId, Token>,
     directory: Option<Token>,
     /// Who has not said which exchange it is; clients over WebSocket.
-    strangers: ConnectionMonitor<Token>,
+    unidentified: ConnectionMonitor<Token>,
     clients: ConnectionMonitor<Token>,
-    admins: usize,
-    most_unread: usize,
+    admin_connections: usize,
+    max_unread_octets: usize,
     started: Instant,
     /// Connections with something to write, and those to be closed, with the reason.
-    dirty: Vec<Token>,
-    closing: VecDeque<(Token, String)>,
-    next: usize,
+    unflushed: Vec<Token>,
+    to_close: VecDeque<(Token, String)>,
+    next_token: usize,
 }
 
 impl Connections {
@@ -144,89 +144,89 @@
     }
 
     fn push(&mut self, token: Option<Token>, parts: &[&[u8]]) {
-        let Some((token, connection)) =
-            token.and_then(|token| Some((token, self.connections.get_mut(&token)?)))
+        let Some((token, connection)) = token.and_then(|token| Some((token, self.by_token.get_mut(&token)?)))
         else {
             return;
         };
-        parts.iter().for_each(|part| connection.out.push(part));
-        self.dirty.push(token);
+        parts.iter().for_each(|part| connection.output.push(part));
+        self.unflushed.push(token);
     }
 
     fn close(&mut self, token: Option<Token>, why: &str) {
-        self.closing.extend(token.map(|token| (token, why.to_string())));
+        self.to_close.extend(token.map(|token| (token, why.to_string())));
     }
 
     /// What a WebSocket end has to write is written, and the connection goes once it has ended.
-    fn pump(&mut self, token: Token) {
+    fn transfer_websocket_output(&mut self, token: Token) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(&token) else { return };
-        let Purpose::Calls { end, .. } = &mut connection.purpose else { return };
-        let out = std::mem::take(end.out());
-        match end.ended().is_some() || end.closing() && !connection.out.last_pushed() {
-            true => connection.out.push_last(&out),
-            false => connection.out.push(&out),
-        }
-        if connection.out.overrun() {
-            end.close(close::POLICY, "reads too slowly");
-            connection.out.push_last(end.out());
-            end.out().clear();
-        }
-        if end.closing() {
+        let Some(connection) = self.by_token.get_mut(&token) else { return };
+        let Purpose::WebSocket { socket, .. } = &mut connection.purpose else { return };
+        let out = std::mem::take(socket.out());
+        match socket.ended().is_some() || socket.closing() && !connection.output.last_pushed() {
+            true => connection.output.push_last(&out),
+            false => connection.output.push(&out),
+        }
+        if connection.output.overrun() {
+            socket.close(close::POLICY, "reads too slowly");
+            connection.output.push_last(socket.out());
+            socket.out().clear();
+        }
+        if socket.closing() {
             self.clients.closing(now, token);
         }
-        if end.ended().is_some() {
-            self.leave(token);
+        if socket.ended().is_some() {
+            self.close_after_flush(token);
         }
-        self.dirty.push(token);
+        self.unflushed.push(token);
     }
 
     /// The connection goes once what waits is written; nothing is read any more.
-    fn leave(&mut self, token: Token) {
+    fn close_after_flush(&mut self, token: Token) {
         let now = self.now();
         self.clients.closing(now, token);
-        let Some(connection) = self.connections.get_mut(&token) else { return };
-        connection.leaving = true;
-        self.dirty.push(token);
+        let Some(connection) = self.by_token.get_mut(&token) else { return };
+        connection.close_after_flush = true;
+        self.unflushed.push(token);
     }
 
     fn add(&mut self, mut stream: TcpStream, purpose: Purpose) -> io::Result<Token> {
-        let token = Token(self.next);
-        self.next += 1;
+        let token = Token(self.next_token);
+        self.next_token += 1;
         // Small messages must not wait for each other; where it can't be set, they do.
         let _ = stream.set_nodelay(true);
-        let dialling = matches!(purpose, Purpose::Dialling(_));
-        let interest = if dialling { Interest::WRITABLE } else { Interest::READABLE };
+        let connecting = matches!(purpose, Purpose::Connecting(_));
+        let interest = if connecting { Interest::WRITABLE } else { Interest::READABLE };
         self.poll.registry().register(&mut stream, token, interest)?;
-        let writing = Writing::Idle;
-        let out = match purpose {
-            Purpose::Knocking(_) => OutputBuffer::new(self.most_unread),
+        let write_state = WriteState::Idle;
+        let output = match purpose {
+            Purpose::Handshake(_) => OutputBuffer::new(self.max_unread_octets),
             _ => OutputBuffer::default(),
         };
-        self.admins += usize::from(matches!(purpose, Purpose::Admin(_)));
-        self.connections.insert(token, Connection { stream, purpose, out, writing, leaving: false });
+        self.admin_connections += usize::from(matches!(purpose, Purpose::Admin(_)));
+        self.by_token
+            .insert(token, Connection { stream, purpose, output, write_state, close_after_flush: false });
         Ok(token)
     }
 
     /// Writes what waits, and has the rest waited for.
     fn flush(&mut self, token: Token) {
-        let Some(connection) = self.connections.get_mut(&token) else { return };
-        if matches!(connection.purpose, Purpose::Dialling(_)) {
+        let Some(connection) = self.by_token.get_mut(&token) else { return };
+        if matches!(connection.purpose, Purpose::Connecting(_)) {
             return;
         }
-        if connection.out.overrun() {
+        if connection.output.overrun() {
             return self.close(Some(token), "reads too slowly");
         }
-        let writing = match connection.out.write_to(&mut connection.stream) {
-            Ok(true) if connection.leaving => return self.close(Some(token), "told to go"),
-            Ok(true) => Writing::Idle,
-            Ok(false) => Writing::Waits,
+        let write_state = match connection.output.write_to(&mut connection.stream) {
+            Ok(true) if connection.close_after_flush => return self.close(Some(token), "told to go"),
+            Ok(true) => WriteState::Idle,
+            Ok(false) => WriteState::Blocked,
             Err(error) => return self.close(Some(token), &error.to_string()),
         };
-        if std::mem::replace(&mut connection.writing, writing) != writing {
-            let interest = match writing {
-                Writing::Idle => Interest::READABLE,
-                Writing::Waits => Interest::READABLE | Interest::WRITABLE,
+        if std::mem::replace(&mut connection.write_state, write_state) != write_state {
+            let interest = match write_state {
+                WriteState::Idle => Interest::READABLE,
+                WriteState::Blocked => Interest::READABLE | Interest::WRITABLE,
             };
             if let Err(error) = self.poll.registry().reregister(&mut connection.stream, token, interest) {
                 self.close(Some(token), &error.to_string());
@@ -235,13 +235,13 @@
     }
 
     fn flush_all(&mut self) {
-        let mut dirty = std::mem::take(&mut self.dirty);
-        dirty.sort_unstable();
-        dirty.dedup();
-        dirty.drain(..).for_each(|token| self.flush(token));
+        let mut unflushed = std::mem::take(&mut self.unflushed);
+        unflushed.sort_unstable();
+        unflushed.dedup();
+        unflushed.drain(..).for_each(|token| self.flush(token));
         // Kept for its room.
-        if self.dirty.is_empty() {
-            self.dirty = dirty;
+        if self.unflushed.is_empty() {
+            self.unflushed = unflushed;
         }
     }
 }
@@ -255,28 +255,28 @@
     }
     fn send_to_line(&mut self, line: LineId, text: &str) {
         let Some(token) = self.lines.get(&line).copied() else { return };
-        match self.connections.get_mut(&token).map(|connection| &mut connection.purpose) {
-            Some(Purpose::Calls { end, .. }) => {
-                end.send_text(text);
-                self.pump(token);
+        match self.by_token.get_mut(&token).map(|connection| &mut connection.purpose) {
+            Some(Purpose::WebSocket { socket, .. }) => {
+                socket.send_text(text);
+                self.transfer_websocket_output(token);
             }
             _ => self.push(Some(token), &[text.as_bytes(), b"\n"]),
         }
     }
     fn close_line(&mut self, line: LineId, why: &str) {
         let Some(token) = self.lines.get(&line).copied() else { return };
-        match self.connections.get_mut(&token).map(|connection| &mut connection.purpose) {
-            Some(Purpose::Calls { end, .. }) => {
-                end.close(close::POLICY, why);
-                self.pump(token);
+        match self.by_token.get_mut(&token).map(|connection| &mut connection.purpose) {
+            Some(Purpose::WebSocket { socket, .. }) => {
+                socket.close(close::POLICY, why);
+                self.transfer_websocket_output(token);
             }
             _ => self.close(Some(token), why),
         }
     }
     fn has_room(&self, line: LineId) -> bool {
         const ROOM: usize = 64 << 10;
-        let connection = self.lines.get(&line).and_then(|token| self.connections.get(token));
-        connection.is_some_and(|connection| connection.out.waiting() < ROOM)
+        let connection = self.lines.get(&line).and_then(|token| self.by_token.get(token));
+        connection.is_some_and(|connection| connection.output.waiting() < ROOM)
     }
     fn send_to_directory(&mut self, text: &str) {
         self.push(self.directory, &[text.as_bytes(), b"\n"]);
@@ -298,22 +298,22 @@
 /// A controller with its sockets.
 pub struct Server {
     exchange: Exchange,
-    wires: Connections,
+    connections: Connections,
     signals: Signals,
-    links_in: Option<TcpListener>,
-    lines_in: Option<TcpListener>,
-    admins_in: Option<TcpListener>,
-    calls_in: Option<TcpListener>,
+    link_listener: Option<TcpListener>,
+    line_listener: Option<TcpListener>,
+    admin_listener: Option<TcpListener>,
+    call_listener: Option<TcpListener>,
     /// Pages that may ask for calls.
     origins: BTreeSet<String>,
     /// Listeners with more to accept than was accepted in one turn.
     accepting: BTreeSet<Token>,
-    redials: BTreeMap<Dialled, Redial>,
-    keep: Option<PathBuf>,
-    tokens: Option<PathBuf>,
-    stopping: Option<Instant>,
+    reconnects: BTreeMap<ConnectTarget, Reconnect>,
+    membership_file: Option<PathBuf>,
+    token_file: Option<PathBuf>,
+    stopping_since: Option<Instant>,
     /// Since when nothing is left but releases to be completed.
-    let_go: Option<Instant>,
+    all_released_at: Option<Instant>,
     /// Read buffer, kept for its room.
     buffer: Vec<u8>,
 }
@@ -341,78 +341,79 @@
         let poll = Poll::new().map_err(ServerError::Poll)?;
         let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(ServerError::Poll)?;
         poll.registry().register(&mut signals, SIGNALS, Interest::READABLE).map_err(ServerError::Poll)?;
-        let links_in = listener(&poll, "signalling.listen", config.signalling.listen, LINKS_IN)?;
-        let lines_in = listener(&poll, "subscribers.listen", config.subscribers.listen, LINES_IN)?;
-        let admins_in =
-            listener(&poll, "admin.listen", config.admin.as_ref().map(|admin| admin.listen), ADMINS_IN)?;
-        let calls_in = listener(&poll, "calls.listen", config.calls.listen, CALLS_IN)?;
-        let strangers = ConnectionTimeouts {
-            handshake_timeout: STRANGER_FOR,
-            max_handshakes: MOST_STRANGERS,
+        let link_listener = listener(&poll, "signalling.listen", config.signalling.listen, LINK_LISTENER)?;
+        let line_listener = listener(&poll, "subscribers.listen", config.subscribers.listen, LINE_LISTENER)?;
+        let admin_listener =
+            listener(&poll, "admin.listen", config.admin.as_ref().map(|admin| admin.listen), ADMIN_LISTENER)?;
+        let call_listener = listener(&poll, "calls.listen", config.calls.listen, CALL_LISTENER)?;
+        let unidentified = ConnectionTimeouts {
+            handshake_timeout: IDENTIFICATION_TIMEOUT,
+            max_handshakes: MAX_UNIDENTIFIED_CONNECTIONS,
             ..ConnectionTimeouts::default()
         };
         let now = Instant::now();
-        let redial = |to| Redial { to, failures: 0, due: Some(now) };
+        let reconnect = |to| Reconnect { to, failures: 0, due: Some(now) };
         let links = config.signalling.links.iter();
-        let links =
-            links.filter_map(|link| Some((Dialled::Link(ExchangeNumber(link.to)), redial(link.connect?))));
+        let links = links.filter_map(|link| {
+            Some((ConnectTarget::Link(ExchangeNumber(link.to)), reconnect(link.connect?)))
+        });
         let directory =
-            config.directory.iter().map(|directory| (Dialled::Directory, redial(directory.connect)));
+            config.directory.iter().map(|directory| (ConnectTarget::Directory, reconnect(directory.connect)));
         // Milliseconds since 2020 as the number of this start: it grows, and fits for a century.
         let incarnation = wall_ms().saturating_sub(1_577_836_800_000);
         let seed = config.seed.unwrap_or_else(|| rand::rng().random());
         let mut server = Self {
             exchange: Exchange::new(CLOCK_START, config, incarnation, seed),
-            wires: Connections {
+            connections: Connections {
                 poll,
-                connections: BTreeMap::new(),
+                by_token: BTreeMap::new(),
                 links: BTreeMap::new(),
                 lines: BTreeMap::new(),
                 directory: None,
-                strangers: ConnectionMonitor::new(strangers),
+                unidentified: ConnectionMonitor::new(unidentified),
                 clients: ConnectionMonitor::new(config.calls.connection_timeouts()),
-                admins: 0,
-                most_unread: config.calls.most_unread,
+                admin_connections: 0,
+                max_unread_octets: config.calls.most_unread,
                 started: now,
-                dirty: Vec::new(),
-                closing: VecDeque::new(),
-                next: FIRST_CONNECTION,
+                unflushed: Vec::new(),
+                to_close: VecDeque::new(),
+                next_token: FIRST_CONNECTION,
             },
             signals,
-            links_in,
-            lines_in,
-            admins_in,
-            calls_in,
+            link_listener,
+            line_listener,
+            admin_listener,
+            call_listener,
             origins: config.calls.origins.clone(),
             accepting: BTreeSet::new(),
-            redials: links.chain(directory).collect(),
-            keep: config.directory.as_ref().and_then(|directory| directory.keep.clone()),
-            tokens: config.tokens.clone(),
-            stopping: None,
-            let_go: None,
+            reconnects: links.chain(directory).collect(),
+            membership_file: config.directory.as_ref().and_then(|directory| directory.keep.clone()),
+            token_file: config.tokens.clone(),
+            stopping_since: None,
+            all_released_at: None,
             buffer: vec![0; 64 << 10],
         };
         if let Some(path) = &config.tokens {
             server.exchange.set_tokens(read_tokens(path)?);
         }
-        server.first_roster(config);
+        server.load_membership(config);
         Ok(server)
     }
 
     /// Where the subscriber lines and the admin port ended up, where they were left to the machine.
     pub fn addresses(&self) -> ListenAddresses {
         let [signalling, subscribers, calls, admin] =
-            [&self.links_in, &self.lines_in, &self.calls_in, &self.admins_in]
+            [&self.link_listener, &self.line_listener, &self.call_listener, &self.admin_listener]
                 .map(|listener| listener.as_ref().and_then(|listener| listener.local_addr().ok()));
         ListenAddresses { signalling, subscribers, calls, admin }
     }
 
     fn now(&self) -> Duration {
-        self.wires.now()
+        self.connections.now()
     }
 
     /// The roster of the last time, or all that the configuration links to where no directory speaks.
-    fn first_roster(&mut self, config: &Config) {
+    fn load_membership(&mut self, config: &Config) {
         let now = self.now();
         if config.directory.is_none() {
             let all = config.signalling.links.iter().map(|link| link.to).chain([config.exchange]);
@@ -430,18 +431,20 @@
             };
             self.exchange.on_directory_notification(
                 now,
-                &mut self.wires,
+                &mut self.connections,
                 &mintstall_membership::DirectoryNotification::Membership(news),
             );
         }
-        let Some(path) = &self.keep else { return };
+        let Some(path) = &self.membership_file else { return };
         match std::fs::read(path) {
-            Ok(text) => match self.exchange.restore_membership(now, wall_ms(), &mut self.wires, &text) {
-                Ok(()) => info!(target: LOG_TARGET, path = %path.display(), "roster of before taken"),
-                Err(error) => {
-                    warn!(target: LOG_TARGET, path = %path.display(), "{error}; waiting for the directory")
+            Ok(text) => {
+                match self.exchange.restore_membership(now, wall_ms(), &mut self.connections, &text) {
+                    Ok(()) => info!(target: LOG_TARGET, path = %path.display(), "roster of before taken"),
+                    Err(error) => {
+                        warn!(target: LOG_TARGET, path = %path.display(), "{error}; waiting for the directory")
+                    }
                 }
-            },
+            }
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
             Err(error) => {
                 warn!(target: LOG_TARGET, path = %path.display(), "{error}; waiting for the directory")
@@ -453,40 +456,42 @@
     pub fn run(mut self) -> Result<(), ServerError> {
         let mut events = Events::with_capacity(1024);
         loop {
-            let wait = self.wait();
-            match self.wires.poll.poll(&mut events, wait) {
+            let wait = self.poll_timeout();
+            match self.connections.poll.poll(&mut events, wait) {
                 Ok(()) => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(ServerError::Poll(error)),
             }
             for event in &events {
                 match event.token() {
-                    SIGNALS => self.signalled(),
-                    on @ (LINKS_IN | LINES_IN | ADMINS_IN | CALLS_IN) => _ = self.accepting.insert(on),
-                    token => self.ready(token, event.is_readable(), event.is_writable()),
+                    SIGNALS => self.on_signals(),
+                    on @ (LINK_LISTENER | LINE_LISTENER | ADMIN_LISTENER | CALL_LISTENER) => {
+                        _ = self.accepting.insert(on)
+                    }
+                    token => self.on_ready(token, event.is_readable(), event.is_writable()),
                 }
             }
             let accepting = std::mem::take(&mut self.accepting);
             accepting.into_iter().for_each(|on| self.accept(on));
             let now = self.now();
-            self.exchange.on_timer(now, &mut self.wires);
-            self.redial();
-            self.look_after_clients(now);
-            self.settle();
+            self.exchange.on_timer(now, &mut self.connections);
+            self.start_due_connects();
+            self.check_connection_timeouts(now);
+            self.flush_and_close();
             if self.stopped() {
                 return Ok(());
             }
         }
     }
 
-    fn wait(&self) -> Option<Duration> {
+    fn poll_timeout(&self) -> Option<Duration> {
         let now = self.now();
         let alarm = self.exchange.next_timer().map(|at| at.saturating_sub(now));
-        let dial = self.redials.values().filter_map(|redial| redial.due).min();
+        let dial = self.reconnects.values().filter_map(|reconnect| reconnect.due).min();
         let dial = dial.map(|due| due.saturating_duration_since(Instant::now()));
-        let vigils = [self.wires.strangers.next_timer(), self.wires.clients.next_timer()];
+        let vigils = [self.connections.unidentified.next_timer(), self.connections.clients.next_timer()];
         let vigil = vigils.into_iter().flatten().min().map(|at| at.saturating_sub(now));
-        let stopping = self.stopping.map(|_| Duration::from_millis(20));
+        let stopping = self.stopping_since.map(|_| Duration::from_millis(20));
         let accepting = (!self.accepting.is_empty()).then_some(Duration::ZERO);
         let all = [alarm, dial, vigil, stopping, accepting];
         // Rounded up: the machine's clock wakes a shade early otherwise, and finds nothing due.
@@ -494,30 +499,30 @@
     }
 
     /// Writes and closes until neither leaves anything to do.
-    fn settle(&mut self) {
-        self.wires.flush_all();
-        while let Some((token, why)) = self.wires.closing.pop_front() {
-            self.gone(token, &why);
-            self.wires.flush_all();
+    fn flush_and_close(&mut self) {
+        self.connections.flush_all();
+        while let Some((token, why)) = self.connections.to_close.pop_front() {
+            self.on_closed(token, &why);
+            self.connections.flush_all();
         }
     }
 
-    fn signalled(&mut self) {
+    fn on_signals(&mut self) {
         let signals: Vec<_> = self.signals.pending().collect();
         if signals.contains(&SIGHUP) {
             self.read_tokens();
         }
-        if signals.iter().any(|signal| *signal != SIGHUP) && self.stopping.is_none() {
+        if signals.iter().any(|signal| *signal != SIGHUP) && self.stopping_since.is_none() {
             info!(target: LOG_TARGET, "stopping: no new calls, {} in hand", self.exchange.call_control.state().calls);
-            self.exchange.stop(&mut self.wires);
-            self.stopping = Some(Instant::now());
-            (self.links_in, self.lines_in, self.calls_in) = (None, None, None);
+            self.exchange.stop(&mut self.connections);
+            self.stopping_since = Some(Instant::now());
+            (self.link_listener, self.line_listener, self.call_listener) = (None, None, None);
         }
     }
 
     /// The tokens as their file has them now; a file that makes no sense leaves those in force.
     fn read_tokens(&mut self) {
-        let Some(path) = &self.tokens else { return };
+        let Some(path) = &self.token_file else { return };
         match read_tokens(path) {
             Ok(tokens) => {
                 info!(target: LOG_TARGET, path = %path.display(), "tokens read");
@@ -529,51 +534,51 @@
 
     /// Whether all that was taken is answered, let go, completed and written.
     fn stopped(&mut self) -> bool {
-        let Some(since) = self.stopping else { return false };
-        let Some(let_go) = self.let_go else {
-            if !self.exchange.call_control.has_unanswered_calls() || since.elapsed() >= STOP_WITHIN {
-                self.let_all_go();
+        let Some(since) = self.stopping_since else { return false };
+        let Some(all_released_at) = self.all_released_at else {
+            if !self.exchange.call_control.has_unanswered_calls() || since.elapsed() >= STOP_TIMEOUT {
+                self.release_all();
             }
             return false;
         };
-        let written = self.wires.connections.values().all(|connection| connection.out.waiting() == 0);
+        let written = self.connections.by_token.values().all(|connection| connection.output.waiting() == 0);
         let released = !self.exchange.call_control.awaits_release();
-        if !(written && released) && let_go.elapsed() < LET_GO_WITHIN {
+        if !(written && released) && all_released_at.elapsed() < RELEASE_TIMEOUT {
             return false;
         }
         info!(target: LOG_TARGET, written, released, "stopped");
         true
     }
 
-    fn let_all_go(&mut self) {
-        self.let_go = Some(Instant::now());
+    fn release_all(&mut self) {
+        self.all_released_at = Some(Instant::now());
         let now = self.now();
-        self.exchange.release_all(now, &mut self.wires);
-        let clients: Vec<Token> = self.wires.lines.values().copied().collect();
+        self.exchange.release_all(now, &mut self.connections);
+        let clients: Vec<Token> = self.connections.lines.values().copied().collect();
         for token in clients {
-            if let Some(Purpose::Calls { end, .. }) =
-                self.wires.connections.get_mut(&token).map(|connection| &mut connection.purpose)
+            if let Some(Purpose::WebSocket { socket, .. }) =
+                self.connections.by_token.get_mut(&token).map(|connection| &mut connection.purpose)
             {
-                end.close(close::GOING_AWAY, "the controller stops");
-                self.wires.pump(token);
+                socket.close(close::GOING_AWAY, "the controller stops");
+                self.connections.transfer_websocket_output(token);
             }
         }
-        self.settle();
+        self.flush_and_close();
     }
 
     fn accept(&mut self, on: Token) {
-        for _ in 0..ACCEPT_AT_ONCE {
+        for _ in 0..MAX_ACCEPTS_AT_ONCE {
             let listener = match on {
-                LINKS_IN => &self.links_in,
-                LINES_IN => &self.lines_in,
-                CALLS_IN => &self.calls_in,
-                _ => &self.admins_in,
+                LINK_LISTENER => &self.link_listener,
+                LINE_LISTENER => &self.line_listener,
+                CALL_LISTENER => &self.call_listener,
+                _ => &self.admin_listener,
             };
             let Some(Ok((stream, from))) = listener.as_ref().map(TcpListener::accept) else { return };
             let purpose = match on {
-                LINKS_IN => Purpose::Stranger { deframer: Deframer::default(), octets: Vec::new() },
-                CALLS_IN => Purpose::Knocking(ServerHandshake::default()),
-                LINES_IN => match self.exchange.line_open(self.now()) {
+                LINK_LISTENER => Purpose::Unidentified { deframer: Deframer::default(), octets: Vec::new() },
+                CALL_LISTENER => Purpose::Handshake(ServerHandshake::default()),
+                LINE_LISTENER => match self.exchange.line_open(self.now()) {
                     Ok(line) => Purpose::Line(line),
                     Err(why) => {
                         debug!(target: LOG_TARGET, %from, "line turned away: {why}");
@@ -582,17 +587,17 @@
                         continue;
                     }
                 },
-                _ if self.wires.admins >= MOST_ADMINS => {
-                    warn!(target: LOG_TARGET, %from, "connection turned away: {MOST_ADMINS} there already");
+                _ if self.connections.admin_connections >= MAX_ADMIN_CONNECTIONS => {
+                    warn!(target: LOG_TARGET, %from, "connection turned away: {MAX_ADMIN_CONNECTIONS} there already");
                     continue;
                 }
-                _ => Purpose::Admin(LineDecoder::new(LONGEST_ADMIN_TEXT)),
+                _ => Purpose::Admin(LineDecoder::new(MAX_ADMIN_MESSAGE_OCTETS)),
             };
             let line = match purpose {
                 Purpose::Line(line) => Some(line),
                 _ => None,
             };
-            let token = match self.wires.add(stream, purpose) {
+            let token = match self.connections.add(stream, purpose) {
                 Ok(token) => token,
                 Err(error) => {
                     warn!(target: LOG_TARGET, %from, "connection can't be watched: {error}");
@@ -600,135 +605,137 @@
                 }
             };
             if let Some(line) = line {
-                self.wires.lines.insert(line, token);
+                self.connections.lines.insert(line, token);
                 debug!(target: LOG_TARGET, %from, line = line.0, "line open");
             }
             let now = self.now();
             let came = match on {
-                LINKS_IN => self.wires.strangers.came(now, token),
-                CALLS_IN => self.wires.clients.came(now, token),
+                LINK_LISTENER => self.connections.unidentified.came(now, token),
+                CALL_LISTENER => self.connections.clients.came(now, token),
                 _ => Ok(()),
             };
             if let Err(why) = came {
                 debug!(target: LOG_TARGET, %from, "connection turned away: {why}");
-                if on == CALLS_IN {
+                if on == CALL_LISTENER {
                     let busy = HandshakeRejection {
                         retry_after_s: Some(1),
                         ..HandshakeRejection::new(503, why.to_string())
                     };
-                    self.wires.push(Some(token), &[&busy.octets()]);
-                    self.wires.flush(token);
+                    self.connections.push(Some(token), &[&busy.octets()]);
+                    self.connections.flush(token);
                 }
-                self.wires.close(Some(token), &why.to_string());
+                self.connections.close(Some(token), &why.to_string());
             }
         }
         self.accepting.insert(on);
     }
 
     /// Connections that never say who they are, clients that fall silent or do not close.
-    fn look_after_clients(&mut self, now: Duration) {
-        let mut due = self.wires.strangers.on_timer(now);
-        due.extend(self.wires.clients.on_timer(now));
+    fn check_connection_timeouts(&mut self, now: Duration) {
+        let mut due = self.connections.unidentified.on_timer(now);
+        due.extend(self.connections.clients.on_timer(now));
         for due in due {
             match due {
-                MonitorAction::Drop(token, lapse) => self.wires.close(Some(token), &lapse.to_string()),
+                MonitorAction::Drop(token, lapse) => self.connections.close(Some(token), &lapse.to_string()),
                 MonitorAction::Ping(token) => {
-                    if let Some(Purpose::Calls { end, .. }) =
-                        self.wires.connections.get_mut(&token).map(|connection| &mut connection.purpose)
+                    if let Some(Purpose::WebSocket { socket, .. }) =
+                        self.connections.by_token.get_mut(&token).map(|connection| &mut connection.purpose)
                     {
-                        end.ping();
-                        self.wires.pump(token);
+                        socket.ping();
+                        self.connections.transfer_websocket_output(token);
                     }
                 }
             }
         }
     }
 
-    fn redial(&mut self) {
+    fn start_due_connects(&mut self) {
         let now = Instant::now();
-        let due = self.redials.iter_mut().filter(|(_, redial)| redial.due.is_some_and(|due| due <= now));
+        let due =
+            self.reconnects.iter_mut().filter(|(_, reconnect)| reconnect.due.is_some_and(|due| due <= now));
         let due: Vec<_> =
-            due.map(|(dialled, redial)| (*dialled, redial.due.take().map(|_| redial.to))).collect();
-        for (dialled, to) in due {
+            due.map(|(target, reconnect)| (*target, reconnect.due.take().map(|_| reconnect.to))).collect();
+        for (target, to) in due {
             let Some(to) = to else { continue };
-            let tried =
-                TcpStream::connect(to).and_then(|stream| self.wires.add(stream, Purpose::Dialling(dialled)));
+            let tried = TcpStream::connect(to)
+                .and_then(|stream| self.connections.add(stream, Purpose::Connecting(target)));
             if let Err(error) = tried {
-                debug!(target: LOG_TARGET, ?dialled, %to, "can't connect: {error}");
-                self.redial_later(dialled);
+                debug!(target: LOG_TARGET, dialled = ?target, %to, "can't connect: {error}");
+                self.schedule_reconnect(target);
             }
         }
     }
 
-    fn redial_later(&mut self, dialled: Dialled) {
-        if let Some(redial) = self.redials.get_mut(&dialled) {
-            let span = REDIAL_FIRST.saturating_mul(1 << redial.failures.min(8)).min(REDIAL_LAST);
-            redial.failures = redial.failures.saturating_add(1);
-            redial.due = Some(Instant::now() + span.mul_f64(rand::rng().random_range(0.5..1.0)));
+    fn schedule_reconnect(&mut self, target: ConnectTarget) {
+        if let Some(reconnect) = self.reconnects.get_mut(&target) {
+            let span =
+                MIN_RECONNECT_DELAY.saturating_mul(1 << reconnect.failures.min(8)).min(MAX_RECONNECT_DELAY);
+            reconnect.failures = reconnect.failures.saturating_add(1);
+            reconnect.due = Some(Instant::now() + span.mul_f64(rand::rng().random_range(0.5..1.0)));
         }
     }
 
-    fn ready(&mut self, token: Token, readable: bool, writable: bool) {
-        let Some(connection) = self.wires.connections.get_mut(&token) else { return };
-        if let Purpose::Dialling(dialled) = connection.purpose {
-            return self.dialled(token, dialled);
+    fn on_ready(&mut self, token: Token, readable: bool, writable: bool) {
+        let Some(connection) = self.connections.by_token.get_mut(&token) else { return };
+        if let Purpose::Connecting(target) = connection.purpose {
+            return self.on_connect_finished(token, target);
         }
         if writable {
-            self.wires.flush(token);
+            self.connections.flush(token);
         }
         if readable {
             self.read(token);
         }
     }
 
-    /// A connection that was dialled is there, or has failed.
-    fn dialled(&mut self, token: Token, dialled: Dialled) {
-        let Some(connection) = self.wires.connections.get_mut(&token) else { return };
+    /// A connection that was target is there, or has failed.
+    fn on_connect_finished(&mut self, token: Token, target: ConnectTarget) {
+        let Some(connection) = self.connections.by_token.get_mut(&token) else { return };
         let error = connection.stream.take_error().ok().flatten();
         if error.is_some() || connection.stream.peer_addr().is_err() {
             if error.is_some() {
-                self.wires.close(Some(token), "can't connect");
+                self.connections.close(Some(token), "can't connect");
             }
             return;
         }
-        connection.purpose = match dialled {
-            Dialled::Link(to) => Purpose::Link(to),
-            Dialled::Directory => Purpose::Directory,
+        connection.purpose = match target {
+            ConnectTarget::Link(to) => Purpose::Link(to),
+            ConnectTarget::Directory => Purpose::Directory,
         };
         if let Err(error) =
-            self.wires.poll.registry().reregister(&mut connection.stream, token, Interest::READABLE)
+            self.connections.poll.registry().reregister(&mut connection.stream, token, Interest::READABLE)
         {
-            return self.wires.close(Some(token), &error.to_string());
+            return self.connections.close(Some(token), &error.to_string());
         }
-        match dialled {
-            Dialled::Link(to) => self.link_open(token, to),
-            Dialled::Directory => {
-                self.wires.directory = Some(token);
+        match target {
+            ConnectTarget::Link(to) => self.on_link_connected(token, to),
+            ConnectTarget::Directory => {
+                self.connections.directory = Some(token);
                 info!(target: LOG_TARGET, "directory connected");
-                self.exchange.directory_open(&mut self.wires);
+                self.exchange.directory_connected(&mut self.connections);
             }
         }
     }
 
-    fn link_open(&mut self, token: Token, to: ExchangeNumber) {
+    fn on_link_connected(&mut self, token: Token, to: ExchangeNumber) {
         let now = self.now();
         // The far end may come back before its old connection is known to be dead.
-        if let Some(before) = self.wires.links.insert(to, token) {
-            self.exchange.link_down(now, &mut self.wires, to);
-            self.wires.close(Some(before), "replaced by a newer connection");
+        if let Some(before) = self.connections.links.insert(to, token) {
+            self.exchange.link_down(now, &mut self.connections, to);
+            self.connections.close(Some(before), "replaced by a newer connection");
         }
-        self.exchange.link_up(now, &mut self.wires, to);
+        self.exchange.link_up(now, &mut self.connections, to);
     }
 
     fn read(&mut self, token: Token) {
         // Bounded, so that one connection that never pauses does not keep the others waiting.
         for _ in 0..8 {
-            let Some(connection) = self.wires.connections.get_mut(&token) else { return };
+            let Some(connection) = self.connections.by_token.get_mut(&token) else { return };
             let mut buffer = std::mem::take(&mut self.buffer);
             let more = match connection.stream.read(&mut buffer) {
                 Ok(0) => Err("closed by the far end".to_string()),
                 Ok(count) => {
-                    self.octets(token, &buffer[..count]);
+                    self.on_octets(token, &buffer[..count]);
                     // Less than there was room for: nothing more is there, and what comes is told anew.
                     Ok(count == buffer.len())
                 }
@@ -740,47 +747,47 @@
             match more {
                 Ok(true) => {}
                 Ok(false) => return,
-                Err(why) => return self.wires.close(Some(token), &why),
+                Err(why) => return self.connections.close(Some(token), &why),
             }
         }
         // More waits: asks to be told again.
-        if let Some(connection) = self.wires.connections.get_mut(&token) {
-            let interest = match connection.writing {
-                Writing::Idle => Interest::READABLE,
-                Writing::Waits => Interest::READABLE | Interest::WRITABLE,
+        if let Some(connection) = self.connections.by_token.get_mut(&token) {
+            let interest = match connection.write_state {
+                WriteState::Idle => Interest::READABLE,
+                WriteState::Blocked => Interest::READABLE | Interest::WRITABLE,
             };
-            let again = self.wires.poll.registry().reregister(&mut connection.stream, token, interest);
-            again.err().into_iter().for_each(|error| self.wires.close(Some(token), &error.to_string()));
+            let again = self.connections.poll.registry().reregister(&mut connection.stream, token, interest);
+            again.err().into_iter().for_each(|error| self.connections.close(Some(token), &error.to_string()));
         }
     }
 
-    fn octets(&mut self, token: Token, octets: &[u8]) {
+    fn on_octets(&mut self, token: Token, octets: &[u8]) {
         let now = self.now();
-        let Some(connection) = self.wires.connections.get_mut(&token) else { return };
+        let Some(connection) = self.connections.by_token.get_mut(&token) else { return };
         match &mut connection.purpose {
             Purpose::Link(from) => {
                 let from = *from;
-                self.exchange.link_octets(now, &mut self.wires, from, octets);
+                self.exchange.link_octets(now, &mut self.connections, from, octets);
             }
             Purpose::Line(line) => {
                 let line = *line;
-                self.exchange.line_octets(now, &mut self.wires, line, octets);
+                self.exchange.line_octets(now, &mut self.connections, line, octets);
             }
-            Purpose::Directory => match self.exchange.directory_octets(now, &mut self.wires, octets) {
-                Ok(true) => self.keep_roster(now),
+            Purpose::Directory => match self.exchange.directory_octets(now, &mut self.connections, octets) {
+                Ok(true) => self.save_membership(now),
                 Ok(false) => {}
-                Err(why) => self.wires.close(Some(token), &why),
+                Err(why) => self.connections.close(Some(token), &why),
             },
-            Purpose::Knocking(door) => match door.push(octets, &self.origins) {
+            Purpose::Handshake(handshake) => match handshake.push(octets, &self.origins) {
                 ServerHandshakeState::Incomplete => {}
-                ServerHandshakeState::Rejected(why) => self.turn_away(token, &why),
-                ServerHandshakeState::Valid(wish) => match self.exchange.line_open(now) {
+                ServerHandshakeState::Rejected(why) => self.reject_handshake(token, &why),
+                ServerHandshakeState::Valid(request) => match self.exchange.line_open(now) {
                     Ok(line) => {
                         debug!(target: LOG_TARGET, line = line.0, "line open");
                         connection.purpose =
-                            Purpose::Calls { line, end: Box::new(wish.accept(MAX_MESSAGE_OCTETS)) };
-                        self.wires.lines.insert(line, token);
-                        self.wires.clients.opened(now, token);
+                            Purpose::WebSocket { line, socket: Box::new(request.accept(MAX_MESSAGE_OCTETS)) };
+                        self.connections.lines.insert(line, token);
+                        self.connections.clients.opened(now, token);
                         self.client_octets(now, token, &[]);
                     }
                     Err(why) => {
@@ -792,13 +799,13 @@
                             retry_after_s: Some(wait),
                             ..HandshakeRejection::new(503, why.to_string())
                         };
-                        self.turn_away(token, &busy);
+                        self.reject_handshake(token, &busy);
                     }
                 },
             },
-            Purpose::Calls { .. } => self.client_octets(now, token, octets),
-            Purpose::Leaving => {}
-            Purpose::Stranger { deframer, octets: held } => {
+            Purpose::WebSocket { .. } => self.client_octets(now, token, octets),
+            Purpose::Closing => {}
+            Purpose::Unidentified { deframer, octets: held } => {
                 held.extend_from_slice(octets);
                 deframer.push(octets);
                 let asp = match deframer.next().map(|frame| frame.map(Frame::read)) {
@@ -814,63 +821,67 @@
                 });
                 let Some(from) = known else {
                     return self
-                        .wires
+                        .connections
                         .close(Some(token), "does not say which exchange it is, or none with a link here");
                 };
                 connection.purpose = Purpose::Link(from);
-                self.wires.strangers.gone(token);
-                self.link_open(token, from);
-                self.exchange.link_octets(now, &mut self.wires, from, &held);
+                self.connections.unidentified.gone(token);
+                self.on_link_connected(token, from);
+                self.exchange.link_octets(now, &mut self.connections, from, &held);
             }
-            Purpose::Admin(cutter) => {
-                cutter.push(octets);
+            Purpose::Admin(decoder) => {
+                decoder.push(octets);
                 let mut replies = Vec::new();
                 let fault = loop {
-                    match cutter.next() {
-                        Ok(Some(text)) => replies.push(admin_reply(&self.exchange, text, self.wires.started)),
+                    match decoder.next() {
+                        Ok(Some(text)) => {
+                            replies.push(admin_reply(&self.exchange, text, self.connections.started))
+                        }
                         Ok(None) => break None,
                         Err(error) => break Some(error.to_string()),
                     }
                 };
                 for reply in replies {
-                    self.wires.push(Some(token), &[reply.as_bytes(), b"\n"]);
+                    self.connections.push(Some(token), &[reply.as_bytes(), b"\n"]);
                 }
-                fault.iter().for_each(|why| self.wires.close(Some(token), why));
+                fault.iter().for_each(|why| self.connections.close(Some(token), why));
             }
-            Purpose::Dialling(_) => {}
+            Purpose::Connecting(_) => {}
         }
     }
 
     /// Octets of a client over WebSocket.
     fn client_octets(&mut self, now: Duration, token: Token, octets: &[u8]) {
-        self.wires.clients.heard(now, token);
-        let Some(connection) = self.wires.connections.get_mut(&token) else { return };
-        let Purpose::Calls { line, end } = &mut connection.purpose else { return };
+        self.connections.clients.heard(now, token);
+        let Some(connection) = self.connections.by_token.get_mut(&token) else { return };
+        let Purpose::WebSocket { line, socket } = &mut connection.purpose else { return };
         let line = *line;
         // At most what was read in one go: what is asked is acted on once this connection is not held any more.
         let mut texts = Vec::new();
-        end.on_octets(octets, &mut |event| match event {
+        socket.on_octets(octets, &mut |event| match event {
             WebSocketEvent::Text(text) => texts.push(text),
             WebSocketEvent::PingOrPong => {}
         });
         for text in texts {
-            self.exchange.line_text(now, &mut self.wires, line, text.as_bytes());
+            self.exchange.line_text(now, &mut self.connections, line, text.as_bytes());
         }
-        self.wires.pump(token);
+        self.connections.transfer_websocket_output(token);
     }
 
-    fn turn_away(&mut self, token: Token, why: &HandshakeRejection) {
+    fn reject_handshake(&mut self, token: Token, why: &HandshakeRejection) {
         debug!(target: LOG_TARGET, status = why.status, "client turned away: {}", why.why);
-        if let Some(connection) = self.wires.connections.get_mut(&token) {
-            connection.purpose = Purpose::Leaving;
-            connection.out.push_last(&why.octets());
-            self.wires.leave(token);
+        if let Some(connection) = self.connections.by_token.get_mut(&token) {
+            connection.purpose = Purpose::Closing;
+            connection.output.push_last(&why.octets());
+            self.connections.close_after_flush(token);
         }
     }
 
     /// Written beside and moved into place, so that a half-written file never takes the place of a good one.
-    fn keep_roster(&mut self, now: Duration) {
-        let (Some(path), Some(text)) = (&self.keep, self.exchange.membership_snapshot(now, wall_ms())) else {
+    fn save_membership(&mut self, now: Duration) {
+        let (Some(path), Some(text)) =
+            (&self.membership_file, self.exchange.membership_snapshot(now, wall_ms()))
+        else {
             return;
         };
         let beside = path.with_extension("new");
@@ -879,51 +890,53 @@
         }
     }
 
-    /// A connection is over: the exchange is told, and what was dialled is dialled again.
-    fn gone(&mut self, token: Token, why: &str) {
-        let Some(mut connection) = self.wires.connections.remove(&token) else { return };
-        let _ = self.wires.poll.registry().deregister(&mut connection.stream);
+    /// A connection is over: the exchange is told, and what was target is target again.
+    fn on_closed(&mut self, token: Token, why: &str) {
+        let Some(mut connection) = self.connections.by_token.remove(&token) else { return };
+        let _ = self.connections.poll.registry().deregister(&mut connection.stream);
         let now = self.now();
-        self.wires.strangers.gone(token);
-        self.wires.clients.gone(token);
+        self.connections.unidentified.gone(token);
+        self.connections.clients.gone(token);
         match connection.purpose {
-            Purpose::Dialling(dialled) => self.redial_later(dialled),
+            Purpose::Connecting(target) => self.schedule_reconnect(target),
             Purpose::Link(to) => {
-                if self.wires.links.get(&to) == Some(&token) {
-                    self.wires.links.remove(&to);
+                if self.connections.links.get(&to) == Some(&token) {
+                    self.connections.links.remove(&to);
                     info!(target: LOG_TARGET, exchange = to.0, "link closed: {why}");
-                    self.exchange.link_down(now, &mut self.wires, to);
-                    self.redials.entry(Dialled::Link(to)).and_modify(|redial| redial.failures = 0);
-                    self.redial_later(Dialled::Link(to));
+                    self.exchange.link_down(now, &mut self.connections, to);
+                    self.reconnects
+                        .entry(ConnectTarget::Link(to))
+                        .and_modify(|reconnect| reconnect.failures = 0);
+                    self.schedule_reconnect(ConnectTarget::Link(to));
                 }
             }
-            Purpose::Calls { line, end } => {
-                self.wires.lines.remove(&line);
-                let why = end.ended().map_or(why, |ended| ended.reason.as_str());
-                debug!(target: LOG_TARGET, line = line.0, code = end.ended().map(|ended| ended.code), "line closed: {why}");
-                match end.ended() {
+            Purpose::WebSocket { line, socket } => {
+                self.connections.lines.remove(&line);
+                let why = socket.ended().map_or(why, |ended| ended.reason.as_str());
+                debug!(target: LOG_TARGET, line = line.0, code = socket.ended().map(|ended| ended.code), "line closed: {why}");
+                match socket.ended() {
                     Some(ended) if ended.by_far_end && ended.code == close::NORMAL => {
-                        self.exchange.line_closed_by_client(now, &mut self.wires, line);
+                        self.exchange.line_closed_by_client(now, &mut self.connections, line);
                     }
-                    _ => self.exchange.line_disconnected(now, &mut self.wires, line),
+                    _ => self.exchange.line_disconnected(now, &mut self.connections, line),
                 }
             }
-            Purpose::Knocking(_) => debug!(target: LOG_TARGET, "client closed in its handshake: {why}"),
-            Purpose::Leaving => {}
+            Purpose::Handshake(_) => debug!(target: LOG_TARGET, "client closed in its handshake: {why}"),
+            Purpose::Closing => {}
             Purpose::Line(line) => {
-                self.wires.lines.remove(&line);
+                self.connections.lines.remove(&line);
                 debug!(target: LOG_TARGET, line = line.0, "line closed: {why}");
-                self.exchange.line_disconnected(now, &mut self.wires, line);
+                self.exchange.line_disconnected(now, &mut self.connections, line);
             }
             Purpose::Directory => {
-                self.wires.directory = None;
+                self.connections.directory = None;
                 warn!(target: LOG_TARGET, "directory gone: {why}; the last roster stays in force");
-                self.redial_later(Dialled::Directory);
+                self.schedule_reconnect(ConnectTarget::Directory);
             }
-            Purpose::Stranger { .. } => {
+            Purpose::Unidentified { .. } => {
                 warn!(target: LOG_TARGET, "connection on the signalling port closed: {why}")
             }
-            Purpose::Admin(_) => self.wires.admins -= 1,
+            Purpose::Admin(_) => self.connections.admin_connections -= 1,
         }
     }
 }
