--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -1,6 +1,7 @@
-//! The mio loop: sockets, timers and signals around an [`Exchange`]. It decides nothing about calls.
+//! The mio loop: sockets, timers and signals around an [`Exchange`], which makes all decisions about calls.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::fmt;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -32,29 +33,31 @@
 
 #[derive(Debug, Error)]
 pub enum ServerError {
-    #[error("{what} {addr}: {error}")]
+    #[error("{what}: cannot listen on {addr}: {error}")]
     Listen { what: &'static str, addr: SocketAddr, error: io::Error },
-    #[error("no event loop: {0}")]
+    #[error("event loop: {0}")]
     Poll(io::Error),
     #[error(transparent)]
     Tokens(#[from] ConfigError),
 }
 
-/// The clock starts an hour in: processors that started before this process are told by their age.
+/// The clock starts at one hour, not at zero: processors that started before this process are given by their age, and
+/// their start times must not be negative.
 const CLOCK_START: Duration = Duration::from_secs(3600);
-/// An orderly stop gives calls that wait for an answer so long, those in transit too. A call whose caller would wait
-/// longer than that fails then, before its caller's time.
+/// How long an orderly stop waits for unanswered calls, transit calls included. A call whose caller would wait longer
+/// fails at this timeout, before its caller's time is over.
 const STOP_TIMEOUT: Duration = Duration::from_secs(30);
-/// After the last call is let go, what is still to be written and to be completed by far ends that can be reached gets
-/// this long. T1 is longer: a far end that does not answer in this time is left to its own timers.
+/// How long a stop waits, after all calls are released, for pending output and for release completes from reachable far
+/// ends. T1 is longer: a far end that does not respond in this time is left to its own timers.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections that have not said which exchange they are.
+/// Signalling connections that have not identified their exchange yet.
 const MAX_UNIDENTIFIED_CONNECTIONS: usize = 64;
 const IDENTIFICATION_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_ADMIN_CONNECTIONS: usize = 64;
-/// Connections accepted before others are served again: an accept storm must not keep those that are open waiting.
+/// Connections accepted in a row. An accept storm must not keep open connections waiting.
 const MAX_ACCEPTS_AT_ONCE: usize = 64;
-/// A reconnect waits a draw from half of this, doubled with each failure up to the last.
+/// Delay before a reconnect, doubled with each failure up to the maximum. The wait is drawn at random between half the
+/// delay and the whole.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
 const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(5);
 const MAX_ADMIN_MESSAGE_OCTETS: usize = 4096;
@@ -68,72 +71,85 @@
 
 /// What a connection is for.
 enum Purpose {
-    /// ConnectTarget, not connected yet.
+    /// An outgoing connection that is not established yet.
     Connecting(ConnectTarget),
     Link(ExchangeNumber),
-    /// Came in on the signalling port and has not said who it is.
+    /// Accepted on the signalling port; the far end has not identified itself yet.
     Unidentified {
         deframer: Deframer,
         octets: Vec<u8>,
     },
     Line(LineId),
-    /// Came in for calls, its handshake not whole yet.
+    /// Accepted on the port of the call-control API; the WebSocket handshake is not complete yet.
     Handshake(ServerHandshake),
     /// A line over WebSocket.
     WebSocket {
         line: LineId,
         socket: Box<WebSocketConnection>,
     },
-    /// Told why it is closed; it goes once that is written.
+    /// Rejected in its handshake; closed once the rejection is written.
     Closing,
     Directory,
     Admin(LineDecoder),
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+/// The far end of an outgoing connection.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ConnectTarget {
     Link(ExchangeNumber),
     Directory,
 }
 
+// Keeps the published form of the log field `dialled`.
+impl fmt::Debug for ConnectTarget {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Link(to) => write!(f, "Link(OfficeNo({}))", to.0),
+            Self::Directory => f.write_str("Directory"),
+        }
+    }
+}
+
 struct Connection {
     stream: TcpStream,
     purpose: Purpose,
     output: OutputBuffer,
-    /// Whether it is registered for write_state too.
     write_state: WriteState,
-    /// It goes once what waits is written.
+    /// The connection is closed once its output is written.
     close_after_flush: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WriteState {
     Idle,
+    /// Output waits; the socket is registered for writing too.
     Blocked,
 }
 
-/// Who is target, where, and when next.
+/// The reconnect state of a target; `due` is `None` while a connection exists or is being established.
 struct Reconnect {
     to: SocketAddr,
     failures: u32,
     due: Option<Instant>,
 }
 
-/// All connections; what the exchange acts through.
+/// All connections; the transport of the exchange.
 struct Connections {
     poll: Poll,
     by_token: BTreeMap<Token, Connection>,
     links: BTreeMap<ExchangeNumber, Token>,
     lines: BTreeMap<LineId, Token>,
     directory: Option<Token>,
-    /// Who has not said which exchange it is; clients over WebSocket.
+    /// Timeouts of signalling connections that have not identified their exchange.
     unidentified: ConnectionMonitor<Token>,
+    /// Timeouts of clients over WebSocket.
     clients: ConnectionMonitor<Token>,
     admin_connections: usize,
     max_unread_octets: usize,
     started: Instant,
-    /// Connections with something to write, and those to be closed, with the reason.
+    /// Connections with new output.
     unflushed: Vec<Token>,
+    /// Connections to be closed, with the reason.
     to_close: VecDeque<(Token, String)>,
     next_token: usize,
 }
@@ -156,15 +172,15 @@
         self.to_close.extend(token.map(|token| (token, why.to_string())));
     }
 
-    /// What a WebSocket end has to write is written, and the connection goes once it has ended.
+    /// Moves the output of a WebSocket connection to its buffer. A connection that has ended is closed after the flush.
     fn transfer_websocket_output(&mut self, token: Token) {
         let now = self.now();
         let Some(connection) = self.by_token.get_mut(&token) else { return };
         let Purpose::WebSocket { socket, .. } = &mut connection.purpose else { return };
-        let out = std::mem::take(socket.out());
+        let octets = std::mem::take(socket.out());
         match socket.ended().is_some() || socket.closing() && !connection.output.last_pushed() {
-            true => connection.output.push_last(&out),
-            false => connection.output.push(&out),
+            true => connection.output.push_last(&octets),
+            false => connection.output.push(&octets),
         }
         if connection.output.overrun() {
             socket.close(close::POLICY, "reads too slowly");
@@ -180,7 +196,7 @@
         self.unflushed.push(token);
     }
 
-    /// The connection goes once what waits is written; nothing is read any more.
+    /// Closes the connection once its output is written. Nothing is read any more.
     fn close_after_flush(&mut self, token: Token) {
         let now = self.now();
         self.clients.closing(now, token);
@@ -192,7 +208,7 @@
     fn add(&mut self, mut stream: TcpStream, purpose: Purpose) -> io::Result<Token> {
         let token = Token(self.next_token);
         self.next_token += 1;
-        // Small messages must not wait for each other; where it can't be set, they do.
+        // Small messages must not be delayed by Nagle's algorithm. If the option can't be set, they are.
         let _ = stream.set_nodelay(true);
         let connecting = matches!(purpose, Purpose::Connecting(_));
         let interest = if connecting { Interest::WRITABLE } else { Interest::READABLE };
@@ -208,7 +224,7 @@
         Ok(token)
     }
 
-    /// Writes what waits, and has the rest waited for.
+    /// Writes as much output as the socket accepts, and registers for writing if some is left.
     fn flush(&mut self, token: Token) {
         let Some(connection) = self.by_token.get_mut(&token) else { return };
         if matches!(connection.purpose, Purpose::Connecting(_)) {
@@ -218,7 +234,9 @@
             return self.close(Some(token), "reads too slowly");
         }
         let write_state = match connection.output.write_to(&mut connection.stream) {
-            Ok(true) if connection.close_after_flush => return self.close(Some(token), "told to go"),
+            Ok(true) if connection.close_after_flush => {
+                return self.close(Some(token), "closed after the last message");
+            }
             Ok(true) => WriteState::Idle,
             Ok(false) => WriteState::Blocked,
             Err(error) => return self.close(Some(token), &error.to_string()),
@@ -239,7 +257,7 @@
         unflushed.sort_unstable();
         unflushed.dedup();
         unflushed.drain(..).for_each(|token| self.flush(token));
-        // Kept for its room.
+        // Reuses the allocation.
         if self.unflushed.is_empty() {
             self.unflushed = unflushed;
         }
@@ -274,9 +292,9 @@
         }
     }
     fn has_room(&self, line: LineId) -> bool {
-        const ROOM: usize = 64 << 10;
+        const MAX_WAITING_OCTETS: usize = 64 << 10;
         let connection = self.lines.get(&line).and_then(|token| self.by_token.get(token));
-        connection.is_some_and(|connection| connection.output.waiting() < ROOM)
+        connection.is_some_and(|connection| connection.output.waiting() < MAX_WAITING_OCTETS)
     }
     fn send_to_directory(&mut self, text: &str) {
         self.push(self.directory, &[text.as_bytes(), b"\n"]);
@@ -286,7 +304,7 @@
     }
 }
 
-/// Where a controller is reached.
+/// The addresses on which a controller listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct ListenAddresses {
     pub signalling: Option<SocketAddr>,
@@ -295,7 +313,7 @@
     pub admin: Option<SocketAddr>,
 }
 
-/// A controller with its sockets.
+/// A controller process: an exchange with its sockets, signals and files.
 pub struct Server {
     exchange: Exchange,
     connections: Connections,
@@ -304,17 +322,17 @@
     line_listener: Option<TcpListener>,
     admin_listener: Option<TcpListener>,
     call_listener: Option<TcpListener>,
-    /// Pages that may ask for calls.
+    /// Origins of the browser pages that may connect.
     origins: BTreeSet<String>,
-    /// Listeners with more to accept than was accepted in one turn.
+    /// Listeners that may have more connections to accept.
     accepting: BTreeSet<Token>,
     reconnects: BTreeMap<ConnectTarget, Reconnect>,
     membership_file: Option<PathBuf>,
     token_file: Option<PathBuf>,
     stopping_since: Option<Instant>,
-    /// Since when nothing is left but releases to be completed.
+    /// When the stop released all calls; since then only output and release completes are awaited.
     all_released_at: Option<Instant>,
-    /// Read buffer, kept for its room.
+    /// Read buffer, reused for all connections.
     buffer: Vec<u8>,
 }
 
@@ -331,12 +349,13 @@
     Ok(Some(listener))
 }
 
+/// The time of day, in milliseconds since 1970.
 fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_millis() as u64)
 }
 
 impl Server {
-    /// Opens all that the configuration names. The configuration has no faults.
+    /// Opens the listeners of the configuration and reads its files. The configuration must be valid.
     pub fn open(config: &Config) -> Result<Self, ServerError> {
         let poll = Poll::new().map_err(ServerError::Poll)?;
         let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(ServerError::Poll)?;
@@ -359,7 +378,7 @@
         });
         let directory =
             config.directory.iter().map(|directory| (ConnectTarget::Directory, reconnect(directory.connect)));
-        // Milliseconds since 2020 as the number of this start: it grows, and fits for a century.
+        // Milliseconds since 2020 number this start: the number grows with each start, and fits for a century.
         let incarnation = wall_ms().saturating_sub(1_577_836_800_000);
         let seed = config.seed.unwrap_or_else(|| rand::rng().random());
         let mut server = Self {
@@ -400,7 +419,7 @@
         Ok(server)
     }
 
-    /// Where the subscriber lines and the admin port ended up, where they were left to the machine.
+    /// The bound addresses. They differ from the configured ones where port 0 left the choice to the system.
     pub fn addresses(&self) -> ListenAddresses {
         let [signalling, subscribers, calls, admin] =
             [&self.link_listener, &self.line_listener, &self.call_listener, &self.admin_listener]
@@ -412,7 +431,8 @@
         self.connections.now()
     }
 
-    /// The roster of the last time, or all that the configuration links to where no directory speaks.
+    /// Loads the initial membership: the file of the last run, or all exchanges of the configuration if there is no
+    /// directory.
     fn load_membership(&mut self, config: &Config) {
         let now = self.now();
         if config.directory.is_none() {
@@ -424,7 +444,7 @@
                 status: mintstall_membership::MemberStatus::Ready,
                 age_ms: None,
             };
-            let news = mintstall_membership::MembershipUpdate {
+            let update = mintstall_membership::MembershipUpdate {
                 version: 1,
                 since: None,
                 entries: all.map(entry).collect(),
@@ -432,32 +452,34 @@
             self.exchange.on_directory_notification(
                 now,
                 &mut self.connections,
-                &mintstall_membership::DirectoryNotification::Membership(news),
+                &mintstall_membership::DirectoryNotification::Membership(update),
             );
         }
         let Some(path) = &self.membership_file else { return };
         match std::fs::read(path) {
             Ok(text) => {
                 match self.exchange.restore_membership(now, wall_ms(), &mut self.connections, &text) {
-                    Ok(()) => info!(target: LOG_TARGET, path = %path.display(), "roster of before taken"),
+                    Ok(()) => {
+                        info!(target: LOG_TARGET, path = %path.display(), "membership of the last run restored")
+                    }
                     Err(error) => {
-                        warn!(target: LOG_TARGET, path = %path.display(), "{error}; waiting for the directory")
+                        warn!(target: LOG_TARGET, path = %path.display(), "cannot restore the membership, waiting for the directory: {error}")
                     }
                 }
             }
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
             Err(error) => {
-                warn!(target: LOG_TARGET, path = %path.display(), "{error}; waiting for the directory")
+                warn!(target: LOG_TARGET, path = %path.display(), "cannot restore the membership, waiting for the directory: {error}")
             }
         }
     }
 
-    /// Runs until it is told to stop and has answered all it took.
+    /// Runs until SIGTERM or SIGINT, and then until the orderly stop is complete.
     pub fn run(mut self) -> Result<(), ServerError> {
         let mut events = Events::with_capacity(1024);
         loop {
-            let wait = self.poll_timeout();
-            match self.connections.poll.poll(&mut events, wait) {
+            let timeout = self.poll_timeout();
+            match self.connections.poll.poll(&mut events, timeout) {
                 Ok(()) => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(ServerError::Poll(error)),
@@ -465,20 +487,20 @@
             for event in &events {
                 match event.token() {
                     SIGNALS => self.on_signals(),
-                    on @ (LINK_LISTENER | LINE_LISTENER | ADMIN_LISTENER | CALL_LISTENER) => {
-                        _ = self.accepting.insert(on)
+                    listener @ (LINK_LISTENER | LINE_LISTENER | ADMIN_LISTENER | CALL_LISTENER) => {
+                        _ = self.accepting.insert(listener)
                     }
                     token => self.on_ready(token, event.is_readable(), event.is_writable()),
                 }
             }
             let accepting = std::mem::take(&mut self.accepting);
-            accepting.into_iter().for_each(|on| self.accept(on));
+            accepting.into_iter().for_each(|listener| self.accept(listener));
             let now = self.now();
             self.exchange.on_timer(now, &mut self.connections);
             self.start_due_connects();
             self.check_connection_timeouts(now);
             self.flush_and_close();
-            if self.stopped() {
+            if self.is_stop_complete() {
                 return Ok(());
             }
         }
@@ -486,19 +508,19 @@
 
     fn poll_timeout(&self) -> Option<Duration> {
         let now = self.now();
-        let alarm = self.exchange.next_timer().map(|at| at.saturating_sub(now));
-        let dial = self.reconnects.values().filter_map(|reconnect| reconnect.due).min();
-        let dial = dial.map(|due| due.saturating_duration_since(Instant::now()));
-        let vigils = [self.connections.unidentified.next_timer(), self.connections.clients.next_timer()];
-        let vigil = vigils.into_iter().flatten().min().map(|at| at.saturating_sub(now));
+        let exchange = self.exchange.next_timer().map(|at| at.saturating_sub(now));
+        let connect = self.reconnects.values().filter_map(|reconnect| reconnect.due).min();
+        let connect = connect.map(|due| due.saturating_duration_since(Instant::now()));
+        let monitors = [self.connections.unidentified.next_timer(), self.connections.clients.next_timer()];
+        let monitor = monitors.into_iter().flatten().min().map(|at| at.saturating_sub(now));
         let stopping = self.stopping_since.map(|_| Duration::from_millis(20));
         let accepting = (!self.accepting.is_empty()).then_some(Duration::ZERO);
-        let all = [alarm, dial, vigil, stopping, accepting];
-        // Rounded up: the machine's clock wakes a shade early otherwise, and finds nothing due.
+        let all = [exchange, connect, monitor, stopping, accepting];
+        // 50 us more, since the system's clock otherwise wakes the loop slightly early, before anything is due.
         all.into_iter().flatten().min().map(|wait| wait + Duration::from_micros(50))
     }
 
-    /// Writes and closes until neither leaves anything to do.
+    /// Flushes and closes connections until there is nothing left to flush or close: closing one may add output to others.
     fn flush_and_close(&mut self) {
         self.connections.flush_all();
         while let Some((token, why)) = self.connections.to_close.pop_front() {
@@ -513,14 +535,14 @@
             self.read_tokens();
         }
         if signals.iter().any(|signal| *signal != SIGHUP) && self.stopping_since.is_none() {
-            info!(target: LOG_TARGET, "stopping: no new calls, {} in hand", self.exchange.call_control.state().calls);
+            info!(target: LOG_TARGET, "stopping: refusing new calls, {} calls in progress", self.exchange.call_control.state().calls);
             self.exchange.stop(&mut self.connections);
             self.stopping_since = Some(Instant::now());
             (self.link_listener, self.line_listener, self.call_listener) = (None, None, None);
         }
     }
 
-    /// The tokens as their file has them now; a file that makes no sense leaves those in force.
+    /// Reads the token file again. If it is invalid, the tokens stay as they are.
     fn read_tokens(&mut self) {
         let Some(path) = &self.token_file else { return };
         match read_tokens(path) {
@@ -528,12 +550,14 @@
                 info!(target: LOG_TARGET, path = %path.display(), "tokens read");
                 self.exchange.set_tokens(tokens);
             }
-            Err(error) => warn!(target: LOG_TARGET, "{error}; the tokens of before stay in force"),
+            Err(error) => {
+                warn!(target: LOG_TARGET, "cannot read the tokens, keeping the previous ones: {error}")
+            }
         }
     }
 
-    /// Whether all that was taken is answered, let go, completed and written.
-    fn stopped(&mut self) -> bool {
+    /// Advances an orderly stop; whether all calls are answered and released, and all output is written.
+    fn is_stop_complete(&mut self) -> bool {
         let Some(since) = self.stopping_since else { return false };
         let Some(all_released_at) = self.all_released_at else {
             if !self.exchange.call_control.has_unanswered_calls() || since.elapsed() >= STOP_TIMEOUT {
@@ -566,29 +590,29 @@
         self.flush_and_close();
     }
 
-    fn accept(&mut self, on: Token) {
+    fn accept(&mut self, listener_token: Token) {
         for _ in 0..MAX_ACCEPTS_AT_ONCE {
-            let listener = match on {
+            let listener = match listener_token {
                 LINK_LISTENER => &self.link_listener,
                 LINE_LISTENER => &self.line_listener,
                 CALL_LISTENER => &self.call_listener,
                 _ => &self.admin_listener,
             };
             let Some(Ok((stream, from))) = listener.as_ref().map(TcpListener::accept) else { return };
-            let purpose = match on {
+            let purpose = match listener_token {
                 LINK_LISTENER => Purpose::Unidentified { deframer: Deframer::default(), octets: Vec::new() },
                 CALL_LISTENER => Purpose::Handshake(ServerHandshake::default()),
                 LINE_LISTENER => match self.exchange.line_open(self.now()) {
                     Ok(line) => Purpose::Line(line),
-                    Err(why) => {
-                        debug!(target: LOG_TARGET, %from, "line turned away: {why}");
-                        // Best effort: whoever does not read it sees the close.
-                        let _ = (&stream).write_all(format!("{}\n", why.error_response()).as_bytes());
+                    Err(error) => {
+                        debug!(target: LOG_TARGET, %from, "line refused: {error}");
+                        // Best effort: a client that does not receive it sees the close.
+                        let _ = (&stream).write_all(format!("{}\n", error.error_response()).as_bytes());
                         continue;
                     }
                 },
                 _ if self.connections.admin_connections >= MAX_ADMIN_CONNECTIONS => {
-                    warn!(target: LOG_TARGET, %from, "connection turned away: {MAX_ADMIN_CONNECTIONS} there already");
+                    warn!(target: LOG_TARGET, %from, "admin connection refused: {MAX_ADMIN_CONNECTIONS} are open");
                     continue;
                 }
                 _ => Purpose::Admin(LineDecoder::new(MAX_ADMIN_MESSAGE_OCTETS)),
@@ -600,43 +624,44 @@
             let token = match self.connections.add(stream, purpose) {
                 Ok(token) => token,
                 Err(error) => {
-                    warn!(target: LOG_TARGET, %from, "connection can't be watched: {error}");
+                    warn!(target: LOG_TARGET, %from, "cannot register the connection: {error}");
                     continue;
                 }
             };
             if let Some(line) = line {
                 self.connections.lines.insert(line, token);
-                debug!(target: LOG_TARGET, %from, line = line.0, "line open");
+                debug!(target: LOG_TARGET, %from, line = line.0, "line opened");
             }
             let now = self.now();
-            let came = match on {
+            let admitted = match listener_token {
                 LINK_LISTENER => self.connections.unidentified.came(now, token),
                 CALL_LISTENER => self.connections.clients.came(now, token),
                 _ => Ok(()),
             };
-            if let Err(why) = came {
-                debug!(target: LOG_TARGET, %from, "connection turned away: {why}");
-                if on == CALL_LISTENER {
-                    let busy = HandshakeRejection {
+            if let Err(error) = admitted {
+                debug!(target: LOG_TARGET, %from, "connection refused: {error}");
+                if listener_token == CALL_LISTENER {
+                    let rejection = HandshakeRejection {
                         retry_after_s: Some(1),
-                        ..HandshakeRejection::new(503, why.to_string())
+                        ..HandshakeRejection::new(503, error.to_string())
                     };
-                    self.connections.push(Some(token), &[&busy.octets()]);
+                    self.connections.push(Some(token), &[&rejection.octets()]);
                     self.connections.flush(token);
                 }
-                self.connections.close(Some(token), &why.to_string());
+                self.connections.close(Some(token), &error.to_string());
             }
         }
-        self.accepting.insert(on);
+        self.accepting.insert(listener_token);
     }
 
-    /// Connections that never say who they are, clients that fall silent or do not close.
+    /// Drops signalling connections that do not identify themselves, and pings or drops clients that are idle or do not
+    /// complete a handshake or a close.
     fn check_connection_timeouts(&mut self, now: Duration) {
-        let mut due = self.connections.unidentified.on_timer(now);
-        due.extend(self.connections.clients.on_timer(now));
-        for due in due {
-            match due {
-                MonitorAction::Drop(token, lapse) => self.connections.close(Some(token), &lapse.to_string()),
+        let mut actions = self.connections.unidentified.on_timer(now);
+        actions.extend(self.connections.clients.on_timer(now));
+        for action in actions {
+            match action {
+                MonitorAction::Drop(token, cause) => self.connections.close(Some(token), &cause.to_string()),
                 MonitorAction::Ping(token) => {
                     if let Some(Purpose::WebSocket { socket, .. }) =
                         self.connections.by_token.get_mut(&token).map(|connection| &mut connection.purpose)
@@ -657,10 +682,10 @@
             due.map(|(target, reconnect)| (*target, reconnect.due.take().map(|_| reconnect.to))).collect();
         for (target, to) in due {
             let Some(to) = to else { continue };
-            let tried = TcpStream::connect(to)
+            let started = TcpStream::connect(to)
                 .and_then(|stream| self.connections.add(stream, Purpose::Connecting(target)));
-            if let Err(error) = tried {
-                debug!(target: LOG_TARGET, dialled = ?target, %to, "can't connect: {error}");
+            if let Err(error) = started {
+                debug!(target: LOG_TARGET, dialled = ?target, %to, "cannot connect: {error}");
                 self.schedule_reconnect(target);
             }
         }
@@ -668,10 +693,10 @@
 
     fn schedule_reconnect(&mut self, target: ConnectTarget) {
         if let Some(reconnect) = self.reconnects.get_mut(&target) {
-            let span =
+            let delay =
                 MIN_RECONNECT_DELAY.saturating_mul(1 << reconnect.failures.min(8)).min(MAX_RECONNECT_DELAY);
             reconnect.failures = reconnect.failures.saturating_add(1);
-            reconnect.due = Some(Instant::now() + span.mul_f64(rand::rng().random_range(0.5..1.0)));
+            reconnect.due = Some(Instant::now() + delay.mul_f64(rand::rng().random_range(0.5..1.0)));
         }
     }
 
@@ -688,13 +713,13 @@
         }
     }
 
-    /// A connection that was target is there, or has failed.
+    /// An outgoing connection is established or has failed.
     fn on_connect_finished(&mut self, token: Token, target: ConnectTarget) {
         let Some(connection) = self.connections.by_token.get_mut(&token) else { return };
         let error = connection.stream.take_error().ok().flatten();
         if error.is_some() || connection.stream.peer_addr().is_err() {
             if error.is_some() {
-                self.connections.close(Some(token), "can't connect");
+                self.connections.close(Some(token), "cannot connect");
             }
             return;
         }
@@ -711,7 +736,7 @@
             ConnectTarget::Link(to) => self.on_link_connected(token, to),
             ConnectTarget::Directory => {
                 self.connections.directory = Some(token);
-                info!(target: LOG_TARGET, "directory connected");
+                info!(target: LOG_TARGET, "connected to the directory");
                 self.exchange.directory_connected(&mut self.connections);
             }
         }
@@ -719,16 +744,16 @@
 
     fn on_link_connected(&mut self, token: Token, to: ExchangeNumber) {
         let now = self.now();
-        // The far end may come back before its old connection is known to be dead.
-        if let Some(before) = self.connections.links.insert(to, token) {
+        // The far end may reconnect before the loss of its previous connection is detected.
+        if let Some(previous) = self.connections.links.insert(to, token) {
             self.exchange.link_down(now, &mut self.connections, to);
-            self.connections.close(Some(before), "replaced by a newer connection");
+            self.connections.close(Some(previous), "replaced by a newer connection");
         }
         self.exchange.link_up(now, &mut self.connections, to);
     }
 
     fn read(&mut self, token: Token) {
-        // Bounded, so that one connection that never pauses does not keep the others waiting.
+        // At most 8 reads, so that a connection that always has data does not keep the others waiting.
         for _ in 0..8 {
             let Some(connection) = self.connections.by_token.get_mut(&token) else { return };
             let mut buffer = std::mem::take(&mut self.buffer);
@@ -736,7 +761,7 @@
                 Ok(0) => Err("closed by the far end".to_string()),
                 Ok(count) => {
                     self.on_octets(token, &buffer[..count]);
-                    // Less than there was room for: nothing more is there, and what comes is told anew.
+                    // The buffer was not filled: nothing more is there now, and mio reports new data.
                     Ok(count == buffer.len())
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(false),
@@ -750,14 +775,18 @@
                 Err(why) => return self.connections.close(Some(token), &why),
             }
         }
-        // More waits: asks to be told again.
+        // More may wait: registering again makes mio report it again.
         if let Some(connection) = self.connections.by_token.get_mut(&token) {
             let interest = match connection.write_state {
                 WriteState::Idle => Interest::READABLE,
                 WriteState::Blocked => Interest::READABLE | Interest::WRITABLE,
             };
-            let again = self.connections.poll.registry().reregister(&mut connection.stream, token, interest);
-            again.err().into_iter().for_each(|error| self.connections.close(Some(token), &error.to_string()));
+            let registered =
+                self.connections.poll.registry().reregister(&mut connection.stream, token, interest);
+            registered
+                .err()
+                .into_iter()
+                .for_each(|error| self.connections.close(Some(token), &error.to_string()));
         }
     }
 
@@ -780,33 +809,33 @@
             },
             Purpose::Handshake(handshake) => match handshake.push(octets, &self.origins) {
                 ServerHandshakeState::Incomplete => {}
-                ServerHandshakeState::Rejected(why) => self.reject_handshake(token, &why),
+                ServerHandshakeState::Rejected(rejection) => self.reject_handshake(token, &rejection),
                 ServerHandshakeState::Valid(request) => match self.exchange.line_open(now) {
                     Ok(line) => {
-                        debug!(target: LOG_TARGET, line = line.0, "line open");
+                        debug!(target: LOG_TARGET, line = line.0, "line opened");
                         connection.purpose =
                             Purpose::WebSocket { line, socket: Box::new(request.accept(MAX_MESSAGE_OCTETS)) };
                         self.connections.lines.insert(line, token);
                         self.connections.clients.opened(now, token);
                         self.client_octets(now, token, &[]);
                     }
-                    Err(why) => {
-                        let wait = match why {
+                    Err(error) => {
+                        let retry_after_s = match error {
                             LineOpenError::RateLimited(wait) => wait.as_secs() + 1,
                             LineOpenError::Full(_) => 2,
                         };
-                        let busy = HandshakeRejection {
-                            retry_after_s: Some(wait),
-                            ..HandshakeRejection::new(503, why.to_string())
+                        let rejection = HandshakeRejection {
+                            retry_after_s: Some(retry_after_s),
+                            ..HandshakeRejection::new(503, error.to_string())
                         };
-                        self.reject_handshake(token, &busy);
+                        self.reject_handshake(token, &rejection);
                     }
                 },
             },
             Purpose::WebSocket { .. } => self.client_octets(now, token, octets),
             Purpose::Closing => {}
-            Purpose::Unidentified { deframer, octets: held } => {
-                held.extend_from_slice(octets);
+            Purpose::Unidentified { deframer, octets: received } => {
+                received.extend_from_slice(octets);
                 deframer.push(octets);
                 let asp = match deframer.next().map(|frame| frame.map(Frame::read)) {
                     Ok(None) => return,
@@ -815,24 +844,25 @@
                     }
                     _ => None,
                 };
-                let held = std::mem::take(held);
-                let known = asp.filter(|asp| {
+                let received = std::mem::take(received);
+                let linked = asp.filter(|asp| {
                     self.exchange.call_control.state().groups.iter().any(|group| group.to == *asp)
                 });
-                let Some(from) = known else {
-                    return self
-                        .connections
-                        .close(Some(token), "does not say which exchange it is, or none with a link here");
+                let Some(from) = linked else {
+                    return self.connections.close(
+                        Some(token),
+                        "the first message does not name an exchange that has a link here",
+                    );
                 };
                 connection.purpose = Purpose::Link(from);
                 self.connections.unidentified.gone(token);
                 self.on_link_connected(token, from);
-                self.exchange.link_octets(now, &mut self.connections, from, &held);
+                self.exchange.link_octets(now, &mut self.connections, from, &received);
             }
             Purpose::Admin(decoder) => {
                 decoder.push(octets);
                 let mut replies = Vec::new();
-                let fault = loop {
+                let error = loop {
                     match decoder.next() {
                         Ok(Some(text)) => {
                             replies.push(admin_reply(&self.exchange, text, self.connections.started))
@@ -844,19 +874,19 @@
                 for reply in replies {
                     self.connections.push(Some(token), &[reply.as_bytes(), b"\n"]);
                 }
-                fault.iter().for_each(|why| self.connections.close(Some(token), why));
+                error.iter().for_each(|why| self.connections.close(Some(token), why));
             }
             Purpose::Connecting(_) => {}
         }
     }
 
-    /// Octets of a client over WebSocket.
+    /// Handles octets of a client over WebSocket.
     fn client_octets(&mut self, now: Duration, token: Token, octets: &[u8]) {
         self.connections.clients.heard(now, token);
         let Some(connection) = self.connections.by_token.get_mut(&token) else { return };
         let Purpose::WebSocket { line, socket } = &mut connection.purpose else { return };
         let line = *line;
-        // At most what was read in one go: what is asked is acted on once this connection is not held any more.
+        // The messages of one read at most. They are handled after the loop, when this connection is not borrowed any more.
         let mut texts = Vec::new();
         socket.on_octets(octets, &mut |event| match event {
             WebSocketEvent::Text(text) => texts.push(text),
@@ -868,29 +898,30 @@
         self.connections.transfer_websocket_output(token);
     }
 
-    fn reject_handshake(&mut self, token: Token, why: &HandshakeRejection) {
-        debug!(target: LOG_TARGET, status = why.status, "client turned away: {}", why.why);
+    fn reject_handshake(&mut self, token: Token, rejection: &HandshakeRejection) {
+        debug!(target: LOG_TARGET, status = rejection.status, "client rejected: {}", rejection.why);
         if let Some(connection) = self.connections.by_token.get_mut(&token) {
             connection.purpose = Purpose::Closing;
-            connection.output.push_last(&why.octets());
+            connection.output.push_last(&rejection.octets());
             self.connections.close_after_flush(token);
         }
     }
 
-    /// Written beside and moved into place, so that a half-written file never takes the place of a good one.
+    /// Saves the membership. The file is written under another name and renamed, so that a partly written file never
+    /// replaces a valid one.
     fn save_membership(&mut self, now: Duration) {
         let (Some(path), Some(text)) =
             (&self.membership_file, self.exchange.membership_snapshot(now, wall_ms()))
         else {
             return;
         };
-        let beside = path.with_extension("new");
-        if let Err(error) = std::fs::write(&beside, text).and_then(|()| std::fs::rename(&beside, path)) {
-            warn!(target: LOG_TARGET, path = %path.display(), "the roster can't be kept: {error}");
+        let new_path = path.with_extension("new");
+        if let Err(error) = std::fs::write(&new_path, text).and_then(|()| std::fs::rename(&new_path, path)) {
+            warn!(target: LOG_TARGET, path = %path.display(), "cannot save the membership: {error}");
         }
     }
 
-    /// A connection is over: the exchange is told, and what was target is target again.
+    /// Removes a closed connection: notifies the exchange, and schedules the reconnect of an outgoing connection.
     fn on_closed(&mut self, token: Token, why: &str) {
         let Some(mut connection) = self.connections.by_token.remove(&token) else { return };
         let _ = self.connections.poll.registry().deregister(&mut connection.stream);
@@ -902,7 +933,7 @@
             Purpose::Link(to) => {
                 if self.connections.links.get(&to) == Some(&token) {
                     self.connections.links.remove(&to);
-                    info!(target: LOG_TARGET, exchange = to.0, "link closed: {why}");
+                    info!(target: LOG_TARGET, exchange = to.0, "link lost: {why}");
                     self.exchange.link_down(now, &mut self.connections, to);
                     self.reconnects
                         .entry(ConnectTarget::Link(to))
@@ -921,7 +952,9 @@
                     _ => self.exchange.line_disconnected(now, &mut self.connections, line),
                 }
             }
-            Purpose::Handshake(_) => debug!(target: LOG_TARGET, "client closed in its handshake: {why}"),
+            Purpose::Handshake(_) => {
+                debug!(target: LOG_TARGET, "client connection closed during its handshake: {why}")
+            }
             Purpose::Closing => {}
             Purpose::Line(line) => {
                 self.connections.lines.remove(&line);
@@ -930,11 +963,11 @@
             }
             Purpose::Directory => {
                 self.connections.directory = None;
-                warn!(target: LOG_TARGET, "directory gone: {why}; the last roster stays in force");
+                warn!(target: LOG_TARGET, "connection to the directory lost, keeping the last membership: {why}");
                 self.schedule_reconnect(ConnectTarget::Directory);
             }
             Purpose::Unidentified { .. } => {
-                warn!(target: LOG_TARGET, "connection on the signalling port closed: {why}")
+                warn!(target: LOG_TARGET, "unidentified connection on the signalling port closed: {why}")
             }
             Purpose::Admin(_) => self.connections.admin_connections -= 1,
         }
@@ -942,23 +975,23 @@
 }
 
 fn admin_reply(exchange: &Exchange, text: &[u8], started: Instant) -> String {
-    let asked: Result<Value, _> = serde_json::from_slice(text);
-    let asked = match asked {
-        Ok(asked) => asked,
+    let parsed: Result<Value, _> = serde_json::from_slice(text);
+    let request = match parsed {
+        Ok(request) => request,
         Err(error) => return error_text(&Value::Null, &RpcError::new(code::PARSE, error.to_string())),
     };
-    let id = asked.get("id").cloned().unwrap_or(Value::Null);
-    if let Err(denied) = exchange.admin_may(asked["token"].as_str()) {
+    let id = request.get("id").cloned().unwrap_or(Value::Null);
+    if let Err(denied) = exchange.admin_may(request["token"].as_str()) {
         return error_text(&id, &RpcError::new(code::DENIED, denied.to_string()));
     }
-    match asked["method"].as_str() {
+    match request["method"].as_str() {
         Some("status") => {
             let mut status = exchange.status();
             status["up_ms"] = json!(started.elapsed().as_millis() as u64);
             result_text(&id, status)
         }
         Some("trace") => {
-            let params = &asked["params"];
+            let params = &request["params"];
             let origin = params["origin"].as_u64().map(|origin| u16::try_from(origin).unwrap_or(u16::MAX));
             match params["call"].as_u64() {
                 Some(call) => result_text(&id, exchange.traces(origin, call)),
