--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -235,7 +235,7 @@
         };
         let text = RequestMessage { id: Some(json!(call)), request: Request::Offer(offer) }.text();
         let now = self.now;
-        self.first.line_text(now, &mut self.wires, self.line, text.as_bytes());
+        self.first.line_message(now, &mut self.wires, self.line, text.as_bytes());
         self.carry();
     }
 }
