--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -9,7 +9,7 @@
 use clap::{Parser, Subcommand};
 use mintstall_soak::exchange::{self, ExchangeConfig};
 use mintstall_soak::plan::Plan;
-use mintstall_soak::run::{Programs, run, save};
+use mintstall_soak::run::{Programs, run, save_records};
 
 #[derive(Parser)]
 #[command(
@@ -82,7 +82,7 @@
     };
     let controller = arguments.controller.clone().unwrap_or_else(|| soak.with_file_name("mintstall"));
     let plans: Vec<_> = match arguments.incident {
-        true => vec![Plan::vanish_while_the_bus_is_down()],
+        true => vec![Plan::machines_lost_while_bus_is_down()],
         false => (arguments.from..arguments.from + arguments.count).map(Plan::from_seed).collect(),
     };
     let (next, broken) = (AtomicU64::new(0), Mutex::new(Vec::new()));
@@ -115,7 +115,7 @@
             return false;
         }
     };
-    if let Err(error) = save(&records, &programs.directory.join("records.jsonl")) {
+    if let Err(error) = save_records(&records, &programs.directory.join("records.jsonl")) {
         println!("seed {}: records not kept: {error}", plan.seed);
     }
     println!(
@@ -124,10 +124,10 @@
         verdict.set_ups,
         verdict.served,
         verdict.ended_calls,
-        verdict.breaches.len()
+        verdict.violations.len()
     );
-    for breach in verdict.breaches.iter().take(8) {
-        println!("seed {}:   {breach}", plan.seed);
+    for violation in verdict.violations.iter().take(8) {
+        println!("seed {}:   {violation}", plan.seed);
     }
-    verdict.breaches.is_empty()
+    verdict.violations.is_empty()
 }
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -3,7 +3,7 @@
 use std::thread;
 
 use mintstall_soak::plan::Plan;
-use mintstall_soak::run::{Programs, run, save};
+use mintstall_soak::run::{Programs, run, save_records};
 
 /// Seeds of every theme: shutdowns, event bus, bad peers, network, fragments, crowd.
 const SEEDS: [u64; 6] = [0, 1, 2, 3, 4, 5];
@@ -18,19 +18,19 @@
     };
     let (verdict, records) = run(plan, &programs).unwrap();
     assert!(verdict.served > 100, "seed {}: next to nothing was served", plan.seed);
-    if verdict.breaches.is_empty() {
+    if verdict.violations.is_empty() {
         std::fs::remove_dir_all(directory).unwrap();
         return Vec::new();
     }
-    save(&records, &directory.join("records.jsonl")).unwrap();
-    let count = verdict.breaches.len();
-    let first = verdict.breaches.iter().take(5).map(|breach| format!("seed {}: {breach}", plan.seed));
+    save_records(&records, &directory.join("records.jsonl")).unwrap();
+    let count = verdict.violations.len();
+    let first = verdict.violations.iter().take(5).map(|violation| format!("seed {}: {violation}", plan.seed));
     first.chain([format!("seed {}: {count} breaches, {}", plan.seed, directory.display())]).collect()
 }
 
 #[test]
 fn callers_of_vanished_exchanges_are_told_in_time_while_the_event_bus_is_down() {
-    let broken = play(&Plan::vanish_while_the_bus_is_down());
+    let broken = play(&Plan::machines_lost_while_bus_is_down());
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
--- a/crates/soak/src/bad_callers.rs
+++ b/crates/soak/src/bad_callers.rs
@@ -19,7 +19,7 @@
 const SILENT_CROWD: usize = 20;
 
 #[derive(Clone, Copy, Debug)]
-enum Kind {
+enum BadRequest {
     Noise,
     NegativeLength,
     HugeBody,
@@ -31,16 +31,16 @@
     Crowd,
 }
 
-const KINDS: [Kind; 9] = [
-    Kind::Noise,
-    Kind::NegativeLength,
-    Kind::HugeBody,
-    Kind::EndlessHeaders,
-    Kind::UnknownClass,
-    Kind::NoId,
-    Kind::HalfARequest,
-    Kind::UnknownCall,
-    Kind::Crowd,
+const BAD_REQUESTS: [BadRequest; 9] = [
+    BadRequest::Noise,
+    BadRequest::NegativeLength,
+    BadRequest::HugeBody,
+    BadRequest::EndlessHeaders,
+    BadRequest::UnknownClass,
+    BadRequest::NoId,
+    BadRequest::HalfARequest,
+    BadRequest::UnknownCall,
+    BadRequest::Crowd,
 ];
 
 /// Sends bad requests to one controller until the run is over.
@@ -48,26 +48,31 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     while !over.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(rng.random_range(50..500)));
-        let starts = controller.starts();
+        let starts = controller.start_count();
         if controller.phase() != Phase::Ready {
             continue;
         }
-        let kind = KINDS[rng.random_range(0..KINDS.len())];
+        let bad_request = BAD_REQUESTS[rng.random_range(0..BAD_REQUESTS.len())];
         let opened = now();
         let Ok(stream) = controller.connect() else { continue };
-        let settled = attempt(controller, stream, kind, &mut rng);
+        let settled = attempt(controller, stream, bad_request, &mut rng);
         // A controller that was shut down meanwhile owed nothing more to this one.
         if controller.phase() == Phase::Ready
-            && controller.starts() == starts
+            && controller.start_count() == starts
             && !over.load(Ordering::Relaxed)
         {
-            let what = format!("{kind:?}");
-            recorder.add(Event::BadCaller { what, controller: controller.no, opened, settled });
+            let what = format!("{bad_request:?}");
+            recorder.add(Event::BadCaller { what, controller: controller.index, opened, settled });
         }
     }
 }
 
-fn attempt(controller: &ControllerProcess, mut stream: TcpStream, kind: Kind, rng: &mut Pcg64Mcg) -> bool {
+fn attempt(
+    controller: &ControllerProcess,
+    mut stream: TcpStream,
+    bad_request: BadRequest,
+    rng: &mut Pcg64Mcg,
+) -> bool {
     let opened = Instant::now();
     let id = format!("{:016x}", rng.random::<u64>());
     let head = format!("INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nCall-ID: {id}\r\nCSeq: 1 INVITE\r\n");
@@ -78,21 +83,21 @@
         )
     };
     let call = format!("Call-ID: {id}\r\n");
-    let text = match kind {
-        Kind::Noise => (0..200).map(|_| rng.random_range('!'..'~')).chain("\r\n\r\n".chars()).collect(),
-        Kind::NegativeLength => full("voice", &call, "-5"),
-        Kind::HugeBody => full("voice", &call, "60000000"),
-        Kind::EndlessHeaders => head + &"X-More: of the same\r\n".repeat(5000),
-        Kind::UnknownClass => full("telepathy", &call, "5"),
-        Kind::NoId => full("voice", "", "5"),
-        Kind::HalfARequest => head,
-        Kind::UnknownCall => {
+    let text = match bad_request {
+        BadRequest::Noise => (0..200).map(|_| rng.random_range('!'..'~')).chain("\r\n\r\n".chars()).collect(),
+        BadRequest::NegativeLength => full("voice", &call, "-5"),
+        BadRequest::HugeBody => full("voice", &call, "60000000"),
+        BadRequest::EndlessHeaders => head + &"X-More: of the same\r\n".repeat(5000),
+        BadRequest::UnknownClass => full("telepathy", &call, "5"),
+        BadRequest::NoId => full("voice", "", "5"),
+        BadRequest::HalfARequest => head,
+        BadRequest::UnknownCall => {
             format!("CANCEL sip:x@net SIP/2.0\r\n{call}CSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n")
         }
-        Kind::Crowd => String::new(),
+        BadRequest::Crowd => String::new(),
     };
-    let crowd: Vec<_> = match kind {
-        Kind::Crowd => (0..SILENT_CROWD).filter_map(|_| controller.connect().ok()).collect(),
+    let crowd: Vec<_> = match bad_request {
+        BadRequest::Crowd => (0..SILENT_CROWD).filter_map(|_| controller.connect().ok()).collect(),
         _ => Vec::new(),
     };
     // A close while it still writes settles it as well.
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -14,7 +14,7 @@
 
 use crate::controller::ControllerProcess;
 use crate::exchange::uid_of;
-use crate::record::{CallId, ConnectionNo, Event, Recorder, now};
+use crate::record::{CallId, ConnectionId, Event, Recorder, now};
 use crate::sync::lock;
 
 /// How often a caller looks at what is due.
@@ -38,7 +38,7 @@
     /// Often gives a set-up up early, and at times closes the connection.
     GivesUpEarly,
     /// Sends a refused call again at once, up to some times.
-    RepeatsAtOnce,
+    RedialsAtOnce,
 }
 
 /// How callers behave in one run.
@@ -46,7 +46,7 @@
 pub struct CallerPlan {
     pub behavior: CallerBehavior,
     /// Between two set-ups, on average.
-    pub gap: Duration,
+    pub mean_interval: Duration,
     /// Exchanges that are called, by their number from 1.
     pub offices: u16,
     pub seed: u64,
@@ -95,7 +95,7 @@
 /// One connection to a controller, read by a thread of its own.
 #[derive(Debug)]
 pub struct Connection {
-    no: ConnectionNo,
+    no: ConnectionId,
     stream: TcpStream,
     state: Mutex<ConnectionState>,
     closed: AtomicBool,
@@ -113,7 +113,7 @@
 }
 
 impl Connection {
-    pub fn dial(to: SocketAddr) -> io::Result<TcpStream> {
+    pub fn connect(to: SocketAddr) -> io::Result<TcpStream> {
         let stream = TcpStream::connect_timeout(&to, Duration::from_secs(1))?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(Duration::from_millis(100)))?;
@@ -127,8 +127,8 @@
 }
 
 /// Whether a controller passes a test on a new connection.
-pub fn test_message(to: SocketAddr) -> bool {
-    let Ok(mut stream) = Connection::dial(to) else { return false };
+pub fn answers_options(to: SocketAddr) -> bool {
+    let Ok(mut stream) = Connection::connect(to) else { return false };
     let text = request("OPTIONS", 0, "sip:ping@net");
     let mut buffer = [0; 64];
     stream.write_all(text.as_bytes()).is_ok()
@@ -175,7 +175,7 @@
         let no = NEXT_CONNECTION.fetch_add(1, Ordering::Relaxed);
         let connection =
             Arc::new(Connection { no, stream, state: Mutex::default(), closed: AtomicBool::new(false) });
-        self.recorder.add(Event::ConnectionOpened { connection: no, controller: self.controller.no });
+        self.recorder.add(Event::ConnectionOpened { connection: no, controller: self.controller.index });
         let (group, of_reader) = (self.clone(), Arc::clone(&connection));
         thread::spawn(move || group.read(&of_reader, reader));
         Some(connection)
@@ -226,7 +226,7 @@
                 self.final_answer(connection, call, status, message.body);
             }
             StartLine::Request { method: "BYE", .. } => {
-                self.recorder.add(Event::ReleaseReceivedByCaller { call, controller: self.controller.no });
+                self.recorder.add(Event::ReleaseReceivedByCaller { call, controller: self.controller.index });
                 self.lock().standing.remove(&call);
                 let answer = format!(
                     "SIP/2.0 200 OK\r\nCall-ID: {call:016x}\r\nCSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n"
@@ -304,7 +304,7 @@
             self.connection = None;
             self.cancels.clear();
         }
-        if self.connection.is_none() && self.group.controller.accepts() {
+        if self.connection.is_none() && self.group.controller.accepts_connections() {
             self.connection = self.group.open();
             self.used = Instant::now();
         }
@@ -318,7 +318,7 @@
 
     /// Tells a controller that has started again of the calls that stand.
     fn announce(&self, connection: &Connection) {
-        let starts = self.group.controller.starts();
+        let starts = self.group.controller.start_count();
         let mut shared = self.group.lock();
         if shared.announced >= starts {
             return;
@@ -329,7 +329,9 @@
         }
         for (call, standing) in &shared.standing {
             let text = invite(*call, 0, "voice", 1000, &format!("at:{}", standing.uid));
-            self.group.recorder.add(Event::Announced { call: *call, controller: self.group.controller.no });
+            self.group
+                .recorder
+                .add(Event::Announced { call: *call, controller: self.group.controller.index });
             let _ = (&connection.stream).write_all(text.as_bytes());
         }
     }
@@ -339,7 +341,7 @@
         for set_up in crossed {
             self.send(connection, set_up, 0);
         }
-        if self.plan.behavior == CallerBehavior::RepeatsAtOnce {
+        if self.plan.behavior == CallerBehavior::RedialsAtOnce {
             let refused = std::mem::take(&mut connection.lock().refused);
             for repeats in refused.into_iter().filter(|repeats| *repeats < 3) {
                 self.set_up(connection, repeats + 1);
@@ -348,8 +350,8 @@
         if Instant::now() < self.next {
             return;
         }
-        let gap = self.plan.gap.mul_f64(2.0 * self.rng.random::<f64>());
-        self.next = Instant::now() + gap;
+        let mean_interval = self.plan.mean_interval.mul_f64(2.0 * self.rng.random::<f64>());
+        self.next = Instant::now() + mean_interval;
         self.set_up(connection, 0);
     }
 
@@ -379,7 +381,7 @@
         if let Some(open) = connection.lock().open.get_mut(&call) {
             open.sent = Instant::now();
         }
-        let (no, controller) = (connection.no, self.group.controller.no);
+        let (no, controller) = (connection.no, self.group.controller.index);
         self.group.recorder.add_at(at, Event::SetUpSent { call, connection: no, controller, patience_ms });
         self.used = Instant::now();
         if self.plan.behavior == CallerBehavior::GivesUpEarly && self.rng.random_bool(0.3) {
--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -13,12 +13,12 @@
 use nix::unistd::Pid;
 use serde_json::{Value, json};
 
-use crate::callers::{Connection, test_message};
+use crate::callers::{Connection, answers_options};
 use crate::record::{ControllerIndex, Event, Recorder};
 use crate::sync::lock;
 
 /// Calls wait no longer than this for their answer.
-pub const LONGEST_DEADLINE: Duration = Duration::from_millis(2500);
+pub const MAX_CALL_DEADLINE: Duration = Duration::from_millis(2500);
 /// SIGKILL may come this long after the longest deadline has passed since SIGTERM.
 pub const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 /// New connections may still come for this long after SIGTERM.
@@ -43,14 +43,14 @@
     phase: Phase,
     child: Option<Child>,
     /// How often it has started.
-    starts: u32,
+    start_count: u32,
     bus: SocketAddr,
 }
 
 /// One controller; clones are the same one.
 #[derive(Clone, Debug)]
 pub struct ControllerProcess {
-    pub no: ControllerIndex,
+    pub index: ControllerIndex,
     pub listen: SocketAddr,
     state: Arc<Mutex<State>>,
     /// Held through a restart: two of them don't run into each other.
@@ -60,7 +60,7 @@
     recorder: Recorder,
     seed: u64,
     /// Whether the settings allow tests of exchanges.
-    may_probe: bool,
+    probes_enabled: bool,
 }
 
 /// Where a run finds the program and leaves its files.
@@ -72,17 +72,17 @@
 
 impl ControllerProcess {
     pub fn new(
-        no: ControllerIndex,
+        index: ControllerIndex,
         listen: SocketAddr,
         bus: SocketAddr,
         files: &Files,
         seed: u64,
-        may_probe: bool,
+        probes_enabled: bool,
         recorder: &Recorder,
     ) -> Self {
-        let state = State { phase: Phase::Down, child: None, starts: 0, bus };
+        let state = State { phase: Phase::Down, child: None, start_count: 0, bus };
         Self {
-            no,
+            index,
             listen,
             state: Arc::new(Mutex::new(state)),
             restart: Arc::default(),
@@ -90,7 +90,7 @@
             directory: files.directory.clone(),
             recorder: recorder.clone(),
             seed,
-            may_probe,
+            probes_enabled,
         }
     }
 
@@ -103,17 +103,17 @@
     }
 
     /// How often it has started: standing calls are announced again to each start.
-    pub fn starts(&self) -> u32 {
-        self.lock().starts
+    pub fn start_count(&self) -> u32 {
+        self.lock().start_count
     }
 
     /// Waits for a restart that is under way, and keeps others waiting.
-    pub fn begin_restart(&self) -> MutexGuard<'_, ()> {
+    pub fn lock_restart(&self) -> MutexGuard<'_, ()> {
         lock(&self.restart)
     }
 
     /// Whether the front opens new connections to it.
-    pub fn accepts(&self) -> bool {
+    pub fn accepts_connections(&self) -> bool {
         match self.phase() {
             Phase::Ready => true,
             Phase::Terminating { since } => since.elapsed() < CONNECTIONS_AFTER_TERM,
@@ -122,26 +122,26 @@
     }
 
     fn config_path(&self) -> PathBuf {
-        self.directory.join(format!("controller-{}.json", self.no))
+        self.directory.join(format!("controller-{}.json", self.index))
     }
 
     pub fn log_path(&self) -> PathBuf {
-        self.directory.join(format!("controller-{}.log", self.no))
+        self.directory.join(format!("controller-{}.log", self.index))
     }
 
-    fn write_config(&self, known: &Value, bus: SocketAddr, starts: u32) -> io::Result<()> {
-        let seed = self.seed.wrapping_add(u64::from(starts));
+    fn write_config(&self, known: &Value, bus: SocketAddr, start_count: u32) -> io::Result<()> {
+        let seed = self.seed.wrapping_add(u64::from(start_count));
         let lane = |name: &str, aim: f64, deadline: f64, semantics: &str| json!({"name": name, "aim_s": aim, "hard_limit_s": deadline, "worth": 1.0, "semantics": semantics});
-        let deadline = LONGEST_DEADLINE.as_secs_f64();
+        let deadline = MAX_CALL_DEADLINE.as_secs_f64();
         let config = json!({
-            "name": format!("n{}", self.no), "listen": self.listen, "seed": format!("{seed:016x}"), "bus": bus,
+            "name": format!("n{}", self.index), "listen": self.listen, "seed": format!("{seed:016x}"), "bus": bus,
             "limits": {"cores": 0.5, "memory_mb": MEMORY_KIB / 1024, "sockets": SOCKETS},
             "known": known,
             "settings": {
                 "lanes": [lane("voice", 0.8, 1.5, "free"), lane("data", 1.0, deadline, "single_shot")],
                 "tenants": [{"name": "acme"}], "dcs": ["east"],
                 "specifics": {"own_number": 0, "widths": [1, 1], "call_length_s": [4.0, 4.0], "clear_wait_s": RELEASE_TIME.as_secs_f64()},
-                "limits": {"most_tries": 4, "cancelling": true, "retry_after": true, "max_retry_after_s": 1.0, "probes": self.may_probe, "dial_timeout_s": 0.5},
+                "limits": {"most_tries": 4, "cancelling": true, "retry_after": true, "max_retry_after_s": 1.0, "probes": self.probes_enabled, "dial_timeout_s": 0.5},
                 "report": {"fields": ["idle", "circuits"]},
                 "rules": {"fall_multiple": 2.5, "cold_from": 0.5, "ramp_time_s": 3.0}
             }
@@ -154,32 +154,32 @@
 
     /// Starts the program, and waits until it passes a test.
     pub fn start(&self, known: &Value) -> io::Result<()> {
-        let starts = {
+        let start_count = {
             let mut state = self.lock();
-            state.starts += 1;
-            state.starts
+            state.start_count += 1;
+            state.start_count
         };
-        self.write_config(known, self.lock().bus, starts)?;
+        self.write_config(known, self.lock().bus, start_count)?;
         let log = File::options().create(true).append(true).open(self.log_path())?;
         let child = Command::new(&self.binary)
             .args(["--log", "info,mintstall::calls=debug", "node"])
             .env("LB_CONFIG", self.config_path())
             .env("LB_LISTEN", self.listen.to_string())
-            .env("LB_NAME", format!("n{}", self.no))
+            .env("LB_NAME", format!("n{}", self.index))
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()?;
         self.lock().child = Some(child);
         let began = Instant::now();
         while began.elapsed() < READY_WITHIN {
-            if test_message(self.listen) {
-                self.recorder.add(Event::ControllerReady { controller: self.no });
+            if answers_options(self.listen) {
+                self.recorder.add(Event::ControllerReady { controller: self.index });
                 self.lock().phase = Phase::Ready;
                 return Ok(());
             }
             thread::sleep(Duration::from_millis(20));
         }
-        self.recorder.add(Event::OverLimit { controller: self.no, what: "not ready in 10 s".into() });
+        self.recorder.add(Event::OverLimit { controller: self.index, what: "not ready in 10 s".into() });
         Ok(())
     }
 
@@ -192,13 +192,13 @@
 
     /// A new configuration with another address of the bus.
     pub fn reconfigure(&self, known: &Value, bus: SocketAddr) -> io::Result<()> {
-        let starts = {
+        let start_count = {
             let mut state = self.lock();
             state.bus = bus;
-            state.starts
+            state.start_count
         };
-        self.write_config(known, bus, starts)?;
-        self.recorder.add(Event::Reconfigured { controller: self.no });
+        self.write_config(known, bus, start_count)?;
+        self.recorder.add(Event::Reconfigured { controller: self.index });
         self.signal(Signal::SIGHUP);
         Ok(())
     }
@@ -207,9 +207,9 @@
     pub fn shut_down(&self) {
         let since = Instant::now();
         self.lock().phase = Phase::Terminating { since };
-        self.recorder.add(Event::Terminating { controller: self.no });
+        self.recorder.add(Event::Terminating { controller: self.index });
         self.signal(Signal::SIGTERM);
-        while since.elapsed() < LONGEST_DEADLINE + KILL_AFTER_DEADLINE {
+        while since.elapsed() < MAX_CALL_DEADLINE + KILL_AFTER_DEADLINE {
             if self.has_ended() {
                 return;
             }
@@ -222,7 +222,7 @@
         let mut state = self.lock();
         state.phase = Phase::Down;
         if let Some(mut child) = state.child.take() {
-            self.recorder.add(Event::Killed { controller: self.no });
+            self.recorder.add(Event::Killed { controller: self.index });
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -234,7 +234,7 @@
         let Some(child) = &mut state.child else { return true };
         let Ok(Some(status)) = child.try_wait() else { return false };
         let expected = matches!(state.phase, Phase::Terminating { .. }) && status.success();
-        let (controller, status) = (self.no, status.to_string());
+        let (controller, status) = (self.index, status.to_string());
         self.recorder.add(Event::Exited { controller, expected, status });
         state.child = None;
         state.phase = Phase::Down;
@@ -253,17 +253,18 @@
         let descriptors = fs::read_dir(path.join("fd")).map_or(0, Iterator::count);
         if descriptors > SOCKETS {
             let what = format!("{descriptors} descriptors");
-            self.recorder.add(Event::OverLimit { controller: self.no, what });
+            self.recorder.add(Event::OverLimit { controller: self.index, what });
         }
         let resident = fs::read_to_string(path.join("status")).ok().and_then(|text| resident_kib(&text));
         if let Some(kib) = resident.filter(|kib| *kib > MEMORY_KIB) {
-            self.recorder.add(Event::OverLimit { controller: self.no, what: format!("{kib} KiB resident") });
+            self.recorder
+                .add(Event::OverLimit { controller: self.index, what: format!("{kib} KiB resident") });
         }
     }
 
     /// A connection as the front opens it.
     pub fn connect(&self) -> io::Result<TcpStream> {
-        Connection::dial(self.listen)
+        Connection::connect(self.listen)
     }
 }
 
--- a/crates/soak/src/event_bus.rs
+++ b/crates/soak/src/event_bus.rs
@@ -86,7 +86,7 @@
         self.recorder.add(Event::ListChanged { offset, uid, state: name });
     }
 
-    pub fn begin(&self, fault: BusFault) {
+    pub fn begin_fault(&self, fault: BusFault) {
         let mut state = self.lock();
         let now = Some(Instant::now());
         match fault {
@@ -106,20 +106,20 @@
     }
 
     /// Where a controller is to ask from now on.
-    pub fn move_to(&self, controller: ControllerIndex, addr: SocketAddr) {
+    pub fn set_address(&self, controller: ControllerIndex, addr: SocketAddr) {
         self.lock().current[controller] = addr;
     }
 
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.lock().over = true;
     }
 
     /// The events so far, as the configuration of a controller holds them.
-    pub fn known(&self, controller: ControllerIndex) -> Value {
+    pub fn initial_events(&self, controller: ControllerIndex) -> Value {
         let state = self.lock();
         let mut latest: Vec<&Target> = Vec::new();
         for target in &state.events {
-            latest.retain(|known| known.uid != target.uid);
+            latest.retain(|older| older.uid != target.uid);
             latest.push(target);
         }
         latest.retain(|target| target.state != "terminated");
--- a/crates/soak/src/listener.rs
+++ b/crates/soak/src/listener.rs
@@ -13,7 +13,7 @@
 const BACKLOG: i32 = 16;
 
 #[derive(Debug)]
-pub struct CuttableListener {
+pub struct PartitionableListener {
     listener: TcpListener,
     addr: SocketAddr,
     fillers: Vec<Socket>,
@@ -34,7 +34,7 @@
     Ok(socket.into())
 }
 
-impl CuttableListener {
+impl PartitionableListener {
     pub fn bind(addr: SocketAddr) -> io::Result<Self> {
         Ok(Self {
             listener: listen(addr, BACKLOG)?,
@@ -45,7 +45,7 @@
     }
 
     /// From now on no new connection comes up.
-    pub fn cut(&mut self) -> io::Result<()> {
+    pub fn partition(&mut self) -> io::Result<()> {
         // One more than the backlog is queued; the others only wait to be.
         for _ in 0..BACKLOG + 4 {
             let socket = stream_socket()?;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -38,20 +38,20 @@
     Reconfigure {
         controller: ControllerIndex,
     },
-    /// The machine is gone and says nothing; the list follows after `listed`.
+    /// The machine is gone and says nothing; the list follows after `listed_after`.
     MachineLost {
         office: OfficeIndex,
-        listed: Duration,
+        listed_after: Duration,
     },
-    /// The process dies: its connections are reset; the list follows after `listed`.
+    /// The process dies: its connections are reset; the list follows after `listed_after`.
     ProcessCrash {
         office: OfficeIndex,
-        listed: Duration,
+        listed_after: Duration,
     },
     /// The process stops for a while, its connections open.
     Hang {
         office: OfficeIndex,
-        lasts: Duration,
+        duration: Duration,
     },
     /// Listed as leaving, ended after the grace, and replaced by a new one, on the same address or another.
     Replace {
@@ -62,19 +62,19 @@
     Partition {
         office: OfficeIndex,
         only: Option<ControllerIndex>,
-        lasts: Duration,
+        duration: Duration,
     },
     ResetLinks {
         office: OfficeIndex,
         controller: ControllerIndex,
     },
-    ResetOneLink {
+    ResetOldestLink {
         office: OfficeIndex,
         controller: ControllerIndex,
     },
     Bus {
         fault: BusFault,
-        lasts: Duration,
+        duration: Duration,
     },
 }
 
@@ -82,16 +82,16 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
-    pub actions: Vec<(Duration, Fault)>,
-    pub lasts: Duration,
+    pub faults: Vec<(Duration, Fault)>,
+    pub duration: Duration,
     pub behaviors: Vec<CallerBehavior>,
     /// Between two set-ups of one caller.
-    pub gap: Duration,
+    pub mean_set_up_interval: Duration,
     pub bad_callers: bool,
     /// Whether the controllers' settings allow tests of exchanges.
-    pub may_probe: bool,
-    pub answers: AnswerFaults,
-    pub connections: ConnectionFaults,
+    pub probes_enabled: bool,
+    pub answer_faults: AnswerFaults,
+    pub connection_faults: ConnectionFaults,
 }
 
 /// The kinds of trouble; a seed takes one, and something of the others.
@@ -102,11 +102,11 @@
     BadPeers,
     Network,
     Fragments,
-    Crowd,
+    HighLoad,
 }
 
 const THEMES: [Theme; 6] =
-    [Theme::Shutdowns, Theme::EventBus, Theme::BadPeers, Theme::Network, Theme::Fragments, Theme::Crowd];
+    [Theme::Shutdowns, Theme::EventBus, Theme::BadPeers, Theme::Network, Theme::Fragments, Theme::HighLoad];
 
 fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -114,7 +114,7 @@
 
 struct Draw {
     rng: Pcg64Mcg,
-    actions: Vec<(Duration, Fault)>,
+    faults: Vec<(Duration, Fault)>,
 }
 
 impl Draw {
@@ -134,8 +134,8 @@
         self.rng.random_range(0..CONTROLLERS)
     }
 
-    fn add(&mut self, at: Duration, action: Fault) {
-        self.actions.push((at, action));
+    fn add(&mut self, at: Duration, fault: Fault) {
+        self.faults.push((at, fault));
     }
 
     /// Controllers restarted one after another.
@@ -150,13 +150,13 @@
     /// An exchange hangs, vanishes, dies or is replaced.
     fn exchange_trouble(&mut self, at: Duration) {
         let office = self.office();
-        let action = match self.rng.random_range(0..4) {
-            0 => Fault::MachineLost { office, listed: self.span(5900, 12_000) },
-            1 => Fault::ProcessCrash { office, listed: self.span(1500, 5000) },
-            2 => Fault::Hang { office, lasts: self.span(800, 6000) },
+        let fault = match self.rng.random_range(0..4) {
+            0 => Fault::MachineLost { office, listed_after: self.span(5900, 12_000) },
+            1 => Fault::ProcessCrash { office, listed_after: self.span(1500, 5000) },
+            2 => Fault::Hang { office, duration: self.span(800, 6000) },
             _ => Fault::Replace { office, same_address: self.rng.random_bool(0.5) },
         };
-        self.add(at, action);
+        self.add(at, fault);
     }
 
     /// The bus fails for a while, and something happens at its return.
@@ -165,15 +165,15 @@
         let fault = *[BusFault::Break, BusFault::Silent, BusFault::Down]
             .choose(&mut self.rng)
             .unwrap_or(&BusFault::Down);
-        let lasts = self.span(1000, 8000);
-        self.add(at, Fault::Bus { fault, lasts });
+        let duration = self.span(1000, 8000);
+        self.add(at, Fault::Bus { fault, duration });
         let office = self.office();
-        let near = at + lasts - millis(self.rng.random_range(0..800).min(lasts.as_millis() as u64));
+        let near = at + duration - millis(self.rng.random_range(0..800).min(duration.as_millis() as u64));
         let same_address = self.rng.random_bool(0.5);
         self.add(near, Fault::Replace { office, same_address });
         if self.rng.random_bool(0.5) {
             let office = self.office();
-            self.add(at, Fault::MachineLost { office, listed: lasts + millis(300) });
+            self.add(at, Fault::MachineLost { office, listed_after: duration + millis(300) });
         }
     }
 
@@ -189,13 +189,13 @@
 
     fn network_trouble(&mut self) {
         let (at, office, controller) = (self.at(), self.office(), self.controller());
-        let action = match self.rng.random_range(0..4) {
-            0 => Fault::Partition { office, only: None, lasts: self.span(500, 6000) },
-            1 => Fault::Partition { office, only: Some(controller), lasts: self.span(500, 9000) },
+        let fault = match self.rng.random_range(0..4) {
+            0 => Fault::Partition { office, only: None, duration: self.span(500, 6000) },
+            1 => Fault::Partition { office, only: Some(controller), duration: self.span(500, 9000) },
             2 => Fault::ResetLinks { office, controller },
-            _ => Fault::ResetOneLink { office, controller },
+            _ => Fault::ResetOldestLink { office, controller },
         };
-        self.add(at, action);
+        self.add(at, fault);
     }
 }
 
@@ -203,8 +203,8 @@
     /// The run of a seed.
     pub fn from_seed(seed: u64) -> Self {
         let theme = THEMES[(seed % THEMES.len() as u64) as usize];
-        let mut draw = Draw { rng: Pcg64Mcg::seed_from_u64(seed), actions: Vec::new() };
-        let all = theme == Theme::Crowd;
+        let mut draw = Draw { rng: Pcg64Mcg::seed_from_u64(seed), faults: Vec::new() };
+        let all = theme == Theme::HighLoad;
         if theme == Theme::Shutdowns || theme == Theme::Fragments || all {
             draw.restarts();
         }
@@ -228,7 +228,7 @@
             draw.add(at, Fault::Kill { controller });
         }
         let spoilt = if theme == Theme::BadPeers || theme == Theme::Fragments || all { 0.01 } else { 0.0 };
-        let answers = AnswerFaults {
+        let answer_faults = AnswerFaults {
             noise: spoilt,
             broken_off: spoilt,
             missing: 2.0 * spoilt,
@@ -237,7 +237,7 @@
             reset: if theme == Theme::Network || all { 0.01 } else { spoilt },
             error: spoilt,
         };
-        let connections = ConnectionFaults {
+        let connection_faults = ConnectionFaults {
             closed_early: if theme == Theme::Network || all { 0.1 } else { 0.0 },
             in_pieces: if theme == Theme::Fragments || all { 0.5 } else { 0.1 },
         };
@@ -254,49 +254,49 @@
                 CallerBehavior::Plain,
                 CallerBehavior::WritesSlowly,
                 CallerBehavior::GivesUpEarly,
-                CallerBehavior::RepeatsAtOnce,
+                CallerBehavior::RedialsAtOnce,
             ],
         };
-        let gap = if all { millis(15) } else { millis(110) };
-        draw.actions.sort_by_key(|(at, _)| *at);
+        let mean_set_up_interval = if all { millis(15) } else { millis(110) };
+        draw.faults.sort_by_key(|(at, _)| *at);
         Self {
             seed,
-            lasts: lasts(&draw.actions),
-            actions: draw.actions,
+            duration: duration(&draw.faults),
+            faults: draw.faults,
             behaviors,
-            gap,
-            may_probe: !(seed / THEMES.len() as u64).is_multiple_of(3),
+            mean_set_up_interval,
+            probes_enabled: !(seed / THEMES.len() as u64).is_multiple_of(3),
             bad_callers: theme == Theme::BadPeers || all,
-            answers,
-            connections,
+            answer_faults,
+            connection_faults,
         }
     }
 
     /// Issue 25: exchanges vanish with calls standing while the event bus is down.
-    pub fn vanish_while_the_bus_is_down() -> Self {
-        let listed = millis(12_200);
-        let actions = vec![
-            (millis(3000), Fault::Bus { fault: BusFault::Down, lasts: millis(12_500) }),
-            (millis(4000), Fault::MachineLost { office: 0, listed }),
-            (millis(4000), Fault::MachineLost { office: 1, listed }),
+    pub fn machines_lost_while_bus_is_down() -> Self {
+        let listed_after = millis(12_200);
+        let faults = vec![
+            (millis(3000), Fault::Bus { fault: BusFault::Down, duration: millis(12_500) }),
+            (millis(4000), Fault::MachineLost { office: 0, listed_after }),
+            (millis(4000), Fault::MachineLost { office: 1, listed_after }),
         ];
         Self {
             seed: 25,
-            lasts: millis(14_000),
-            actions,
+            duration: millis(14_000),
+            faults,
             behaviors: vec![CallerBehavior::Plain; 4],
-            gap: millis(110),
+            mean_set_up_interval: millis(110),
             bad_callers: false,
-            may_probe: true,
-            answers: AnswerFaults::default(),
-            connections: ConnectionFaults::default(),
+            probes_enabled: true,
+            answer_faults: AnswerFaults::default(),
+            connection_faults: ConnectionFaults::default(),
         }
     }
 }
 
-fn lasts(actions: &[(Duration, Fault)]) -> Duration {
-    let last = actions.iter().map(|(at, action)| {
-        *at + match action {
+fn duration(faults: &[(Duration, Fault)]) -> Duration {
+    let last = faults.iter().map(|(at, fault)| {
+        *at + match fault {
             Fault::Restart { .. } => millis(3500),
             _ => Duration::ZERO,
         }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The network between one controller and one exchange: it can be cut, reset its connections, or cut messages to pieces.
+//! The network between one controller and one exchange: it can be partitioned, reset its connections, or split messages into pieces.
 //!
 //! It also is where the controller's messages are first seen, so it records them.
 
@@ -13,13 +13,13 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::listener::{CuttableListener, reset};
-use crate::record::{ConnectionNo, ControllerIndex, Event, Recorder};
+use crate::listener::{PartitionableListener, reset};
+use crate::record::{ConnectionId, ControllerIndex, Event, Recorder};
 use crate::sync::lock;
 
 /// How often a thread looks at what has been asked of it.
 const TICK: Duration = Duration::from_millis(5);
-/// Octets that wait while the network is cut.
+/// Octets that wait while the network is partitioned.
 const MOST_HELD: usize = 1 << 20;
 
 /// What the network does.
@@ -56,7 +56,7 @@
 
 #[derive(Debug)]
 struct Link {
-    no: ConnectionNo,
+    no: ConnectionId,
     uid: String,
     reset: AtomicBool,
     closed: AtomicBool,
@@ -101,7 +101,7 @@
         Self { addr, shared }
     }
 
-    pub fn set_network(&self, network: NetworkState) {
+    pub fn set_network_state(&self, network: NetworkState) {
         set(&self.shared.network, network);
     }
 
@@ -122,13 +122,13 @@
     }
 
     /// Resets one connection, the one opened first.
-    pub fn reset_one_link(&self) {
+    pub fn reset_oldest_link(&self) {
         if let Some(link) = get(&self.shared.links).first() {
             link.reset.store(true, Ordering::Relaxed);
         }
     }
 
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.shared.over.store(true, Ordering::Relaxed);
     }
 }
@@ -142,16 +142,16 @@
             if network == NetworkState::Refusing {
                 listener = None;
             } else if listener.is_none() {
-                listener = CuttableListener::bind(addr).ok();
+                listener = PartitionableListener::bind(addr).ok();
             }
             match (&mut listener, network) {
-                (Some(listener), NetworkState::Partitioned) => drop(listener.cut()),
+                (Some(listener), NetworkState::Partitioned) => drop(listener.partition()),
                 (Some(listener), NetworkState::Up) => listener.heal(),
                 _ => {}
             }
             was = network;
         }
-        let stream = listener.as_mut().and_then(CuttableListener::accept);
+        let stream = listener.as_mut().and_then(PartitionableListener::accept);
         match stream {
             Some(stream) => connect(shared, stream, &mut rng),
             None => thread::sleep(TICK),
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -17,7 +17,7 @@
 pub type ControllerIndex = usize;
 
 /// A connection or link, numbered over the whole run.
-pub type ConnectionNo = u64;
+pub type ConnectionId = u64;
 
 pub fn now() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Micros)
@@ -49,20 +49,20 @@
 pub enum Event {
     // Callers.
     ConnectionOpened {
-        connection: ConnectionNo,
+        connection: ConnectionId,
         controller: ControllerIndex,
     },
     /// Its last octet has been written.
     SetUpSent {
         call: CallId,
-        connection: ConnectionNo,
+        connection: ConnectionId,
         controller: ControllerIndex,
         patience_ms: u64,
     },
     /// A final answer has been read; `description` is that of an answer 200.
     FinalAnswer {
         call: CallId,
-        connection: ConnectionNo,
+        connection: ConnectionId,
         status: u16,
         description: String,
     },
@@ -71,10 +71,10 @@
     },
     /// The controller, or the end of its process, has closed the connection.
     ClosedByController {
-        connection: ConnectionNo,
+        connection: ConnectionId,
     },
     ClosedByCaller {
-        connection: ConnectionNo,
+        connection: ConnectionId,
     },
     #[serde(rename = "ReleaseHeard")]
     ReleaseReceivedByCaller {
@@ -91,7 +91,7 @@
     },
     /// What a controller sent can't be read.
     Unreadable {
-        connection: ConnectionNo,
+        connection: ConnectionId,
         why: String,
     },
     /// A connection that broke the protocol: whether it got a refusal, an error or a close in time.
@@ -123,27 +123,27 @@
         uid: String,
         call: CallId,
         controller: ControllerIndex,
-        link: ConnectionNo,
+        link: ConnectionId,
     },
     /// A release has been read from the controller: the set-up on that link is given up, or the call is over.
     ReleasePassed {
         uid: String,
         call: CallId,
         controller: ControllerIndex,
-        link: ConnectionNo,
+        link: ConnectionId,
     },
     LinkOpened {
-        link: ConnectionNo,
+        link: ConnectionId,
         controller: ControllerIndex,
     },
     /// The controller has closed the link.
     LinkClosed {
-        link: ConnectionNo,
+        link: ConnectionId,
         controller: ControllerIndex,
     },
     /// The link has been reset by the network or the exchange.
     LinkReset {
-        link: ConnectionNo,
+        link: ConnectionId,
         controller: ControllerIndex,
     },
     /// A release of the exchange has been written to the controller.
@@ -151,7 +151,7 @@
         uid: String,
         call: CallId,
         controller: ControllerIndex,
-        link: ConnectionNo,
+        link: ConnectionId,
     },
     // The run itself.
     ExchangeEnded {
--- a/crates/soak/src/rule_checker.rs
+++ b/crates/soak/src/rule_checker.rs
@@ -10,7 +10,7 @@
 
 use crate::controller::{DRAIN_GRACE, RELEASE_TIME};
 use crate::exchange::{description as description_of, uid_of};
-use crate::record::{AttemptEnd, BusFault, CallId, ConnectionNo, ControllerIndex, Event, Micros, Record};
+use crate::record::{AttemptEnd, BusFault, CallId, ConnectionId, ControllerIndex, Event, Micros, Record};
 
 const SECOND: Micros = 1_000_000;
 const MILLISECOND: Micros = 1_000;
@@ -50,7 +50,7 @@
     BadCaller,
 }
 
-/// One breach.
+/// One violation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: Rule,
@@ -67,7 +67,7 @@
 /// What a run came to.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    pub breaches: Vec<Violation>,
+    pub violations: Vec<Violation>,
     pub set_ups: usize,
     pub served: usize,
     pub ended_calls: usize,
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 struct Sent {
     at: Micros,
-    connection: ConnectionNo,
+    connection: ConnectionId,
     controller: ControllerIndex,
     patience: Micros,
 }
@@ -85,7 +85,7 @@
 struct Call {
     sent: Vec<Sent>,
     /// When, on which connection, with which status and description.
-    answers: Vec<(Micros, ConnectionNo, u16, String)>,
+    answers: Vec<(Micros, ConnectionId, u16, String)>,
     cancelled: Option<Micros>,
     /// What became of it at each exchange that answered: of several attempts one alone is the caller's.
     stood: BTreeMap<String, Stood>,
@@ -115,11 +115,11 @@
 #[derive(Debug, Default)]
 struct Facts {
     calls: BTreeMap<CallId, Call>,
-    closed_by_controller: BTreeMap<ConnectionNo, Micros>,
-    closed_by_caller: BTreeMap<ConnectionNo, Micros>,
-    heard: BTreeSet<ConnectionNo>,
+    closed_by_controller: BTreeMap<ConnectionId, Micros>,
+    closed_by_caller: BTreeMap<ConnectionId, Micros>,
+    heard: BTreeSet<ConnectionId>,
     /// When each link between a controller and an exchange was opened.
-    links: BTreeMap<ConnectionNo, Micros>,
+    links: BTreeMap<ConnectionId, Micros>,
     /// When each controller was ready.
     ready: BTreeMap<ControllerIndex, Vec<Micros>>,
     exchange_ended: BTreeMap<String, Micros>,
@@ -136,14 +136,14 @@
 }
 
 /// Judges a whole run. `end` is when its faults were over and callers stopped.
-pub fn judge(records: &[Record], end: Micros) -> Verdict {
+pub fn check_rules(records: &[Record], end: Micros) -> Verdict {
     let facts = Facts::gather(records, end);
     let mut verdict = Verdict::default();
-    facts.judge_answers(&mut verdict);
-    facts.judge_ends(&mut verdict);
-    judge_attempts(records, &facts, &mut verdict.breaches);
-    judge_processes(records, &mut verdict.breaches);
-    verdict.breaches.sort_by_key(|breach| (breach.at, breach.rule));
+    facts.check_answers(&mut verdict);
+    facts.check_call_ends(&mut verdict);
+    check_attempts(records, &facts, &mut verdict.violations);
+    check_processes(records, &mut verdict.violations);
+    verdict.violations.sort_by_key(|violation| (violation.at, violation.rule));
     verdict
 }
 
@@ -260,13 +260,13 @@
         kills.filter(|kill| (from..=until).contains(*kill)).any(|kill| !warned(*kill))
     }
 
-    fn judge_answers(&self, verdict: &mut Verdict) {
+    fn check_answers(&self, verdict: &mut Verdict) {
         for (id, call) in &self.calls {
             let Some(first) = call.sent.first() else { continue };
             verdict.set_ups += 1;
             if call.answers.len() > 1 {
                 let at = call.answers[1].0;
-                verdict.breaches.push(breach(
+                verdict.violations.push(violation(
                     Rule::Lost,
                     at,
                     format!("call {id:016x} has a second final answer"),
@@ -280,7 +280,7 @@
                     let what = format!(
                         "call {id:016x} is answered with {description:?}, the exchange gave {given:?}"
                     );
-                    verdict.breaches.push(breach(Rule::Lost, *at, what));
+                    verdict.violations.push(violation(Rule::Lost, *at, what));
                 }
             }
             let last = call.sent.last().unwrap_or(first);
@@ -297,7 +297,7 @@
                 last.connection,
                 last.patience / MILLISECOND
             );
-            verdict.breaches.push(breach(Rule::Lost, last.at, what));
+            verdict.violations.push(violation(Rule::Lost, last.at, what));
         }
     }
 
@@ -326,7 +326,7 @@
         self.killed_outright(sent.controller, kill, kill) || sent.at + CROSSING >= kill
     }
 
-    fn judge_ends(&self, verdict: &mut Verdict) {
+    fn check_call_ends(&self, verdict: &mut Verdict) {
         for (id, call) in &self.calls {
             let served = call.answers.first().filter(|(_, _, status, _)| *status == 200);
             let (Some((.., description)), Some(sent)) = (served, call.sent.last()) else { continue };
@@ -351,7 +351,7 @@
                 format!("told {} ms after its end", at.saturating_sub(over) / MILLISECOND)
             });
             let what = format!("call {id:016x} of n{} at {uid} is over, {when}", sent.controller);
-            verdict.breaches.push(breach(Rule::Lost, over, what));
+            verdict.violations.push(violation(Rule::Lost, over, what));
         }
     }
 
@@ -410,7 +410,7 @@
     of.as_micros() as Micros
 }
 
-fn breach(rule: Rule, at: Micros, what: String) -> Violation {
+fn violation(rule: Rule, at: Micros, what: String) -> Violation {
     Violation { rule, at, what }
 }
 
@@ -418,7 +418,7 @@
 #[derive(Debug)]
 struct Attempt {
     uid: String,
-    link: ConnectionNo,
+    link: ConnectionId,
     /// Come whole to its exchange.
     received: Option<Micros>,
     /// Its end written, or given up, or its connection closed.
@@ -428,14 +428,14 @@
 }
 
 /// Rules 2, 3 and 5, from what passed between controllers and exchanges.
-fn judge_attempts(records: &[Record], facts: &Facts, breaches: &mut Vec<Violation>) {
+fn check_attempts(records: &[Record], facts: &Facts, violations: &mut Vec<Violation>) {
     let mut calls: BTreeMap<CallId, Vec<Attempt>> = BTreeMap::new();
     for Record { at, event } in records {
         match event {
             Event::SetUpPassed { uid, call, controller, link } => {
-                judge_drain(facts, breaches, *at, *controller, uid, *call);
+                check_drain(facts, violations, *at, *controller, uid, *call);
                 let attempts = calls.entry(*call).or_default();
-                judge_repetition(breaches, *at, *call, attempts);
+                check_repetition(violations, *at, *call, attempts);
                 let attempt = Attempt {
                     uid: uid.clone(),
                     link: *link,
@@ -484,9 +484,9 @@
     calls.get_mut(&call)?.iter_mut().rev().find(|attempt| attempt.uid == uid)
 }
 
-fn judge_drain(
+fn check_drain(
     facts: &Facts,
-    breaches: &mut Vec<Violation>,
+    violations: &mut Vec<Violation>,
     at: Micros,
     controller: ControllerIndex,
     uid: &str,
@@ -499,32 +499,32 @@
             "call {call:016x} is sent by n{controller} to {uid}, {} ms after its drain counts as told",
             (at - told) / MILLISECOND
         );
-        breaches.push(breach(Rule::Drain, at, what));
+        violations.push(violation(Rule::Drain, at, what));
     }
 }
 
 /// A further attempt: the one before must have ended, and its release time passed.
-fn judge_repetition(breaches: &mut Vec<Violation>, at: Micros, call: CallId, attempts: &[Attempt]) {
+fn check_repetition(violations: &mut Vec<Violation>, at: Micros, call: CallId, attempts: &[Attempt]) {
     let Some(before) = attempts.last() else { return };
     match before.ended {
         // What has not come whole to its exchange is not out.
         None if before.received.is_none() => {}
         None => {
             let what = format!("call {call:016x} is sent again while its attempt at {} is out", before.uid);
-            breaches.push(breach(Rule::Duplicate, at, what));
+            violations.push(violation(Rule::Duplicate, at, what));
         }
         Some(ended) if !before.by_exchange && before.received.is_some() => {
             let span = at.saturating_sub(ended) + RECORDING;
             if span < duration(RELEASE_TIME) {
                 let what = format!("call {call:016x} is sent again after {} ms", span / MILLISECOND);
-                breaches.push(breach(Rule::Release, at, what));
+                violations.push(violation(Rule::Release, at, what));
             }
         }
         Some(_) => {}
     }
 }
 
-fn judge_processes(records: &[Record], breaches: &mut Vec<Violation>) {
+fn check_processes(records: &[Record], violations: &mut Vec<Violation>) {
     for Record { at, event } in records {
         let found = match event {
             Event::Exited { controller, expected: false, status } => {
@@ -539,7 +539,7 @@
             }
             _ => None,
         };
-        breaches.extend(found.map(|(rule, what)| breach(rule, *at, what)));
+        violations.extend(found.map(|(rule, what)| violation(rule, *at, what)));
     }
 }
 
@@ -567,7 +567,7 @@
     }
 
     fn rules(records: &[Record]) -> Vec<Rule> {
-        judge(records, 60 * SECOND).breaches.into_iter().map(|breach| breach.rule).collect()
+        check_rules(records, 60 * SECOND).violations.into_iter().map(|violation| violation.rule).collect()
     }
 
     #[test]
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -22,7 +22,7 @@
 use crate::plan::{CONTROLLERS, Fault, OFFICES, Plan};
 use crate::proxy::{NetworkState, Proxy};
 use crate::record::{Event, Record, Recorder, now};
-use crate::rule_checker::{Verdict, judge};
+use crate::rule_checker::{Verdict, check_rules};
 use crate::sync::lock;
 
 /// Addresses of the bus that each controller's configuration may name.
@@ -109,19 +109,19 @@
     let groups = world.start_callers();
     let began = Instant::now();
     let mut steps = Vec::new();
-    for (at, action) in plan.actions.clone() {
+    for (at, action) in plan.faults.clone() {
         world.wait(began + at);
         let world = Arc::clone(&world);
         steps.push(thread::spawn(move || world.carry_out(action)));
     }
-    world.wait(began + plan.lasts);
+    world.wait(began + plan.duration);
     let end = now();
     world.over.store(true, Ordering::Relaxed);
     join(groups);
     join(steps);
     world.stop();
     let records = world.recorder.sorted();
-    Ok((judge(&records, end), records))
+    Ok((check_rules(&records, end), records))
 }
 
 fn join(threads: Vec<JoinHandle<()>>) {
@@ -146,7 +146,7 @@
                     bus_addresses[no][0],
                     &files,
                     plan.seed + no as u64,
-                    plan.may_probe,
+                    plan.probes_enabled,
                     &recorder,
                 )
             })
@@ -169,7 +169,7 @@
             world.offices.push(Mutex::new(Office { exchange, proxies, generation: 0, ended: false }));
         }
         for controller in &world.controllers {
-            let known = world.bus.known(controller.no);
+            let known = world.bus.initial_events(controller.index);
             controller.start(&known).map_err(io_error("controller"))?;
         }
         Ok(world)
@@ -184,7 +184,7 @@
             circuits: CIRCUITS,
             answer_ms: (2, 60),
             hold_ms: (500, 7000),
-            faults: self.plan.answers,
+            faults: self.plan.answer_faults,
         };
         let text =
             serde_json::to_string(&config).map_err(|error| RunError::Json { what: "exchange", error })?;
@@ -212,7 +212,7 @@
             let seed = self.plan.seed ^ (office * CONTROLLERS + controller) as u64;
             let upstream = exchange.listen[controller];
             let proxy = Proxy::start(controller, allocate(), upstream, &exchange.uid, seed, &self.recorder);
-            proxy.set_faults(self.plan.connections);
+            proxy.set_faults(self.plan.connection_faults);
             proxy
         };
         let proxies: Vec<_> = (0..CONTROLLERS).map(start).collect();
@@ -235,8 +235,13 @@
         for controller in &self.controllers {
             let group = CallerGroup::new(controller, &self.recorder, &self.over);
             for (at, behavior) in self.plan.behaviors.iter().copied().enumerate() {
-                let seed = self.plan.seed << 16 ^ (controller.no * 64 + at) as u64;
-                let plan = CallerPlan { behavior, gap: self.plan.gap, offices: OFFICES as u16, seed };
+                let seed = self.plan.seed << 16 ^ (controller.index * 64 + at) as u64;
+                let plan = CallerPlan {
+                    behavior,
+                    mean_interval: self.plan.mean_set_up_interval,
+                    offices: OFFICES as u16,
+                    seed,
+                };
                 threads.push(group.spawn(plan));
             }
             if self.plan.bad_callers {
@@ -278,34 +283,34 @@
                 controller.kill();
             }),
             Fault::Reconfigure { controller } => self.reconfigure(controller),
-            Fault::MachineLost { office, listed } => self.vanish(office, listed),
-            Fault::ProcessCrash { office, listed } => self.die(office, listed),
-            Fault::Hang { office, lasts } => self.hang(office, lasts),
+            Fault::MachineLost { office, listed_after } => self.vanish(office, listed_after),
+            Fault::ProcessCrash { office, listed_after } => self.die(office, listed_after),
+            Fault::Hang { office, duration } => self.hang(office, duration),
             Fault::Replace { office, same_address } => self.replace(office, same_address),
-            Fault::Partition { office, only, lasts } => self.cut(office, only, lasts),
+            Fault::Partition { office, only, duration } => self.cut(office, only, duration),
             Fault::ResetLinks { office, controller } => {
                 lock(&self.offices[office]).proxies[controller].reset_links()
             }
-            Fault::ResetOneLink { office, controller } => {
-                lock(&self.offices[office]).proxies[controller].reset_one_link();
+            Fault::ResetOldestLink { office, controller } => {
+                lock(&self.offices[office]).proxies[controller].reset_oldest_link();
             }
-            Fault::Bus { fault, lasts } => {
-                self.bus.begin(fault);
-                self.pass(lasts);
+            Fault::Bus { fault, duration } => {
+                self.bus.begin_fault(fault);
+                self.pass(duration);
                 self.bus.end_fault(fault);
             }
         }
     }
 
     fn restart(&self, controller: &ControllerProcess, end: fn(&ControllerProcess)) {
-        let _restart = controller.begin_restart();
+        let _restart = controller.lock_restart();
         end(controller);
         self.pass(RESTART_AFTER);
         if !self.over.load(Ordering::Relaxed) {
-            let started = controller.start(&self.bus.known(controller.no));
+            let started = controller.start(&self.bus.initial_events(controller.index));
             if let Err(error) = started {
                 let what = format!("can't be started: {error}");
-                self.recorder.add(Event::OverLimit { controller: controller.no, what });
+                self.recorder.add(Event::OverLimit { controller: controller.index, what });
             }
         }
     }
@@ -313,10 +318,10 @@
     fn reconfigure(&self, controller: usize) {
         let addresses = &self.bus_addresses[controller];
         let next = addresses[(now() as usize / 7) % addresses.len()];
-        self.bus.move_to(controller, next);
+        self.bus.set_address(controller, next);
         let controller = &self.controllers[controller];
         // One that can't be written leaves the former in place.
-        let _ = controller.reconfigure(&self.bus.known(controller.no), next);
+        let _ = controller.reconfigure(&self.bus.initial_events(controller.index), next);
     }
 
     /// Ends an exchange, unless another fault has; what follows is about that one while the generation is the same.
@@ -325,7 +330,7 @@
         if std::mem::replace(&mut office.ended, true) {
             return None;
         }
-        office.proxies.iter().for_each(|proxy| proxy.set_network(network));
+        office.proxies.iter().for_each(|proxy| proxy.set_network_state(network));
         // What passes has come to its end before the process does.
         thread::sleep(2 * TICK);
         let uid = office.exchange.uid.clone();
@@ -338,15 +343,15 @@
         Some(office.generation)
     }
 
-    fn vanish(&self, office: usize, listed: Duration) {
+    fn vanish(&self, office: usize, listed_after: Duration) {
         let Some(generation) = self.end_exchange(office, NetworkState::Partitioned) else { return };
-        self.pass(listed);
+        self.pass(listed_after);
         self.replace_ended(office, generation, false);
     }
 
-    fn die(&self, office: usize, listed: Duration) {
+    fn die(&self, office: usize, listed_after: Duration) {
         let Some(generation) = self.end_exchange(office, NetworkState::Refusing) else { return };
-        self.pass(listed);
+        self.pass(listed_after);
         self.replace_ended(office, generation, true);
     }
 
@@ -361,7 +366,7 @@
         let proxies = if same_address {
             for (proxy, upstream) in present.proxies.iter().zip(&next.listen) {
                 proxy.set_upstream(*upstream, &next.uid);
-                proxy.set_network(NetworkState::Up);
+                proxy.set_network_state(NetworkState::Up);
             }
             present.proxies.clone()
         } else {
@@ -385,14 +390,14 @@
         }
     }
 
-    fn hang(&self, office: usize, lasts: Duration) {
+    fn hang(&self, office: usize, duration: Duration) {
         let (uid, generation) = {
             let present = lock(&self.offices[office]);
             present.exchange.signal(Signal::SIGSTOP);
             (present.exchange.uid.clone(), present.generation)
         };
         self.recorder.add(Event::ExchangeHung { uid: uid.clone() });
-        self.pass(lasts);
+        self.pass(duration);
         let present = lock(&self.offices[office]);
         if present.generation == generation {
             present.exchange.signal(Signal::SIGCONT);
@@ -400,7 +405,7 @@
         }
     }
 
-    fn cut(&self, office: usize, only: Option<usize>, lasts: Duration) {
+    fn cut(&self, office: usize, only: Option<usize>, duration: Duration) {
         let (uid, proxies) = {
             let present = lock(&self.offices[office]);
             if present.ended {
@@ -413,19 +418,19 @@
             None => proxies,
         };
         self.recorder.add(Event::NetworkCut { uid: uid.clone() });
-        cut.iter().for_each(|proxy| proxy.set_network(NetworkState::Partitioned));
-        self.pass(lasts);
+        cut.iter().for_each(|proxy| proxy.set_network_state(NetworkState::Partitioned));
+        self.pass(duration);
         let present = lock(&self.offices[office]);
         if present.exchange.uid == uid && !present.ended {
-            cut.iter().for_each(|proxy| proxy.set_network(NetworkState::Up));
+            cut.iter().for_each(|proxy| proxy.set_network_state(NetworkState::Up));
             self.recorder.add(Event::NetworkHealed { uid });
         }
     }
 
     fn stop(&self) {
         self.controllers.iter().for_each(ControllerProcess::kill);
-        self.bus.end();
-        lock(&self.all_proxies).iter().for_each(Proxy::end);
+        self.bus.stop();
+        lock(&self.all_proxies).iter().for_each(Proxy::stop);
     }
 }
 
@@ -437,7 +442,7 @@
 }
 
 /// Writes all records of a run, one JSON object a line.
-pub fn save(records: &[Record], path: &Path) -> Result<(), RunError> {
+pub fn save_records(records: &[Record], path: &Path) -> Result<(), RunError> {
     let mut text = String::new();
     for record in records {
         let line = serde_json::to_string(record).map_err(|error| RunError::Json { what: "record", error })?;
