--- a/crates/soak/src/exchange.rs
+++ b/crates/soak/src/exchange.rs
@@ -150,7 +150,7 @@
         let Ok(reader) = stream.try_clone() else { continue };
         let link = lock(shared).open_link(controller, stream);
         let shared = Arc::clone(shared);
-        thread::spawn(move || read(&shared, link, reader));
+        thread::spawn(move || read_until_closed(&shared, link, reader));
     }
 }
 
@@ -306,9 +306,9 @@
     }
 
     fn on_release(&mut self, link: u64, call: CallId) {
-        let Some(found_call) = self.calls.remove(&call) else { return };
+        let Some(released) = self.calls.remove(&call) else { return };
         let uid = self.uid();
-        match found_call.state {
+        match released.state {
             CallState::Waiting => write_record(Event::AttemptEnded { uid, call, end: AttemptEnd::GivenUp }),
             CallState::Standing => write_record(Event::CallOver { uid, call, by_controller: true }),
         }
@@ -342,11 +342,11 @@
 
     fn answer(&mut self, call: CallId) {
         let faults = self.config.faults;
-        let Some(found_call) = self.calls.get_mut(&call).filter(|call| call.state == CallState::Waiting)
+        let Some(waiting_call) = self.calls.get_mut(&call).filter(|call| call.state == CallState::Waiting)
         else {
             return;
         };
-        let link = found_call.link;
+        let link = waiting_call.link;
         let draw = self.rng.random::<f64>();
         if draw < faults.missing {
             return;
@@ -354,7 +354,7 @@
         if draw < faults.missing + faults.noise + faults.broken_off {
             return self.send_corrupt_answer(call, link, draw < faults.missing + faults.noise);
         }
-        found_call.state = CallState::Standing;
+        waiting_call.state = CallState::Standing;
         write_record(Event::AttemptEnded { uid: self.uid(), call, end: AttemptEnd::Answered });
         if self.rng.random_bool(faults.stray) {
             self.send_answer(link, !call);
@@ -369,7 +369,7 @@
     /// Ends the call with an answer that can't be decoded: noise, or half of the answer and then a close.
     fn send_corrupt_answer(&mut self, call: CallId, link: u64, noise: bool) {
         self.calls.remove(&call);
-        write_record(Event::AttemptEnded { uid: self.uid(), call, end: AttemptEnd::Spoilt });
+        write_record(Event::AttemptEnded { uid: self.uid(), call, end: AttemptEnd::Corrupted });
         if noise {
             return self.send_raw(link, &[0xff, 0xff, 0xee, 1, 2, 3]);
         }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a run does: drawn from a seed, so that a run that breaks a rule can be played again.
+//! The plan of a run: faults and settings drawn from a seed, so that a run that breaks a rule can be repeated.
 
 use std::time::Duration;
 
@@ -12,21 +12,22 @@
 use crate::record::{BusFault, ControllerIndex};
 
 pub const CONTROLLERS: usize = 3;
-/// Offices that are called, each served by one exchange at a time.
+/// Number of offices that callers call. An office is a dialled destination, served by one exchange at a time.
 pub const OFFICES: usize = 3;
-/// Faults begin once calls stand.
+/// Faults begin when calls stand already.
 const FIRST_FAULT_MS: u64 = 3000;
 const LAST_FAULT_MS: u64 = 11_000;
-/// After the last fault, ends that nobody tells still have their time.
-const SETTLE: Duration = Duration::from_millis(11_500);
+/// Time from the last fault to the end of the run, so that the time limit for call ends without a release expires within
+/// the run.
+const SETTLE_TIME: Duration = Duration::from_millis(11_500);
 
-/// The exchange that serves an office at that time.
+/// The index of an office. A fault of an exchange hits the one that serves the office at that time.
 pub type OfficeIndex = usize;
 
-/// One fault.
+/// A fault or a planned change that a run applies.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// SIGTERM, SIGKILL at the earliest, and a new start at once.
+    /// SIGTERM, SIGKILL at the earliest time allowed, and a new start at once.
     Restart {
         controller: ControllerIndex,
     },
@@ -34,34 +35,35 @@
     Kill {
         controller: ControllerIndex,
     },
-    /// A new configuration with another address of the bus.
+    /// A new configuration with another address of the event bus.
     Reconfigure {
         controller: ControllerIndex,
     },
-    /// The machine is gone and says nothing; the list follows after `listed_after`.
+    /// The machine is lost and its connections stay silent. The event bus lists a replacement after `listed_after`.
     MachineLost {
         office: OfficeIndex,
         listed_after: Duration,
     },
-    /// The process dies: its connections are reset; the list follows after `listed_after`.
+    /// The process is killed and its connections are reset. The event bus lists a replacement after `listed_after`.
     ProcessCrash {
         office: OfficeIndex,
         listed_after: Duration,
     },
-    /// The process stops for a while, its connections open.
+    /// The process is stopped for a while; its connections stay open.
     Hang {
         office: OfficeIndex,
         duration: Duration,
     },
-    /// Listed as leaving, ended after the grace, and replaced by a new one, on the same address or another.
+    /// The exchange is listed as terminating, killed after the drain grace, and replaced by a new one at the same
+    /// address or another.
     Replace {
         office: OfficeIndex,
         same_address: bool,
     },
-    /// The network between all controllers, or one, and an exchange is cut.
+    /// The network between an exchange and all controllers, or only one, is partitioned.
     Partition {
         office: OfficeIndex,
-        only: Option<ControllerIndex>,
+        only_controller: Option<ControllerIndex>,
         duration: Duration,
     },
     ResetLinks {
@@ -78,23 +80,25 @@
     },
 }
 
-/// A run.
+/// The plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
+    /// Faults with their times from the start of the run, in order of time.
     pub faults: Vec<(Duration, Fault)>,
     pub duration: Duration,
+    /// The behavior of each caller of a controller.
     pub behaviors: Vec<CallerBehavior>,
-    /// Between two set-ups of one caller.
+    /// Mean time between two set-ups of one caller.
     pub mean_set_up_interval: Duration,
     pub bad_callers: bool,
-    /// Whether the controllers' settings allow tests of exchanges.
+    /// Whether the controllers' settings allow them to probe exchanges.
     pub probes_enabled: bool,
     pub answer_faults: AnswerFaults,
     pub connection_faults: ConnectionFaults,
 }
 
-/// The kinds of trouble; a seed takes one, and something of the others.
+/// The main kind of faults of a run. A seed selects one; some faults of other kinds are drawn in addition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Theme {
     Shutdowns,
@@ -102,6 +106,7 @@
     BadPeers,
     Network,
     Fragments,
+    /// A high call rate and most kinds of faults.
     HighLoad,
 }
 
@@ -112,17 +117,17 @@
     Duration::from_millis(ms)
 }
 
-struct Draw {
+struct FaultDraw {
     rng: Pcg64Mcg,
     faults: Vec<(Duration, Fault)>,
 }
 
-impl Draw {
-    fn at(&mut self) -> Duration {
+impl FaultDraw {
+    fn fault_time(&mut self) -> Duration {
         millis(self.rng.random_range(FIRST_FAULT_MS..LAST_FAULT_MS))
     }
 
-    fn span(&mut self, from: u64, to: u64) -> Duration {
+    fn draw_millis(&mut self, from: u64, to: u64) -> Duration {
         millis(self.rng.random_range(from..=to))
     }
 
@@ -138,60 +143,65 @@
         self.faults.push((at, fault));
     }
 
-    /// Controllers restarted one after another.
-    fn restarts(&mut self) {
-        let mut at = self.span(FIRST_FAULT_MS, 5000);
+    /// Restarts all controllers, one after another.
+    fn add_restarts(&mut self) {
+        let mut at = self.draw_millis(FIRST_FAULT_MS, 5000);
         for controller in 0..CONTROLLERS {
             self.add(at, Fault::Restart { controller });
-            at += self.span(300, 2500);
+            at += self.draw_millis(300, 2500);
         }
     }
 
-    /// An exchange hangs, vanishes, dies or is replaced.
-    fn exchange_trouble(&mut self, at: Duration) {
+    /// Adds a fault of one exchange: machine lost, process crash, hang or replacement.
+    fn add_exchange_fault(&mut self, at: Duration) {
         let office = self.office();
         let fault = match self.rng.random_range(0..4) {
-            0 => Fault::MachineLost { office, listed_after: self.span(5900, 12_000) },
-            1 => Fault::ProcessCrash { office, listed_after: self.span(1500, 5000) },
-            2 => Fault::Hang { office, duration: self.span(800, 6000) },
+            0 => Fault::MachineLost { office, listed_after: self.draw_millis(5900, 12_000) },
+            1 => Fault::ProcessCrash { office, listed_after: self.draw_millis(1500, 5000) },
+            2 => Fault::Hang { office, duration: self.draw_millis(800, 6000) },
             _ => Fault::Replace { office, same_address: self.rng.random_bool(0.5) },
         };
         self.add(at, fault);
     }
 
-    /// The bus fails for a while, and something happens at its return.
-    fn bus_trouble(&mut self) {
-        let at = self.at();
+    /// Adds a fault of the event bus and the replacement of an exchange shortly before the fault ends. In half of the
+    /// cases a machine is lost when the fault begins, and listed 300 ms after it ends.
+    fn add_bus_fault(&mut self) {
+        let at = self.fault_time();
         let fault = *[BusFault::Break, BusFault::Silent, BusFault::Down]
             .choose(&mut self.rng)
             .unwrap_or(&BusFault::Down);
-        let duration = self.span(1000, 8000);
+        let duration = self.draw_millis(1000, 8000);
         self.add(at, Fault::Bus { fault, duration });
         let office = self.office();
-        let near = at + duration - millis(self.rng.random_range(0..800).min(duration.as_millis() as u64));
+        let near_end = at + duration - millis(self.rng.random_range(0..800).min(duration.as_millis() as u64));
         let same_address = self.rng.random_bool(0.5);
-        self.add(near, Fault::Replace { office, same_address });
+        self.add(near_end, Fault::Replace { office, same_address });
         if self.rng.random_bool(0.5) {
             let office = self.office();
             self.add(at, Fault::MachineLost { office, listed_after: duration + millis(300) });
         }
     }
 
-    /// New configurations in quick succession.
-    fn reconfigurations(&mut self) {
+    /// Adds several new configurations for one controller in quick succession.
+    fn add_reconfigurations(&mut self) {
         let controller = self.controller();
-        let mut at = self.at();
+        let mut at = self.fault_time();
         for _ in 0..self.rng.random_range(2..5) {
             self.add(at, Fault::Reconfigure { controller });
-            at += self.span(5, 900);
+            at += self.draw_millis(5, 900);
         }
     }
 
-    fn network_trouble(&mut self) {
-        let (at, office, controller) = (self.at(), self.office(), self.controller());
+    fn add_network_fault(&mut self) {
+        let (at, office, controller) = (self.fault_time(), self.office(), self.controller());
         let fault = match self.rng.random_range(0..4) {
-            0 => Fault::Partition { office, only: None, duration: self.span(500, 6000) },
-            1 => Fault::Partition { office, only: Some(controller), duration: self.span(500, 9000) },
+            0 => Fault::Partition { office, only_controller: None, duration: self.draw_millis(500, 6000) },
+            1 => Fault::Partition {
+                office,
+                only_controller: Some(controller),
+                duration: self.draw_millis(500, 9000),
+            },
             2 => Fault::ResetLinks { office, controller },
             _ => Fault::ResetOldestLink { office, controller },
         };
@@ -200,46 +210,47 @@
 }
 
 impl Plan {
-    /// The run of a seed.
+    /// Draws the plan of a seed.
     pub fn from_seed(seed: u64) -> Self {
         let theme = THEMES[(seed % THEMES.len() as u64) as usize];
-        let mut draw = Draw { rng: Pcg64Mcg::seed_from_u64(seed), faults: Vec::new() };
-        let all = theme == Theme::HighLoad;
-        if theme == Theme::Shutdowns || theme == Theme::Fragments || all {
-            draw.restarts();
+        let mut draw = FaultDraw { rng: Pcg64Mcg::seed_from_u64(seed), faults: Vec::new() };
+        let is_high_load = theme == Theme::HighLoad;
+        if theme == Theme::Shutdowns || theme == Theme::Fragments || is_high_load {
+            draw.add_restarts();
         }
         if theme == Theme::Shutdowns || theme == Theme::Network {
             for _ in 0..2 {
-                let at = draw.at();
-                draw.exchange_trouble(at);
+                let at = draw.fault_time();
+                draw.add_exchange_fault(at);
             }
         }
-        if theme == Theme::EventBus || all || draw.rng.random_bool(0.2) {
-            draw.bus_trouble();
+        if theme == Theme::EventBus || is_high_load || draw.rng.random_bool(0.2) {
+            draw.add_bus_fault();
         }
         if theme == Theme::EventBus || draw.rng.random_bool(0.2) {
-            draw.reconfigurations();
+            draw.add_reconfigurations();
         }
-        if theme == Theme::Network || all {
-            (0..4).for_each(|_| draw.network_trouble());
+        if theme == Theme::Network || is_high_load {
+            (0..4).for_each(|_| draw.add_network_fault());
         }
         if draw.rng.random_bool(0.3) {
-            let (at, controller) = (draw.at(), draw.controller());
+            let (at, controller) = (draw.fault_time(), draw.controller());
             draw.add(at, Fault::Kill { controller });
         }
-        let spoilt = if theme == Theme::BadPeers || theme == Theme::Fragments || all { 0.01 } else { 0.0 };
+        let fault_share =
+            if theme == Theme::BadPeers || theme == Theme::Fragments || is_high_load { 0.01 } else { 0.0 };
         let answer_faults = AnswerFaults {
-            noise: spoilt,
-            broken_off: spoilt,
-            missing: 2.0 * spoilt,
-            doubled: 3.0 * spoilt,
-            stray: 3.0 * spoilt,
-            reset: if theme == Theme::Network || all { 0.01 } else { spoilt },
-            error: spoilt,
+            noise: fault_share,
+            broken_off: fault_share,
+            missing: 2.0 * fault_share,
+            doubled: 3.0 * fault_share,
+            stray: 3.0 * fault_share,
+            reset: if theme == Theme::Network || is_high_load { 0.01 } else { fault_share },
+            error: fault_share,
         };
         let connection_faults = ConnectionFaults {
-            closed_early: if theme == Theme::Network || all { 0.1 } else { 0.0 },
-            in_pieces: if theme == Theme::Fragments || all { 0.5 } else { 0.1 },
+            closed_early: if theme == Theme::Network || is_high_load { 0.1 } else { 0.0 },
+            in_pieces: if theme == Theme::Fragments || is_high_load { 0.5 } else { 0.1 },
         };
         let behaviors = match theme {
             Theme::Fragments => {
@@ -257,22 +268,22 @@
                 CallerBehavior::RedialsAtOnce,
             ],
         };
-        let mean_set_up_interval = if all { millis(15) } else { millis(110) };
+        let mean_set_up_interval = if is_high_load { millis(15) } else { millis(110) };
         draw.faults.sort_by_key(|(at, _)| *at);
         Self {
             seed,
-            duration: duration(&draw.faults),
+            duration: run_duration(&draw.faults),
             faults: draw.faults,
             behaviors,
             mean_set_up_interval,
             probes_enabled: !(seed / THEMES.len() as u64).is_multiple_of(3),
-            bad_callers: theme == Theme::BadPeers || all,
+            bad_callers: theme == Theme::BadPeers || is_high_load,
             answer_faults,
             connection_faults,
         }
     }
 
-    /// Issue 25: exchanges vanish with calls standing while the event bus is down.
+    /// The plan of issue 25: the machines of two exchanges with standing calls are lost while the event bus is down.
     pub fn machines_lost_while_bus_is_down() -> Self {
         let listed_after = millis(12_200);
         let faults = vec![
@@ -294,12 +305,12 @@
     }
 }
 
-fn duration(faults: &[(Duration, Fault)]) -> Duration {
-    let last = faults.iter().map(|(at, fault)| {
+fn run_duration(faults: &[(Duration, Fault)]) -> Duration {
+    let ends = faults.iter().map(|(at, fault)| {
         *at + match fault {
             Fault::Restart { .. } => millis(3500),
             _ => Duration::ZERO,
         }
     });
-    last.max().unwrap_or(millis(FIRST_FAULT_MS)) + SETTLE
+    ends.max().unwrap_or(millis(FIRST_FAULT_MS)) + SETTLE_TIME
 }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,4 +1,4 @@
-//! What happened in a run: records with the Unix clock, from all parties, for the judge.
+//! Records of what happened in a run, from all parties, with times of the Unix clock. The rule checker reads them.
 
 use std::sync::{Arc, Mutex};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -10,15 +10,16 @@
 /// Microseconds since the Unix epoch.
 pub type Micros = u64;
 
-/// A call as it is named on every wire.
+/// The id of a call on all wires.
 pub type CallId = u64;
 
-/// The position of a controller in the run.
+/// The index of a controller in the run.
 pub type ControllerIndex = usize;
 
-/// A connection or link, numbered over the whole run.
+/// The number of a connection or link, unique in the run.
 pub type ConnectionId = u64;
 
+/// The current time of the Unix clock.
 pub fn now() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Micros)
 }
@@ -27,39 +28,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEnd {
     Answered,
-    /// Answered with what can't be decoded, or is cut off: no use to the caller.
-    Spoilt,
+    /// The answer can't be decoded or is cut off, so the call can't be served.
+    #[serde(rename = "Spoilt")]
+    Corrupted,
     Refused,
     GivenUp,
 }
 
-/// How the event bus was disturbed.
+/// A fault of the event bus.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BusFault {
-    /// Connections are closed, in the middle of a line; new ones are accepted.
+    /// Connections are closed in the middle of a line; new ones are accepted.
     Break,
-    /// Connections stay open and tell nothing; new ones work.
+    /// Open connections stay open but receive nothing; new ones work.
     Silent,
-    /// Nothing listens.
+    /// Nothing listens, and open connections are closed.
     Down,
 }
 
-/// One thing that happened.
+/// An event that a party of the run records.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    // Callers.
+    // Events that callers record.
     ConnectionOpened {
         connection: ConnectionId,
         controller: ControllerIndex,
     },
-    /// Its last octet has been written.
+    /// The last octet of a set-up has been written.
     SetUpSent {
         call: CallId,
         connection: ConnectionId,
         controller: ControllerIndex,
         patience_ms: u64,
     },
-    /// A final answer has been read; `description` is that of an answer 200.
+    /// A final answer has been read. `description` is set for status 200.
     FinalAnswer {
         call: CallId,
         connection: ConnectionId,
@@ -69,7 +71,7 @@
     CancelSent {
         call: CallId,
     },
-    /// The controller, or the end of its process, has closed the connection.
+    /// The controller has closed the connection, or its process has ended.
     ClosedByController {
         connection: ConnectionId,
     },
@@ -84,24 +86,24 @@
     ReleaseSentByCaller {
         call: CallId,
     },
-    /// A standing call has been named to a controller that started again.
+    /// A standing call has been announced to a controller that has restarted.
     Announced {
         call: CallId,
         controller: ControllerIndex,
     },
-    /// What a controller sent can't be read.
+    /// A message from a controller can't be decoded.
     Unreadable {
         connection: ConnectionId,
         why: String,
     },
-    /// A connection that broke the protocol: whether it got a refusal, an error or a close in time.
+    /// A caller has broken the protocol. `settled` says whether it got a refusal, an error or a close in time.
     BadCaller {
         what: String,
         controller: ControllerIndex,
         opened: Micros,
         settled: bool,
     },
-    // Exchanges.
+    // Events that exchanges record.
     SetUpReceived {
         uid: String,
         call: CallId,
@@ -111,13 +113,13 @@
         call: CallId,
         end: AttemptEnd,
     },
-    /// A call that stood is over, by its exchange or by a release from the controller.
+    /// A standing call has ended, either at its exchange or by a release from the controller.
     CallOver {
         uid: String,
         call: CallId,
         by_controller: bool,
     },
-    // Proxies.
+    // Events that proxies record.
     /// The first octet of a set-up has been read from the controller.
     SetUpPassed {
         uid: String,
@@ -125,7 +127,7 @@
         controller: ControllerIndex,
         link: ConnectionId,
     },
-    /// A release has been read from the controller: the set-up on that link is given up, or the call is over.
+    /// A release has been read from the controller: the set-up on that link is given up, or the call has ended.
     ReleasePassed {
         uid: String,
         call: CallId,
@@ -153,7 +155,7 @@
         controller: ControllerIndex,
         link: ConnectionId,
     },
-    // The run itself.
+    // Events that the run records.
     ExchangeEnded {
         uid: String,
     },
@@ -192,13 +194,13 @@
     Killed {
         controller: ControllerIndex,
     },
-    /// A controller has ended by itself; `expected` after SIGTERM and with code 0.
+    /// A controller has exited by itself. `expected` is true after SIGTERM with exit code 0.
     Exited {
         controller: ControllerIndex,
         expected: bool,
         status: String,
     },
-    /// A limit was broken.
+    /// A controller exceeded a limit, for example of memory, or did not become ready.
     OverLimit {
         controller: ControllerIndex,
         what: String,
@@ -228,7 +230,7 @@
         records.push(Record { at, event });
     }
 
-    /// All records so far in order of time.
+    /// All records so far, ordered by time.
     pub fn sorted(&self) -> Vec<Record> {
         let mut all = lock(&self.records).clone();
         all.sort_by_key(|record| record.at);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! Carries a plan out: starts everything, applies the faults in time, stops, and has the records judged.
+//! Carries out a plan: starts all parties, applies the faults at their times, stops the parties, and has the records
+//! checked against the rules.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -25,35 +26,35 @@
 use crate::rule_checker::{Verdict, check_rules};
 use crate::sync::lock;
 
-/// Addresses of the bus that each controller's configuration may name.
+/// Number of event bus addresses of each controller, of which its configuration names one.
 const BUS_ADDRESSES: usize = 3;
 const CIRCUITS: u32 = 150;
-/// A controller that was killed starts again after this.
-const RESTART_AFTER: Duration = Duration::from_millis(300);
-/// Callers have named the calls that stand to a new start after this.
-const NAMED_WITHIN: Duration = Duration::from_millis(500);
-const TICK: Duration = Duration::from_millis(10);
-/// How often limits are looked at.
-const LIMITS_EVERY: Duration = Duration::from_millis(500);
+/// Time after which a controller that has stopped is started again.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// Time in which callers announce the standing calls to a controller that has restarted.
+const ANNOUNCE_TIME: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between two checks of a controller's memory and descriptors.
+const LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Error)]
 pub enum RunError {
-    #[error("{what}: {error}")]
-    Io { what: &'static str, error: io::Error },
-    #[error("{what}: {error}")]
-    Json { what: &'static str, error: serde_json::Error },
+    #[error("{action}: {error}")]
+    Io { action: &'static str, error: io::Error },
+    #[error("{action}: {error}")]
+    Json { action: &'static str, error: serde_json::Error },
 }
 
-fn io_error(what: &'static str) -> impl FnOnce(io::Error) -> RunError {
-    move |error| RunError::Io { what, error }
+fn io_error(action: &'static str) -> impl FnOnce(io::Error) -> RunError {
+    move |error| RunError::Io { action, error }
 }
 
-/// The programs of a run and where it leaves its logs.
+/// The programs of a run, and the directory for its logs.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// The controller: `mintstall`.
     pub controller: PathBuf,
-    /// The program with the sub-command `exchange`.
+    /// The soak program, for its sub-command `exchange`.
     pub soak: PathBuf,
     pub directory: PathBuf,
 }
@@ -68,7 +69,7 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        // Mostly it has been killed before.
+        // Errors are ignored: usually the process has been killed already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -80,17 +81,18 @@
     }
 }
 
-/// What serves an office at present.
+/// The exchange that serves an office at present, and its proxies.
 #[derive(Debug)]
 struct Office {
     exchange: Exchange,
     proxies: Vec<Proxy>,
-    /// How often it has been replaced; also whether a later step of an action is still about the same exchange.
+    /// How often the exchange has been replaced. A fault with several steps compares it to detect that another fault has
+    /// replaced the exchange in the meantime.
     generation: u32,
     ended: bool,
 }
 
-struct World {
+struct SoakRun {
     plan: Plan,
     programs: Programs,
     recorder: Recorder,
@@ -98,40 +100,41 @@
     bus_addresses: Vec<Vec<SocketAddr>>,
     controllers: Vec<ControllerProcess>,
     offices: Vec<Mutex<Office>>,
+    /// The proxies of all exchanges, also of those that have been replaced.
     all_proxies: Mutex<Vec<Proxy>>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
-/// Plays one plan and judges it.
+/// Carries out one plan and checks its records against the rules.
 pub fn run(plan: &Plan, programs: &Programs) -> Result<(Verdict, Vec<Record>), RunError> {
-    std::fs::create_dir_all(&programs.directory).map_err(io_error("directory"))?;
-    let world = Arc::new(World::start(plan, programs)?);
-    let groups = world.start_callers();
-    let began = Instant::now();
-    let mut steps = Vec::new();
-    for (at, action) in plan.faults.clone() {
-        world.wait(began + at);
-        let world = Arc::clone(&world);
-        steps.push(thread::spawn(move || world.carry_out(action)));
+    std::fs::create_dir_all(&programs.directory).map_err(io_error("can't create the directory"))?;
+    let soak_run = Arc::new(SoakRun::start(plan, programs)?);
+    let caller_threads = soak_run.start_callers();
+    let started = Instant::now();
+    let mut fault_threads = Vec::new();
+    for (at, fault) in plan.faults.clone() {
+        soak_run.wait_until(started + at);
+        let soak_run = Arc::clone(&soak_run);
+        fault_threads.push(thread::spawn(move || soak_run.apply_fault(fault)));
     }
-    world.wait(began + plan.duration);
+    soak_run.wait_until(started + plan.duration);
     let end = now();
-    world.over.store(true, Ordering::Relaxed);
-    join(groups);
-    join(steps);
-    world.stop();
-    let records = world.recorder.sorted();
+    soak_run.stopped.store(true, Ordering::Relaxed);
+    join_all(caller_threads);
+    join_all(fault_threads);
+    soak_run.stop();
+    let records = soak_run.recorder.sorted();
     Ok((check_rules(&records, end), records))
 }
 
-fn join(threads: Vec<JoinHandle<()>>) {
+fn join_all(threads: Vec<JoinHandle<()>>) {
     for thread in threads {
-        // A thread that panicked has said so.
+        // The error is ignored: the panic message has been printed.
         let _ = thread.join();
     }
 }
 
-impl World {
+impl SoakRun {
     fn start(plan: &Plan, programs: &Programs) -> Result<Self, RunError> {
         let recorder = Recorder::default();
         let bus_addresses: Vec<Vec<_>> =
@@ -139,19 +142,19 @@
         let bus = EventBus::start(&bus_addresses, &recorder);
         let files = Files { binary: programs.controller.clone(), directory: programs.directory.clone() };
         let controllers = (0..CONTROLLERS)
-            .map(|no| {
+            .map(|index| {
                 ControllerProcess::new(
-                    no,
+                    index,
                     allocate(),
-                    bus_addresses[no][0],
+                    bus_addresses[index][0],
                     &files,
-                    plan.seed + no as u64,
+                    plan.seed + index as u64,
                     plan.probes_enabled,
                     &recorder,
                 )
             })
             .collect();
-        let mut world = Self {
+        let mut soak_run = Self {
             plan: plan.clone(),
             programs: programs.clone(),
             recorder,
@@ -160,19 +163,19 @@
             controllers,
             offices: Vec::new(),
             all_proxies: Mutex::default(),
-            over: Arc::default(),
+            stopped: Arc::default(),
         };
         for office in 0..OFFICES {
-            let exchange = world.start_exchange(office, 0)?;
-            let proxies = world.start_proxies(&exchange, office);
-            world.publish(office, &exchange.uid, &proxies, "in_service", 0);
-            world.offices.push(Mutex::new(Office { exchange, proxies, generation: 0, ended: false }));
+            let exchange = soak_run.start_exchange(office, 0)?;
+            let proxies = soak_run.start_proxies(&exchange, office);
+            soak_run.publish(office, &exchange.uid, &proxies, "in_service", 0);
+            soak_run.offices.push(Mutex::new(Office { exchange, proxies, generation: 0, ended: false }));
         }
-        for controller in &world.controllers {
-            let known = world.bus.initial_events(controller.index);
-            controller.start(&known).map_err(io_error("controller"))?;
+        for controller in &soak_run.controllers {
+            let initial_events = soak_run.bus.initial_events(controller.index);
+            controller.start(&initial_events).map_err(io_error("can't start a controller"))?;
         }
-        Ok(world)
+        Ok(soak_run)
     }
 
     fn start_exchange(&self, office: usize, generation: u32) -> Result<Exchange, RunError> {
@@ -186,15 +189,17 @@
             hold_ms: (500, 7000),
             faults: self.plan.answer_faults,
         };
-        let text =
-            serde_json::to_string(&config).map_err(|error| RunError::Json { what: "exchange", error })?;
+        let text = serde_json::to_string(&config).map_err(|error| RunError::Json {
+            action: "can't encode the configuration of an exchange",
+            error,
+        })?;
         let mut child = Command::new(&self.programs.soak)
             .args(["exchange", &text])
             .stdout(Stdio::piped())
             .spawn()
-            .map_err(io_error("exchange"))?;
+            .map_err(io_error("can't start an exchange"))?;
         let mut lines = child.stdout.take().map(BufReader::new).into_iter().flat_map(BufRead::lines);
-        // The first line says that it listens.
+        // The exchange prints a first line when it listens.
         let _ = lines.next();
         let recorder = self.recorder.clone();
         thread::spawn(move || {
@@ -230,12 +235,13 @@
         });
     }
 
+    /// Starts the callers of each controller, and a thread that checks the controller's limits.
     fn start_callers(&self) -> Vec<JoinHandle<()>> {
         let mut threads = Vec::new();
         for controller in &self.controllers {
-            let group = CallerGroup::new(controller, &self.recorder, &self.over);
-            for (at, behavior) in self.plan.behaviors.iter().copied().enumerate() {
-                let seed = self.plan.seed << 16 ^ (controller.index * 64 + at) as u64;
+            let group = CallerGroup::new(controller, &self.recorder, &self.stopped);
+            for (position, behavior) in self.plan.behaviors.iter().copied().enumerate() {
+                let seed = self.plan.seed << 16 ^ (controller.index * 64 + position) as u64;
                 let plan = CallerPlan {
                     behavior,
                     mean_interval: self.plan.mean_set_up_interval,
@@ -245,49 +251,52 @@
                 threads.push(group.spawn(plan));
             }
             if self.plan.bad_callers {
-                let (controller, recorder, over) =
-                    (controller.clone(), self.recorder.clone(), Arc::clone(&self.over));
+                let (controller, recorder, stopped) =
+                    (controller.clone(), self.recorder.clone(), Arc::clone(&self.stopped));
                 let seed = self.plan.seed ^ 0xbad;
-                threads.push(thread::spawn(move || bad_callers::run(&controller, &recorder, &over, seed)));
+                threads.push(thread::spawn(move || bad_callers::run(&controller, &recorder, &stopped, seed)));
             }
-            let (controller, over) = (controller.clone(), Arc::clone(&self.over));
+            let (controller, stopped) = (controller.clone(), Arc::clone(&self.stopped));
             threads.push(thread::spawn(move || {
-                while !over.load(Ordering::Relaxed) {
+                while !stopped.load(Ordering::Relaxed) {
                     controller.check_limits();
-                    thread::sleep(LIMITS_EVERY);
+                    thread::sleep(LIMIT_CHECK_INTERVAL);
                 }
             }));
         }
         threads
     }
 
-    fn wait(&self, until: Instant) {
-        while Instant::now() < until && !self.over.load(Ordering::Relaxed) {
-            thread::sleep(TICK.min(until.saturating_duration_since(Instant::now())));
+    /// Waits until the given time, or until the run is stopped.
+    fn wait_until(&self, until: Instant) {
+        while Instant::now() < until && !self.stopped.load(Ordering::Relaxed) {
+            thread::sleep(POLL_INTERVAL.min(until.saturating_duration_since(Instant::now())));
         }
     }
 
-    fn pass(&self, span: Duration) {
-        self.wait(Instant::now() + span);
+    fn wait_for(&self, span: Duration) {
+        self.wait_until(Instant::now() + span);
     }
 
-    fn carry_out(&self, action: Fault) {
-        match action {
+    fn apply_fault(&self, fault: Fault) {
+        match fault {
             Fault::Restart { controller } => {
                 self.restart(&self.controllers[controller], ControllerProcess::shut_down)
             }
             Fault::Kill { controller } => self.restart(&self.controllers[controller], |controller| {
-                // What an exchange repeats on the first connection of a start is lost for good where that start is
-                // killed before a caller has named its calls.
-                thread::sleep(NAMED_WITHIN);
+                // An exchange repeats its releases on the first connection from a restarted controller. They are lost
+                // for good if the controller is killed before a caller has announced its calls.
+                thread::sleep(ANNOUNCE_TIME);
                 controller.kill();
             }),
             Fault::Reconfigure { controller } => self.reconfigure(controller),
-            Fault::MachineLost { office, listed_after } => self.vanish(office, listed_after),
-            Fault::ProcessCrash { office, listed_after } => self.die(office, listed_after),
+            Fault::MachineLost { office, listed_after } => self.lose_machine(office, listed_after),
+            Fault::ProcessCrash { office, listed_after } => self.crash_process(office, listed_after),
             Fault::Hang { office, duration } => self.hang(office, duration),
             Fault::Replace { office, same_address } => self.replace(office, same_address),
-            Fault::Partition { office, only, duration } => self.cut(office, only, duration),
+            Fault::Partition { office, only_controller, duration } => {
+                self.partition(office, only_controller, duration)
+            }
             Fault::ResetLinks { office, controller } => {
                 lock(&self.offices[office]).proxies[controller].reset_links()
             }
@@ -296,17 +305,17 @@
             }
             Fault::Bus { fault, duration } => {
                 self.bus.begin_fault(fault);
-                self.pass(duration);
+                self.wait_for(duration);
                 self.bus.end_fault(fault);
             }
         }
     }
 
-    fn restart(&self, controller: &ControllerProcess, end: fn(&ControllerProcess)) {
-        let _restart = controller.lock_restart();
-        end(controller);
-        self.pass(RESTART_AFTER);
-        if !self.over.load(Ordering::Relaxed) {
+    fn restart(&self, controller: &ControllerProcess, stop: fn(&ControllerProcess)) {
+        let _guard = controller.lock_restart();
+        stop(controller);
+        self.wait_for(RESTART_DELAY);
+        if !self.stopped.load(Ordering::Relaxed) {
             let started = controller.start(&self.bus.initial_events(controller.index));
             if let Err(error) = started {
                 let what = format!("can't be started: {error}");
@@ -317,22 +326,22 @@
 
     fn reconfigure(&self, controller: usize) {
         let addresses = &self.bus_addresses[controller];
-        let next = addresses[(now() as usize / 7) % addresses.len()];
-        self.bus.set_address(controller, next);
+        let new_address = addresses[(now() as usize / 7) % addresses.len()];
+        self.bus.set_address(controller, new_address);
         let controller = &self.controllers[controller];
-        // One that can't be written leaves the former in place.
-        let _ = controller.reconfigure(&self.bus.initial_events(controller.index), next);
+        // If the new configuration can't be written, the former one stays in force.
+        let _ = controller.reconfigure(&self.bus.initial_events(controller.index), new_address);
     }
 
-    /// Ends an exchange, unless another fault has; what follows is about that one while the generation is the same.
+    /// Kills the exchange of an office and returns its generation, or `None` if another fault has ended it already.
     fn end_exchange(&self, office: usize, network: NetworkState) -> Option<u32> {
         let mut office = lock(&self.offices[office]);
         if std::mem::replace(&mut office.ended, true) {
             return None;
         }
         office.proxies.iter().for_each(|proxy| proxy.set_network_state(network));
-        // What passes has come to its end before the process does.
-        thread::sleep(2 * TICK);
+        // Gives the proxies time to finish what they are forwarding before the process is killed.
+        thread::sleep(2 * POLL_INTERVAL);
         let uid = office.exchange.uid.clone();
         self.recorder.add(Event::ExchangeEnded { uid });
         office.exchange.signal(Signal::SIGKILL);
@@ -343,47 +352,47 @@
         Some(office.generation)
     }
 
-    fn vanish(&self, office: usize, listed_after: Duration) {
+    fn lose_machine(&self, office: usize, listed_after: Duration) {
         let Some(generation) = self.end_exchange(office, NetworkState::Partitioned) else { return };
-        self.pass(listed_after);
+        self.wait_for(listed_after);
         self.replace_ended(office, generation, false);
     }
 
-    fn die(&self, office: usize, listed_after: Duration) {
+    fn crash_process(&self, office: usize, listed_after: Duration) {
         let Some(generation) = self.end_exchange(office, NetworkState::Refusing) else { return };
-        self.pass(listed_after);
+        self.wait_for(listed_after);
         self.replace_ended(office, generation, true);
     }
 
-    /// Lists an exchange that has ended as gone, and one in its place.
+    /// Lists an exchange that has ended as terminated, and starts and lists a replacement.
     fn replace_ended(&self, office: usize, generation: u32, same_address: bool) {
-        let mut present = lock(&self.offices[office]);
-        if present.generation != generation || self.over.load(Ordering::Relaxed) {
+        let mut current = lock(&self.offices[office]);
+        if current.generation != generation || self.stopped.load(Ordering::Relaxed) {
             return;
         }
-        self.publish(office, &present.exchange.uid, &present.proxies, "terminated", 0);
+        self.publish(office, &current.exchange.uid, &current.proxies, "terminated", 0);
         let Ok(next) = self.start_exchange(office, generation + 1) else { return };
         let proxies = if same_address {
-            for (proxy, upstream) in present.proxies.iter().zip(&next.listen) {
+            for (proxy, upstream) in current.proxies.iter().zip(&next.listen) {
                 proxy.set_upstream(*upstream, &next.uid);
                 proxy.set_network_state(NetworkState::Up);
             }
-            present.proxies.clone()
+            current.proxies.clone()
         } else {
             self.start_proxies(&next, office)
         };
         let boot_ms = now() / 1000;
         self.publish(office, &next.uid, &proxies, "in_service", boot_ms);
-        *present = Office { exchange: next, proxies, generation: generation + 1, ended: false };
+        *current = Office { exchange: next, proxies, generation: generation + 1, ended: false };
     }
 
     fn replace(&self, office: usize, same_address: bool) {
         let generation = {
-            let present = lock(&self.offices[office]);
-            self.publish(office, &present.exchange.uid, &present.proxies, "terminating", 0);
-            present.generation
+            let current = lock(&self.offices[office]);
+            self.publish(office, &current.exchange.uid, &current.proxies, "terminating", 0);
+            current.generation
         };
-        self.pass(DRAIN_GRACE + Duration::from_millis(500));
+        self.wait_for(DRAIN_GRACE + Duration::from_millis(500));
         if lock(&self.offices[office]).generation == generation {
             self.end_exchange(office, NetworkState::Refusing);
             self.replace_ended(office, generation, same_address);
@@ -392,37 +401,37 @@
 
     fn hang(&self, office: usize, duration: Duration) {
         let (uid, generation) = {
-            let present = lock(&self.offices[office]);
-            present.exchange.signal(Signal::SIGSTOP);
-            (present.exchange.uid.clone(), present.generation)
+            let current = lock(&self.offices[office]);
+            current.exchange.signal(Signal::SIGSTOP);
+            (current.exchange.uid.clone(), current.generation)
         };
         self.recorder.add(Event::ExchangeHung { uid: uid.clone() });
-        self.pass(duration);
-        let present = lock(&self.offices[office]);
-        if present.generation == generation {
-            present.exchange.signal(Signal::SIGCONT);
+        self.wait_for(duration);
+        let current = lock(&self.offices[office]);
+        if current.generation == generation {
+            current.exchange.signal(Signal::SIGCONT);
             self.recorder.add(Event::ExchangeResumed { uid });
         }
     }
 
-    fn cut(&self, office: usize, only: Option<usize>, duration: Duration) {
+    fn partition(&self, office: usize, only_controller: Option<usize>, duration: Duration) {
         let (uid, proxies) = {
-            let present = lock(&self.offices[office]);
-            if present.ended {
+            let current = lock(&self.offices[office]);
+            if current.ended {
                 return;
             }
-            (present.exchange.uid.clone(), present.proxies.clone())
+            (current.exchange.uid.clone(), current.proxies.clone())
         };
-        let cut: Vec<_> = match only {
+        let partitioned: Vec<_> = match only_controller {
             Some(controller) => vec![proxies[controller].clone()],
             None => proxies,
         };
         self.recorder.add(Event::NetworkCut { uid: uid.clone() });
-        cut.iter().for_each(|proxy| proxy.set_network_state(NetworkState::Partitioned));
-        self.pass(duration);
-        let present = lock(&self.offices[office]);
-        if present.exchange.uid == uid && !present.ended {
-            cut.iter().for_each(|proxy| proxy.set_network_state(NetworkState::Up));
+        partitioned.iter().for_each(|proxy| proxy.set_network_state(NetworkState::Partitioned));
+        self.wait_for(duration);
+        let current = lock(&self.offices[office]);
+        if current.exchange.uid == uid && !current.ended {
+            partitioned.iter().for_each(|proxy| proxy.set_network_state(NetworkState::Up));
             self.recorder.add(Event::NetworkHealed { uid });
         }
     }
@@ -434,20 +443,21 @@
     }
 }
 
-impl Drop for World {
+impl Drop for SoakRun {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         self.stop();
     }
 }
 
-/// Writes all records of a run, one JSON object a line.
+/// Writes all records of a run, one JSON object per line.
 pub fn save_records(records: &[Record], path: &Path) -> Result<(), RunError> {
     let mut text = String::new();
     for record in records {
-        let line = serde_json::to_string(record).map_err(|error| RunError::Json { what: "record", error })?;
+        let line = serde_json::to_string(record)
+            .map_err(|error| RunError::Json { action: "can't encode a record", error })?;
         text.push_str(&line);
         text.push('\n');
     }
-    std::fs::write(path, text).map_err(io_error("records"))
+    std::fs::write(path, text).map_err(io_error("can't write the records"))
 }
