--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -1,4 +1,4 @@
-//! `mintstall-soak`: plays seeded faults against controllers as processes, and judges what happened.
+//! `mintstall-soak`: runs controllers as processes with seeded faults, and checks the records against the rules.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
 
 #[derive(Parser)]
 #[command(
-    about = "Plays seeded faults against controllers on loopback and judges them by the protocol's rules"
+    about = "Runs controllers on loopback with seeded faults and checks them against the protocol's rules"
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -22,9 +22,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays runs; exit code 1 if a rule was broken.
+    /// Carries out runs; exit code 1 if a rule was broken.
     Run(RunArguments),
-    /// One emulated exchange; started by a run.
+    /// Runs one emulated exchange; started by a run.
     #[command(hide = true)]
     Exchange { config: String },
 }
@@ -34,49 +34,49 @@
     /// The first seed.
     #[arg(long, default_value_t = 0)]
     from: u64,
-    /// How many seeds.
+    /// The number of seeds.
     #[arg(long, default_value_t = 6)]
     count: u64,
-    /// Runs at a time.
+    /// The number of concurrent runs.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
-    /// Plays the run of issue 25 instead of seeds.
+    /// Carries out the run of issue 25 instead of seeds.
     #[arg(long)]
     incident: bool,
-    /// The controller; `mintstall` beside this program if not given.
+    /// The controller program; by default `mintstall` in the directory of this program.
     #[arg(long)]
     controller: Option<PathBuf>,
-    /// Where logs and records of each run are left.
+    /// The directory for the logs and records of each run.
     #[arg(long, default_value = "soak-logs")]
     directory: PathBuf,
 }
 
 fn main() -> ExitCode {
     match Arguments::parse().command {
-        Command::Run(arguments) => play(&arguments),
-        Command::Exchange { config } => serve(&config),
+        Command::Run(arguments) => run_all(&arguments),
+        Command::Exchange { config } => run_exchange(&config),
     }
 }
 
-fn serve(config: &str) -> ExitCode {
+fn run_exchange(config: &str) -> ExitCode {
     let config: ExchangeConfig = match serde_json::from_str(config) {
         Ok(config) => config,
         Err(error) => {
-            eprintln!("exchange: {error}");
+            eprintln!("invalid exchange configuration: {error}");
             return ExitCode::from(2);
         }
     };
     if let Err(error) = exchange::run(config) {
-        eprintln!("exchange: {error}");
+        eprintln!("exchange failed: {error}");
     }
     ExitCode::FAILURE
 }
 
-fn play(arguments: &RunArguments) -> ExitCode {
+fn run_all(arguments: &RunArguments) -> ExitCode {
     let soak = match std::env::current_exe() {
         Ok(path) => path,
         Err(error) => {
-            eprintln!("the path of this program: {error}");
+            eprintln!("can't determine the path of this program: {error}");
             return ExitCode::from(2);
         }
     };
@@ -85,38 +85,38 @@
         true => vec![Plan::machines_lost_while_bus_is_down()],
         false => (arguments.from..arguments.from + arguments.count).map(Plan::from_seed).collect(),
     };
-    let (next, broken) = (AtomicU64::new(0), Mutex::new(Vec::new()));
+    let (next_plan, broken_seeds) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     thread::scope(|scope| {
         for _ in 0..arguments.jobs.max(1) {
             scope.spawn(|| {
-                while let Some(plan) = plans.get(next.fetch_add(1, Ordering::Relaxed) as usize) {
+                while let Some(plan) = plans.get(next_plan.fetch_add(1, Ordering::Relaxed) as usize) {
                     let directory = arguments.directory.join(plan.seed.to_string());
                     let programs = Programs { controller: controller.clone(), soak: soak.clone(), directory };
-                    if !play_one(plan, &programs)
-                        && let Ok(mut broken) = broken.lock()
+                    if !run_plan(plan, &programs)
+                        && let Ok(mut broken_seeds) = broken_seeds.lock()
                     {
-                        broken.push(plan.seed);
+                        broken_seeds.push(plan.seed);
                     }
                 }
             });
         }
     });
-    let broken = broken.into_inner().unwrap_or_default();
-    println!("{} runs, {} with a broken rule: {broken:?}", plans.len(), broken.len());
-    if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    let broken_seeds = broken_seeds.into_inner().unwrap_or_default();
+    println!("{} runs, {} with a broken rule: {broken_seeds:?}", plans.len(), broken_seeds.len());
+    if broken_seeds.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Plays one run and prints what came of it; whether the rules were kept.
-fn play_one(plan: &Plan, programs: &Programs) -> bool {
+/// Carries out one plan and prints the result. Returns whether all rules were kept.
+fn run_plan(plan: &Plan, programs: &Programs) -> bool {
     let (verdict, records) = match run(plan, programs) {
-        Ok(done) => done,
+        Ok(result) => result,
         Err(error) => {
-            println!("seed {}: not run: {error}", plan.seed);
+            println!("seed {}: run failed: {error}", plan.seed);
             return false;
         }
     };
     if let Err(error) = save_records(&records, &programs.directory.join("records.jsonl")) {
-        println!("seed {}: records not kept: {error}", plan.seed);
+        println!("seed {}: records not saved: {error}", plan.seed);
     }
     println!(
         "seed {}: {} set-ups, {} served, {} ended, {} breaches",
--- a/crates/soak/src/rule_checker.rs
+++ b/crates/soak/src/rule_checker.rs
@@ -1,6 +1,6 @@
-//! Judges the records of a run by the rules of the platform's protocol. No I/O.
+//! Checks the records of a run against the rules of the platform's protocol. No I/O.
 //!
-//! Every time limit has the protocol's slack. Rule 4 (a cold exchange pushed over) is not judged here: it needs the
+//! Every time limit includes the protocol's slack. Rule 4 (overload of a cold exchange) is not checked here: it needs the
 //! capacity of processors, which the emulated exchanges do not have.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,43 +14,45 @@
 
 const SECOND: Micros = 1_000_000;
 const MILLISECOND: Micros = 1_000;
-/// Each time limit is this much longer.
+/// The protocol's slack, added to each time limit.
 const SLACK: Micros = 50 * MILLISECOND;
-/// An answer after its time earns nothing; after this more, it is lost.
-const LATE: Micros = SECOND / 2;
-/// A release that reached the controller goes on to the caller within this time.
-const RELEASE_PASSED_WITHIN: Micros = SECOND;
-/// A call's end that no release could tell is told within this time.
-const END_TOLD_WITHIN: Micros = 8 * SECOND;
-/// A set-up that crosses the close of its connection within this time is not lost; as all limits, with slack.
-const CROSSING: Micros = 50 * MILLISECOND + SLACK;
-/// What a bus tells counts as told so long after the fault of that kind began, or, for `Down`, ended.
-const TOLD_AFTER_BREAK: Micros = 2 * SECOND;
-const TOLD_AFTER_SILENCE: Micros = 4 * SECOND;
-const TOLD_AFTER_RETURN: Micros = 6 * SECOND;
-/// And after a new configuration.
-const TOLD_AFTER_RECONFIGURATION: Micros = 4 * SECOND;
-/// Time that a thread of the run itself may take to write its record.
-const RECORDING: Micros = 30 * MILLISECOND;
-
-/// The rules, and what else voids a run.
+/// An answer after the deadline earns nothing; one that is later than the deadline by more than this counts as lost.
+const LATE_ANSWER_LIMIT: Micros = SECOND / 2;
+/// Time within which a release that has reached the controller must reach the caller.
+const RELEASE_FORWARDING_LIMIT: Micros = SECOND;
+/// Time within which the caller must be informed of a call end for which no release could reach the controller.
+const CALL_END_LIMIT: Micros = 8 * SECOND;
+/// A set-up that was sent at most this long before the close of its connection is not lost. Includes the slack, as all
+/// limits do.
+const CLOSE_CROSSING_LIMIT: Micros = 50 * MILLISECOND + SLACK;
+/// During a fault of the event bus, a change counts as delivered this long after the fault began, or, for `Down`, after
+/// it ended.
+const DELIVERY_AFTER_BREAK: Micros = 2 * SECOND;
+const DELIVERY_AFTER_SILENCE: Micros = 4 * SECOND;
+const DELIVERY_AFTER_RETURN: Micros = 6 * SECOND;
+/// A change soon after a new configuration counts as delivered this long after the configuration.
+const DELIVERY_AFTER_RECONFIGURATION: Micros = 4 * SECOND;
+/// Time that a thread of the run may take to write its record.
+const MAX_RECORDING_DELAY: Micros = 30 * MILLISECOND;
+
+/// The protocol's rules, and other conditions that a run must meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Exactly one final answer in time; the end of each call told in time.
+    /// Each set-up gets exactly one final answer in time, and each caller is informed of the end of its call in time.
     Lost,
-    /// Never two attempts of a call out at once.
+    /// A call never has two open attempts at once.
     Duplicate,
-    /// Nothing new to an exchange that drains or is gone.
+    /// No new set-up goes to an exchange that is draining or gone.
     Drain,
-    /// No repetition before the release time.
+    /// No further attempt of a call is made before the release time has passed.
     Release,
-    /// No crash, no limit broken.
+    /// No controller crashes or exceeds a limit.
     Crash,
-    /// Bad callers are settled in time.
+    /// Bad callers get a refusal, an error or a close in time.
     BadCaller,
 }
 
-/// One violation.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: Rule,
@@ -64,7 +66,7 @@
     }
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     pub violations: Vec<Violation>,
@@ -74,7 +76,7 @@
 }
 
 #[derive(Debug)]
-struct Sent {
+struct SentSetUp {
     at: Micros,
     connection: ConnectionId,
     controller: ControllerIndex,
@@ -83,92 +85,93 @@
 
 #[derive(Debug, Default)]
 struct Call {
-    sent: Vec<Sent>,
-    /// When, on which connection, with which status and description.
+    sent: Vec<SentSetUp>,
+    /// Time, connection, status and description of each final answer.
     answers: Vec<(Micros, ConnectionId, u16, String)>,
     cancelled: Option<Micros>,
-    /// What became of it at each exchange that answered: of several attempts one alone is the caller's.
-    stood: BTreeMap<String, Stood>,
-    told: Option<Micros>,
+    /// The call at each exchange that answered, by uid. Only one of several attempts belongs to the caller.
+    answered_by: BTreeMap<String, AnsweredCall>,
+    caller_informed: Option<Micros>,
     released_by_caller: Option<Micros>,
     announced: Option<Micros>,
 }
 
-/// A call that stands, or stood, at one exchange.
+/// A call at one exchange that has answered it.
 #[derive(Clone, Copy, Debug)]
-struct Stood {
-    since: Micros,
-    /// When it was over there, and whether by the controller.
-    over: Option<(Micros, bool)>,
-    /// When its release reached the controller.
-    delivered: Option<Micros>,
+struct AnsweredCall {
+    answered_at: Micros,
+    /// When the call ended there, and whether the controller ended it.
+    ended: Option<(Micros, bool)>,
+    /// When the release of the exchange reached the controller.
+    release_delivered: Option<Micros>,
 }
 
-/// A stretch of time in which a process did not serve.
+/// A period in which a controller did not serve.
 #[derive(Debug)]
 struct Outage {
     from: Micros,
     until: Micros,
 }
 
-/// Everything that the rules ask about, from one pass over the records.
+/// All that the rules need, collected in one pass over the records.
 #[derive(Debug, Default)]
-struct Facts {
+struct RunHistory {
     calls: BTreeMap<CallId, Call>,
     closed_by_controller: BTreeMap<ConnectionId, Micros>,
     closed_by_caller: BTreeMap<ConnectionId, Micros>,
-    heard: BTreeSet<ConnectionId>,
+    answered_connections: BTreeSet<ConnectionId>,
     /// When each link between a controller and an exchange was opened.
     links: BTreeMap<ConnectionId, Micros>,
-    /// When each controller was ready.
+    /// When each controller became ready.
     ready: BTreeMap<ControllerIndex, Vec<Micros>>,
     exchange_ended: BTreeMap<String, Micros>,
     /// When each controller was sent SIGTERM.
     terminating: BTreeMap<ControllerIndex, Vec<Micros>>,
-    /// From its end or SIGKILL to ready again.
+    /// Each outage of a controller, from its exit or SIGKILL until it is ready again.
     down: BTreeMap<ControllerIndex, Vec<Outage>>,
     killed: BTreeMap<ControllerIndex, Vec<Micros>>,
     reconfigured: BTreeMap<ControllerIndex, Vec<Micros>>,
-    /// When each exchange was listed as leaving.
+    /// When each exchange was first listed as terminating or terminated.
     drained: BTreeMap<String, Micros>,
+    /// Kind, begin and end of each fault of the event bus.
     bus_faults: Vec<(BusFault, Micros, Micros)>,
     end: Micros,
 }
 
-/// Judges a whole run. `end` is when its faults were over and callers stopped.
+/// Checks a whole run. `end` is the time after the last fault at which the callers were stopped.
 pub fn check_rules(records: &[Record], end: Micros) -> Verdict {
-    let facts = Facts::gather(records, end);
+    let history = RunHistory::collect(records, end);
     let mut verdict = Verdict::default();
-    facts.check_answers(&mut verdict);
-    facts.check_call_ends(&mut verdict);
-    check_attempts(records, &facts, &mut verdict.violations);
+    history.check_answers(&mut verdict);
+    history.check_call_ends(&mut verdict);
+    check_attempts(records, &history, &mut verdict.violations);
     check_processes(records, &mut verdict.violations);
     verdict.violations.sort_by_key(|violation| (violation.at, violation.rule));
     verdict
 }
 
-impl Facts {
-    fn gather(records: &[Record], end: Micros) -> Self {
-        let mut facts = Self { end, ..Self::default() };
+impl RunHistory {
+    fn collect(records: &[Record], end: Micros) -> Self {
+        let mut history = Self { end, ..Self::default() };
         for Record { at, event } in records {
-            facts.take(*at, event);
+            history.add(*at, event);
         }
-        facts
+        history
     }
 
     fn call(&mut self, call: CallId) -> &mut Call {
         self.calls.entry(call).or_default()
     }
 
-    fn take(&mut self, at: Micros, event: &Event) {
+    fn add(&mut self, at: Micros, event: &Event) {
         match event {
             Event::SetUpSent { call, connection, controller, patience_ms } => {
                 let patience = patience_ms * MILLISECOND;
-                let sent = Sent { at, connection: *connection, controller: *controller, patience };
+                let sent = SentSetUp { at, connection: *connection, controller: *controller, patience };
                 self.call(*call).sent.push(sent);
             }
             Event::FinalAnswer { call, connection, status, description } => {
-                self.heard.insert(*connection);
+                self.answered_connections.insert(*connection);
                 self.call(*call).answers.push((at, *connection, *status, description.clone()));
             }
             Event::CancelSent { call } => self.call(*call).cancelled = Some(at),
@@ -179,28 +182,28 @@
                 self.closed_by_caller.insert(*connection, at);
             }
             Event::ReleaseReceivedByCaller { call, .. } => {
-                self.call(*call).told.get_or_insert(at);
+                self.call(*call).caller_informed.get_or_insert(at);
             }
             Event::ReleaseSentByCaller { call } => self.call(*call).released_by_caller = Some(at),
             Event::Announced { call, .. } => self.call(*call).announced = Some(at),
             Event::AttemptEnded { uid, call, end: AttemptEnd::Answered } => {
-                let stood = Stood { since: at, over: None, delivered: None };
-                self.call(*call).stood.insert(uid.clone(), stood);
+                let answered = AnsweredCall { answered_at: at, ended: None, release_delivered: None };
+                self.call(*call).answered_by.insert(uid.clone(), answered);
             }
             Event::CallOver { uid, call, by_controller } => {
-                if let Some(stood) = self.call(*call).stood.get_mut(uid) {
-                    stood.over.get_or_insert((at, *by_controller));
+                if let Some(answered) = self.call(*call).answered_by.get_mut(uid) {
+                    answered.ended.get_or_insert((at, *by_controller));
                 }
             }
             Event::LinkOpened { link, .. } => {
                 self.links.insert(*link, at);
             }
             Event::ReleaseDelivered { uid, call, controller, link } => {
-                // A link of a former process leads to nobody.
+                // A release on a link to an earlier process of the controller is lost.
                 let opened = self.links.get(link).copied().unwrap_or_default();
-                let alive = self.next_down(*controller, opened).is_none();
-                if let Some(stood) = self.call(*call).stood.get_mut(uid).filter(|_| alive) {
-                    stood.delivered.get_or_insert(at);
+                let alive = self.next_outage_start(*controller, opened).is_none();
+                if let Some(answered) = self.call(*call).answered_by.get_mut(uid).filter(|_| alive) {
+                    answered.release_delivered.get_or_insert(at);
                 }
             }
             Event::ExchangeEnded { uid } => {
@@ -236,28 +239,28 @@
         self.down.entry(controller).or_default().push(Outage { from: at, until: Micros::MAX });
     }
 
-    /// The first time at or after `from` at which the controller was killed or ended.
-    fn next_down(&self, controller: ControllerIndex, from: Micros) -> Option<Micros> {
+    /// The first time at or after `from` at which the controller was killed or exited.
+    fn next_outage_start(&self, controller: ControllerIndex, from: Micros) -> Option<Micros> {
         self.down.get(&controller)?.iter().map(|outage| outage.from).find(|at| *at >= from)
     }
 
-    /// Whether the controller was down at some time of a stretch.
+    /// Whether the controller was down at any time from `from` to `until`.
     fn was_down(&self, controller: ControllerIndex, from: Micros, until: Micros) -> bool {
         let overlaps = |outage: &Outage| outage.from <= until && outage.until >= from;
         self.down.get(&controller).is_some_and(|all| all.iter().any(overlaps))
     }
 
-    /// Whether the controller was killed without warning in a stretch.
-    fn killed_outright(&self, controller: ControllerIndex, from: Micros, until: Micros) -> bool {
+    /// Whether the controller was killed between `from` and `until` without a SIGTERM since its last start.
+    fn killed_without_sigterm(&self, controller: ControllerIndex, from: Micros, until: Micros) -> bool {
         let started = |from: Micros, until: Micros| {
             self.ready.get(&controller).is_some_and(|all| all.iter().any(|at| (from..until).contains(at)))
         };
-        let warned = |kill: Micros| {
+        let had_sigterm = |kill: Micros| {
             let signals = self.terminating.get(&controller).into_iter().flatten();
             signals.filter(|at| **at <= kill).any(|at| !started(*at, kill))
         };
         let kills = self.killed.get(&controller).into_iter().flatten();
-        kills.filter(|kill| (from..=until).contains(*kill)).any(|kill| !warned(*kill))
+        kills.filter(|kill| (from..=until).contains(*kill)).any(|kill| !had_sigterm(*kill))
     }
 
     fn check_answers(&self, verdict: &mut Verdict) {
@@ -275,24 +278,25 @@
             if let Some((at, _, 200, description)) = call.answers.first() {
                 verdict.served += 1;
                 let uid = uid_of(description);
-                let given = call.stood.contains_key(uid).then(|| description_of(uid, *id));
-                if given.as_ref() != Some(description) {
+                let sent_by_exchange = call.answered_by.contains_key(uid).then(|| description_of(uid, *id));
+                if sent_by_exchange.as_ref() != Some(description) {
                     let what = format!(
-                        "call {id:016x} is answered with {description:?}, the exchange gave {given:?}"
+                        "call {id:016x} was answered with {description:?}, but the exchange sent {sent_by_exchange:?}"
                     );
                     verdict.violations.push(violation(Rule::Lost, *at, what));
                 }
             }
             let last = call.sent.last().unwrap_or(first);
-            let due = last.at + last.patience + LATE + SLACK;
+            let due = last.at + last.patience + LATE_ANSWER_LIMIT + SLACK;
             let answered = call.answers.first().map(|(at, ..)| *at);
-            if answered.is_some_and(|at| at <= due) || self.excused(call, last, due) {
+            if answered.is_some_and(|at| at <= due) || self.needs_no_answer(call, last, due) {
                 continue;
             }
-            let when =
-                answered.map_or("never".to_string(), |at| format!("{} ms late", (at - due) / MILLISECOND));
+            let outcome = answered.map_or("never answered".to_string(), |at| {
+                format!("answered {} ms late", (at - due) / MILLISECOND)
+            });
             let what = format!(
-                "call {id:016x}, sent to n{} on connection {} with {} ms, is answered {when}",
+                "call {id:016x}, sent to n{} on connection {} with a deadline of {} ms, was {outcome}",
                 last.controller,
                 last.connection,
                 last.patience / MILLISECOND
@@ -301,29 +305,29 @@
         }
     }
 
-    /// Whether no answer was owed.
-    fn excused(&self, call: &Call, sent: &Sent, due: Micros) -> bool {
+    /// Whether the call needs no answer by `due`.
+    fn needs_no_answer(&self, call: &Call, sent: &SentSetUp, due: Micros) -> bool {
         let given_up = call.cancelled.is_some_and(|at| at <= due);
-        let left = self.closed_by_caller.get(&sent.connection).is_some_and(|at| *at <= due);
-        if given_up || left || due > self.end {
+        let caller_closed = self.closed_by_caller.get(&sent.connection).is_some_and(|at| *at <= due);
+        if given_up || caller_closed || due > self.end {
             return true;
         }
-        // One that crosses the end of a connection on which something had come goes again.
+        // The caller sends a set-up again that crosses the close of a connection on which answers had arrived.
         let closed = self.closed_by_controller.get(&sent.connection);
-        let crossed = closed.is_some_and(|closed| sent.at + CROSSING >= *closed);
-        if crossed && self.heard.contains(&sent.connection) {
+        let crossed = closed.is_some_and(|closed| sent.at + CLOSE_CROSSING_LIMIT >= *closed);
+        if crossed && self.answered_connections.contains(&sent.connection) {
             return true;
         }
-        // One whose last octet was written after the end of the process was not taken.
+        // A set-up whose last octet was written after the end of the process was never received.
         if closed.is_some_and(|closed| sent.at >= *closed && self.was_down(sent.controller, *closed, *closed))
         {
             return true;
         }
-        // A kill finds what arrived just before it; one without SIGTERM excuses all that was open.
-        let Some(kill) = self.next_down(sent.controller, sent.at).filter(|at| *at <= due) else {
+        // A kill excuses the set-ups that arrived just before it. A kill without SIGTERM excuses all open set-ups.
+        let Some(kill) = self.next_outage_start(sent.controller, sent.at).filter(|at| *at <= due) else {
             return false;
         };
-        self.killed_outright(sent.controller, kill, kill) || sent.at + CROSSING >= kill
+        self.killed_without_sigterm(sent.controller, kill, kill) || sent.at + CLOSE_CROSSING_LIMIT >= kill
     }
 
     fn check_call_ends(&self, verdict: &mut Verdict) {
@@ -331,109 +335,115 @@
             let served = call.answers.first().filter(|(_, _, status, _)| *status == 200);
             let (Some((.., description)), Some(sent)) = (served, call.sent.last()) else { continue };
             let uid = uid_of(description);
-            let Some(stood) = call.stood.get(uid) else { continue };
-            let vanished = self.exchange_ended.get(uid).copied().filter(|at| *at >= stood.since);
-            let (over, by_controller) = match (stood.over, vanished) {
-                (Some(over), Some(vanished)) if over.0 > vanished => (vanished, false),
-                (Some(over), _) => over,
-                (None, Some(vanished)) => (vanished, false),
+            let Some(answered) = call.answered_by.get(uid) else { continue };
+            let exchange_ended =
+                self.exchange_ended.get(uid).copied().filter(|at| *at >= answered.answered_at);
+            let (ended_at, by_controller) = match (answered.ended, exchange_ended) {
+                (Some(ended), Some(exchange_ended)) if ended.0 > exchange_ended => (exchange_ended, false),
+                (Some(ended), _) => ended,
+                (None, Some(exchange_ended)) => (exchange_ended, false),
                 (None, None) => continue,
             };
             verdict.ended_calls += 1;
-            if call.released_by_caller.is_some_and(|at| at <= over + END_TOLD_WITHIN) {
+            if call.released_by_caller.is_some_and(|at| at <= ended_at + CALL_END_LIMIT) {
                 continue;
             }
-            let due = self.end_due(call, stood, sent.controller, over, by_controller);
-            if due > self.end || call.told.is_some_and(|at| at <= due) {
+            let due = self.end_due(call, answered, sent.controller, ended_at, by_controller);
+            if due > self.end || call.caller_informed.is_some_and(|at| at <= due) {
                 continue;
             }
-            let when = call.told.map_or("never told".to_string(), |at| {
-                format!("told {} ms after its end", at.saturating_sub(over) / MILLISECOND)
+            let outcome = call.caller_informed.map_or("never informed".to_string(), |at| {
+                format!("informed {} ms after its end", at.saturating_sub(ended_at) / MILLISECOND)
             });
-            let what = format!("call {id:016x} of n{} at {uid} is over, {when}", sent.controller);
-            verdict.violations.push(violation(Rule::Lost, over, what));
+            let what = format!(
+                "call {id:016x} of n{} at {uid} has ended, and its caller was {outcome}",
+                sent.controller
+            );
+            verdict.violations.push(violation(Rule::Lost, ended_at, what));
         }
     }
 
-    /// By when a call's end is to be told to its caller.
+    /// The time by which the caller must be informed of the end of its call.
     fn end_due(
         &self,
         call: &Call,
-        stood: &Stood,
+        answered: &AnsweredCall,
         controller: ControllerIndex,
-        over: Micros,
+        ended_at: Micros,
         by_controller: bool,
     ) -> Micros {
-        let slow = over + END_TOLD_WITHIN + SLACK + RECORDING;
-        let quick = |from: Micros| from + RELEASE_PASSED_WITHIN + SLACK + RECORDING;
-        let due = match stood.delivered {
-            _ if by_controller => quick(over),
-            Some(delivered) if delivered >= over => quick(delivered).min(slow),
-            _ => slow,
+        let without_release = ended_at + CALL_END_LIMIT + SLACK + MAX_RECORDING_DELAY;
+        let after_release = |from: Micros| from + RELEASE_FORWARDING_LIMIT + SLACK + MAX_RECORDING_DELAY;
+        let due = match answered.release_delivered {
+            _ if by_controller => after_release(ended_at),
+            Some(delivered) if delivered >= ended_at => after_release(delivered).min(without_release),
+            _ => without_release,
         };
-        if !self.was_down(controller, over, due) {
+        if !self.was_down(controller, ended_at, due) {
             return due;
         }
-        // The next start learns of the call from its caller.
-        let announced = call.announced.filter(|at| *at > over).unwrap_or(over);
-        let due = slow.max(quick(announced));
-        if self.killed_outright(controller, over, due) {
-            // Nobody is left who knows how long the exchange has been silent: it is given its first contact anew.
-            return due.max(announced + duration(FIRST_CONTACT_LEASE) + RELEASE_PASSED_WITHIN);
+        // After a restart the controller learns of the call from the caller's announcement.
+        let announced = call.announced.filter(|at| *at > ended_at).unwrap_or(ended_at);
+        let due = without_release.max(after_release(announced));
+        if self.killed_without_sigterm(controller, ended_at, due) {
+            // The new process doesn't know how long the exchange has been silent, so the first contact lease starts anew.
+            return due.max(announced + micros(FIRST_CONTACT_LEASE) + RELEASE_FORWARDING_LIMIT);
         }
         due
     }
 
-    /// From when on a change of the list that was made at some time counts as told to a controller.
-    fn told(&self, controller: ControllerIndex, at: Micros) -> Micros {
-        let faults = self.bus_faults.iter().filter_map(|(fault, from, until)| match fault {
-            BusFault::Break if (*from..*from + TOLD_AFTER_BREAK).contains(&at) => {
-                Some(from + TOLD_AFTER_BREAK)
+    /// The time from which a change that was listed at `at` counts as delivered to a controller.
+    fn delivery_time(&self, controller: ControllerIndex, at: Micros) -> Micros {
+        let after_faults = self.bus_faults.iter().filter_map(|(fault, from, until)| match fault {
+            BusFault::Break if (*from..*from + DELIVERY_AFTER_BREAK).contains(&at) => {
+                Some(from + DELIVERY_AFTER_BREAK)
             }
-            BusFault::Silent if (*from..*from + TOLD_AFTER_SILENCE).contains(&at) => {
-                Some(from + TOLD_AFTER_SILENCE)
+            BusFault::Silent if (*from..*from + DELIVERY_AFTER_SILENCE).contains(&at) => {
+                Some(from + DELIVERY_AFTER_SILENCE)
             }
-            BusFault::Down if *from <= at && at < until.saturating_add(TOLD_AFTER_RETURN) => {
-                Some(until.saturating_add(TOLD_AFTER_RETURN))
+            BusFault::Down if *from <= at && at < until.saturating_add(DELIVERY_AFTER_RETURN) => {
+                Some(until.saturating_add(DELIVERY_AFTER_RETURN))
             }
             _ => None,
         });
-        let moves = self.reconfigured.get(&controller).into_iter().flatten();
-        let moved = moves
-            .filter(|moved| (**moved..**moved + TOLD_AFTER_RECONFIGURATION).contains(&at))
-            .map(|moved| moved + TOLD_AFTER_RECONFIGURATION);
-        faults.chain(moved).max().unwrap_or(at)
+        let reconfigurations = self.reconfigured.get(&controller).into_iter().flatten();
+        let after_reconfiguration = reconfigurations
+            .filter(|reconfigured_at| {
+                (**reconfigured_at..**reconfigured_at + DELIVERY_AFTER_RECONFIGURATION).contains(&at)
+            })
+            .map(|reconfigured_at| reconfigured_at + DELIVERY_AFTER_RECONFIGURATION);
+        after_faults.chain(after_reconfiguration).max().unwrap_or(at)
     }
 }
 
-fn duration(of: std::time::Duration) -> Micros {
-    of.as_micros() as Micros
+fn micros(duration: std::time::Duration) -> Micros {
+    duration.as_micros() as Micros
 }
 
 fn violation(rule: Rule, at: Micros, what: String) -> Violation {
     Violation { rule, at, what }
 }
 
-/// An attempt as the network saw it.
+/// An attempt of a call, from the records of proxies and exchanges.
 #[derive(Debug)]
 struct Attempt {
     uid: String,
     link: ConnectionId,
-    /// Come whole to its exchange.
+    /// When the exchange received the complete set-up.
     received: Option<Micros>,
-    /// Its end written, or given up, or its connection closed.
+    /// When the exchange answered or refused it, it was given up, or its link was closed.
     ended: Option<Micros>,
-    /// Whether the exchange said so: then no release time is to be kept.
-    by_exchange: bool,
+    /// Whether the exchange ended the attempt with an answer or a refusal. The release time doesn't apply then.
+    ended_by_exchange: bool,
 }
 
-/// Rules 2, 3 and 5, from what passed between controllers and exchanges.
-fn check_attempts(records: &[Record], facts: &Facts, violations: &mut Vec<Violation>) {
+/// Checks rules 2, 3 and 5, from the messages between controllers and exchanges.
+fn check_attempts(records: &[Record], history: &RunHistory, violations: &mut Vec<Violation>) {
     let mut calls: BTreeMap<CallId, Vec<Attempt>> = BTreeMap::new();
     for Record { at, event } in records {
         match event {
             Event::SetUpPassed { uid, call, controller, link } => {
-                check_drain(facts, violations, *at, *controller, uid, *call);
+                check_drain(history, violations, *at, *controller, uid, *call);
                 let attempts = calls.entry(*call).or_default();
                 check_repetition(violations, *at, *call, attempts);
                 let attempt = Attempt {
@@ -441,21 +451,21 @@
                     link: *link,
                     received: None,
                     ended: None,
-                    by_exchange: false,
+                    ended_by_exchange: false,
                 };
                 attempts.push(attempt);
             }
             Event::SetUpReceived { uid, call } => {
-                if let Some(attempt) = last_at(&mut calls, *call, uid) {
+                if let Some(attempt) = latest_attempt(&mut calls, *call, uid) {
                     attempt.received = Some(*at);
                 }
             }
             Event::AttemptEnded { uid, call, end } => {
                 if let Some(attempt) =
-                    last_at(&mut calls, *call, uid).filter(|attempt| attempt.ended.is_none())
+                    latest_attempt(&mut calls, *call, uid).filter(|attempt| attempt.ended.is_none())
                 {
                     attempt.ended = Some(*at);
-                    attempt.by_exchange = matches!(end, AttemptEnd::Answered | AttemptEnd::Refused);
+                    attempt.ended_by_exchange = matches!(end, AttemptEnd::Answered | AttemptEnd::Refused);
                 }
             }
             Event::ReleasePassed { call, link, .. } => {
@@ -476,7 +486,7 @@
     }
 }
 
-fn last_at<'a>(
+fn latest_attempt<'a>(
     calls: &'a mut BTreeMap<CallId, Vec<Attempt>>,
     call: CallId,
     uid: &str,
@@ -485,38 +495,42 @@
 }
 
 fn check_drain(
-    facts: &Facts,
+    history: &RunHistory,
     violations: &mut Vec<Violation>,
     at: Micros,
     controller: ControllerIndex,
     uid: &str,
     call: CallId,
 ) {
-    let Some(drained) = facts.drained.get(uid) else { return };
-    let told = facts.told(controller, *drained);
-    if at > told.saturating_add(duration(DRAIN_GRACE) + SLACK + RECORDING) {
+    let Some(drained) = history.drained.get(uid) else { return };
+    let delivered = history.delivery_time(controller, *drained);
+    if at > delivered.saturating_add(micros(DRAIN_GRACE) + SLACK + MAX_RECORDING_DELAY) {
         let what = format!(
-            "call {call:016x} is sent by n{controller} to {uid}, {} ms after its drain counts as told",
-            (at - told) / MILLISECOND
+            "call {call:016x} is sent by n{controller} to {uid}, {} ms after the drain counts as delivered",
+            (at - delivered) / MILLISECOND
         );
         violations.push(violation(Rule::Drain, at, what));
     }
 }
 
-/// A further attempt: the one before must have ended, and its release time passed.
+/// Checks a further attempt of a call: the previous attempt must have ended and its release time must have passed.
 fn check_repetition(violations: &mut Vec<Violation>, at: Micros, call: CallId, attempts: &[Attempt]) {
-    let Some(before) = attempts.last() else { return };
-    match before.ended {
-        // What has not come whole to its exchange is not out.
-        None if before.received.is_none() => {}
+    let Some(previous) = attempts.last() else { return };
+    match previous.ended {
+        // An attempt that its exchange has not received completely is not open.
+        None if previous.received.is_none() => {}
         None => {
-            let what = format!("call {call:016x} is sent again while its attempt at {} is out", before.uid);
+            let what =
+                format!("call {call:016x} is sent again while its attempt at {} is open", previous.uid);
             violations.push(violation(Rule::Duplicate, at, what));
         }
-        Some(ended) if !before.by_exchange && before.received.is_some() => {
-            let span = at.saturating_sub(ended) + RECORDING;
-            if span < duration(RELEASE_TIME) {
-                let what = format!("call {call:016x} is sent again after {} ms", span / MILLISECOND);
+        Some(ended) if !previous.ended_by_exchange && previous.received.is_some() => {
+            let span = at.saturating_sub(ended) + MAX_RECORDING_DELAY;
+            if span < micros(RELEASE_TIME) {
+                let what = format!(
+                    "call {call:016x} is sent again {} ms after the end of its previous attempt",
+                    span / MILLISECOND
+                );
                 violations.push(violation(Rule::Release, at, what));
             }
         }
@@ -528,15 +542,16 @@
     for Record { at, event } in records {
         let found = match event {
             Event::Exited { controller, expected: false, status } => {
-                Some((Rule::Crash, format!("n{controller} has ended by itself: {status}")))
+                Some((Rule::Crash, format!("n{controller} has exited by itself: {status}")))
             }
             Event::OverLimit { controller, what } => Some((Rule::Crash, format!("n{controller}: {what}"))),
             Event::Unreadable { connection, why } => {
-                Some((Rule::Lost, format!("connection {connection} brings what can't be read: {why}")))
-            }
-            Event::BadCaller { what, controller, settled: false, .. } => {
-                Some((Rule::BadCaller, format!("n{controller} leaves a bad caller ({what}) without an end")))
+                Some((Rule::Lost, format!("a message on connection {connection} can't be decoded: {why}")))
             }
+            Event::BadCaller { what, controller, settled: false, .. } => Some((
+                Rule::BadCaller,
+                format!("n{controller} has not answered or closed a bad caller ({what}) in time"),
+            )),
             _ => None,
         };
         violations.extend(found.map(|(rule, what)| violation(rule, *at, what)));
@@ -584,33 +599,37 @@
             at(0, Event::Terminating { controller: 0 }),
             at(1000, Event::Killed { controller: 0 }),
         ];
-        assert_eq!(rules(&restart), [Rule::Lost], "a kill after SIGTERM excuses only what has just come");
+        assert_eq!(
+            rules(&restart),
+            [Rule::Lost],
+            "a kill after SIGTERM excuses only set-ups that have just arrived"
+        );
     }
 
     #[test]
-    fn a_vanished_exchange_leaves_8_s_and_a_delivered_release_1_s() {
-        let told = |ms| at(ms, Event::ReleaseReceivedByCaller { call: CALL, controller: 0 });
-        let vanished = at(1000, Event::ExchangeEnded { uid: "s-1".into() });
-        let story = |last: Vec<Record>| [served("s-1").to_vec(), last].concat();
-        assert_eq!(rules(&story(vec![vanished.clone(), told(8900)])), []);
-        assert_eq!(rules(&story(vec![vanished, told(9200)])), [Rule::Lost]);
-        let over = at(1000, Event::CallOver { uid: "s-1".into(), call: CALL, by_controller: false });
+    fn callers_must_be_informed_within_8_s_of_an_exchange_loss_and_1_s_of_a_delivered_release() {
+        let informed = |ms| at(ms, Event::ReleaseReceivedByCaller { call: CALL, controller: 0 });
+        let exchange_ended = at(1000, Event::ExchangeEnded { uid: "s-1".into() });
+        let records_with = |later: Vec<Record>| [served("s-1").to_vec(), later].concat();
+        assert_eq!(rules(&records_with(vec![exchange_ended.clone(), informed(8900)])), []);
+        assert_eq!(rules(&records_with(vec![exchange_ended, informed(9200)])), [Rule::Lost]);
+        let call_ended = at(1000, Event::CallOver { uid: "s-1".into(), call: CALL, by_controller: false });
         let delivered =
             at(1005, Event::ReleaseDelivered { uid: "s-1".into(), call: CALL, controller: 0, link: 1 });
-        assert_eq!(rules(&story(vec![over.clone(), delivered.clone(), told(1900)])), []);
-        assert_eq!(rules(&story(vec![over, delivered, told(2200)])), [Rule::Lost]);
+        assert_eq!(rules(&records_with(vec![call_ended.clone(), delivered.clone(), informed(1900)])), []);
+        assert_eq!(rules(&records_with(vec![call_ended, delivered, informed(2200)])), [Rule::Lost]);
     }
 
     #[test]
-    fn attempts_that_overlap_come_too_soon_or_go_to_a_drain_are_told_apart() {
+    fn attempts_that_overlap_come_too_early_or_go_to_a_draining_exchange_break_different_rules() {
         let passed = |ms, uid: &str, link| {
             at(ms, Event::SetUpPassed { uid: uid.into(), call: CALL, controller: 0, link })
         };
         let received = |ms| at(ms, Event::SetUpReceived { uid: "s-1".into(), call: CALL });
-        let given_up =
+        let released =
             at(100, Event::ReleasePassed { uid: "s-1".into(), call: CALL, controller: 0, link: 1 });
         assert_eq!(rules(&[passed(0, "s-1", 1), received(1), passed(400, "s-2", 2)]), [Rule::Duplicate]);
-        let again = |ms| rules(&[passed(0, "s-1", 1), received(1), given_up.clone(), passed(ms, "s-2", 2)]);
+        let again = |ms| rules(&[passed(0, "s-1", 1), received(1), released.clone(), passed(ms, "s-2", 2)]);
         assert_eq!((again(200), again(320)), (vec![Rule::Release], vec![]));
         let drain = at(0, Event::ListChanged { offset: 1, uid: "s-1".into(), state: "terminating".into() });
         assert_eq!(rules(&[drain.clone(), passed(1900, "s-1", 1)]), []);
