--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -18,7 +18,7 @@
 use crate::sync::lock;
 
 /// Interval of a caller's main loop.
-const TICK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// A set-up that was sent at most this long before the controller closed the connection is sent again on another
 /// connection, since the controller may not have read it.
 const RESEND_WINDOW: Duration = Duration::from_millis(50);
@@ -290,7 +290,7 @@
 
     fn run(mut self) {
         while !self.group.stopped.load(Ordering::Relaxed) {
-            thread::sleep(TICK);
+            thread::sleep(POLL_INTERVAL);
             self.connect();
             let Some(connection) = self.connection.clone() else { continue };
             self.announce(&connection);
@@ -377,7 +377,7 @@
             state.open_set_ups.insert(call, OpenSetUp { sent_at: Instant::now(), set_up });
             state.redials.insert(call, redials);
         }
-        if self.write(connection, &text).is_err() {
+        if self.write_text(connection, &text).is_err() {
             // The message was not sent completely, so there is no request.
             connection.lock().open_set_ups.remove(&call);
             return;
@@ -397,7 +397,7 @@
         }
     }
 
-    fn write(&mut self, connection: &Connection, text: &str) -> io::Result<()> {
+    fn write_text(&mut self, connection: &Connection, text: &str) -> io::Result<()> {
         if self.plan.behavior != CallerBehavior::WritesSlowly {
             return (&connection.stream).write_all(text.as_bytes());
         }
@@ -435,6 +435,7 @@
         }
     }
 
+    /// Closes an idle connection. A caller that gives up early sometimes closes a connection that is not idle.
     fn maybe_close(&mut self, connection: &Arc<Connection>) {
         let idle = connection.lock().open_set_ups.is_empty() && self.last_sent.elapsed() > IDLE_TIMEOUT;
         let closes_early = self.plan.behavior == CallerBehavior::GivesUpEarly && self.rng.random_bool(0.002);
--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -154,7 +154,7 @@
         fs::rename(temporary, path)
     }
 
-    /// Starts the program and waits until it answers OPTIONS, or records that it did not within [`READY_TIMEOUT`].
+    /// Starts the program and waits until it answers OPTIONS, or records that it did not within 10 s.
     pub fn start(&self, initial_events: &Value) -> io::Result<()> {
         let start_count = {
             let mut state = self.lock();
--- a/crates/soak/src/exchange.rs
+++ b/crates/soak/src/exchange.rs
@@ -59,7 +59,7 @@
     pub stray: f64,
     /// The connection is reset when the set-up has been read.
     pub reset: f64,
-    /// The set-up is refused at once with cause [`ERROR`].
+    /// The set-up is refused at once with the platform's cause for an error.
     pub error: f64,
 }
 
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -11,10 +11,11 @@
 use crate::proxy::ConnectionFaults;
 use crate::record::{BusFault, ControllerIndex};
 
+/// Number of controllers in a run.
 pub const CONTROLLERS: usize = 3;
 /// Number of offices that callers call. An office is a dialled destination, served by one exchange at a time.
 pub const OFFICES: usize = 3;
-/// Faults begin when calls stand already.
+/// Faults begin only when there are standing calls.
 const FIRST_FAULT_MS: u64 = 3000;
 const LAST_FAULT_MS: u64 = 11_000;
 /// Time from the last fault to the end of the run, so that the time limit for call ends without a release expires within
@@ -27,7 +28,7 @@
 /// A fault or a planned change that a run applies.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// SIGTERM, SIGKILL at the earliest time allowed, and a new start at once.
+    /// SIGTERM, SIGKILL at the earliest time allowed, and a new start 300 ms later.
     Restart {
         controller: ControllerIndex,
     },
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -274,8 +274,8 @@
         }
     }
 
-    fn wait_for(&self, span: Duration) {
-        self.wait_until(Instant::now() + span);
+    fn wait_for(&self, duration: Duration) {
+        self.wait_until(Instant::now() + duration);
     }
 
     fn apply_fault(&self, fault: Fault) {
@@ -316,8 +316,8 @@
         stop(controller);
         self.wait_for(RESTART_DELAY);
         if !self.stopped.load(Ordering::Relaxed) {
-            let started = controller.start(&self.bus.initial_events(controller.index));
-            if let Err(error) = started {
+            let result = controller.start(&self.bus.initial_events(controller.index));
+            if let Err(error) = result {
                 let what = format!("can't be started: {error}");
                 self.recorder.add(Event::OverLimit { controller: controller.index, what });
             }
@@ -371,19 +371,19 @@
             return;
         }
         self.publish(office, &current.exchange.uid, &current.proxies, "terminated", 0);
-        let Ok(next) = self.start_exchange(office, generation + 1) else { return };
+        let Ok(replacement) = self.start_exchange(office, generation + 1) else { return };
         let proxies = if same_address {
-            for (proxy, upstream) in current.proxies.iter().zip(&next.listen) {
-                proxy.set_upstream(*upstream, &next.uid);
+            for (proxy, upstream) in current.proxies.iter().zip(&replacement.listen) {
+                proxy.set_upstream(*upstream, &replacement.uid);
                 proxy.set_network_state(NetworkState::Up);
             }
             current.proxies.clone()
         } else {
-            self.start_proxies(&next, office)
+            self.start_proxies(&replacement, office)
         };
         let boot_ms = now() / 1000;
-        self.publish(office, &next.uid, &proxies, "in_service", boot_ms);
-        *current = Office { exchange: next, proxies, generation: generation + 1, ended: false };
+        self.publish(office, &replacement.uid, &proxies, "in_service", boot_ms);
+        *current = Office { exchange: replacement, proxies, generation: generation + 1, ended: false };
     }
 
     fn replace(&self, office: usize, same_address: bool) {
