--- a/crates/isup/src/cause.rs
+++ b/crates/isup/src/cause.rs
@@ -4,11 +4,11 @@
 
 macro_rules! causes {
     ($($(#[$doc:meta])* $name:ident = $value:literal;)*) => {
-        /// Cause values of Q.850 clause 2.2.7 that have a use here; all others are kept as they came.
+        /// Cause values of Q.850 clause 2.2.7 that the software uses; all others are kept unchanged.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Q850 {
             $($(#[$doc])* $name,)*
-            /// Any other value, below 128.
+            /// Any other value, 0 to 127.
             Other(u8),
         }
 
@@ -20,7 +20,7 @@
                 }
             }
 
-            /// The top bit is the extension bit and is left out.
+            /// Ignores the top bit, which is the extension bit.
             pub fn from_value(value: u8) -> Self {
                 match value & 0x7f {
                     $($value => Self::$name,)*
@@ -52,7 +52,7 @@
     ProtocolError = 111;
 }
 
-/// Where a cause was set (Q.850 clause 2.2.3).
+/// Part of the network that set a cause (Q.850 clause 2.2.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Location {
     User,
@@ -86,7 +86,7 @@
     }
 }
 
-/// A cause and where it was set; diagnostics are passed over.
+/// A cause and where it was set; diagnostics are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CauseIndicators {
     pub location: Location,
@@ -99,11 +99,13 @@
     }
 
     pub(crate) fn read(octets: &[u8]) -> Result<Self, IsupError> {
-        // An octet 1 without its extension bit is followed by an octet 1a (recommendation), of no use here.
+        // Octet 1 without its extension bit is followed by octet 1a (recommendation), which is ignored.
         let (first, cause) = match octets {
             [first, cause, ..] if first & 0x80 != 0 => (first, cause),
             [first, _recommendation, cause, ..] if first & 0x80 == 0 => (first, cause),
-            _ => return Err(IsupError::Short { what: "cause indicators", needs: 2, has: octets.len() }),
+            _ => {
+                return Err(IsupError::TooShort { what: "cause indicators", needed: 2, actual: octets.len() });
+            }
         };
         Ok(Self { location: Location::from_value(*first), cause: Q850::from_value(*cause) })
     }
--- a/crates/isup/src/lib.rs
+++ b/crates/isup/src/lib.rs
@@ -1,8 +1,8 @@
-//! ISUP (ITU-T Q.763) in M3UA frames (RFC 4666): bytes to types and back, without I/O.
+//! Codec for ISUP messages (ITU-T Q.763) in M3UA frames (RFC 4666), without I/O.
 //!
-//! [`m3ua`] cuts a stream of bytes into frames and names them, [`message`] reads and writes what a DATA frame
-//! carries, [`number`], [`cause`] and [`circuit`] hold the parameters that have a meaning here, [`national`] what is
-//! ours. Whatever is read borrows from the bytes it was read from.
+//! [`m3ua`] splits a stream of octets into frames and reads and writes them, [`message`] reads and writes the ISUP
+//! message of a DATA frame. [`number`], [`cause`] and [`circuit`] hold the standard parameters, [`national`] the
+//! extensions of this project. Frames and messages borrow from the octets that they were read from.
 
 pub mod cause;
 pub mod circuit;
--- a/crates/isup/src/national.rs
+++ b/crates/isup/src/national.rs
@@ -1,35 +1,35 @@
-//! What the standard has no place for, in codes that it leaves to national use: "from the highest code downwards",
-//! `1111 1111` to `1110 0000` (Q.763 clause 1.10). An exchange that does not know them passes over them.
+//! Extensions to the standard, in the codes that it reserves for national use: "from the highest code downwards",
+//! `1111 1111` to `1110 0000` (Q.763 clause 1.10). An exchange that does not know them ignores them.
 
 use std::time::Duration;
 
 use crate::message::IsupError;
 use crate::octet_reader::OctetReader;
 
-/// Parameter: how long the full processor asks to be left alone, milliseconds.
+/// Parameter: milliseconds for which a full processor asks to get no set-ups.
 pub const CONGESTION_WAIT: u8 = 0xff;
-/// Parameter: the processor's own report, see [`ProcessorReport`].
+/// Parameter: [`ProcessorReport`].
 pub const REPORT: u8 = 0xfe;
-/// Parameter: a tandem turned the call back, see [`Crankback`].
+/// Parameter: [`Crankback`].
 pub const CRANKBACK: u8 = 0xfd;
-/// Parameter: whose call it is, see [`CallIdentity`].
+/// Parameter: [`CallIdentity`].
 pub const IDENTITY: u8 = 0xfc;
 
 /// Message: a short message from one controller to another.
 pub const PEER_MESSAGE: u8 = 0xfd;
 
-/// What a processor says of itself.
+/// Capacity of a processor, as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessorReport {
-    /// New set-ups a second that it can take from all senders, in thousandths.
+    /// New set-ups that it accepts from all senders together, in thousandths a second.
     pub rate_milli: Option<u32>,
 }
 
 impl ProcessorReport {
     pub(crate) fn read(octets: &[u8]) -> Result<Self, IsupError> {
-        let mut octets = OctetReader::new(octets, "processor's report");
-        let (told, rate) = (octets.u8()?, octets.u32()?);
-        Ok(Self { rate_milli: (told & 1 != 0).then_some(rate) })
+        let mut octets = OctetReader::new(octets, "processor report");
+        let (flags, rate) = (octets.u8()?, octets.u32()?);
+        Ok(Self { rate_milli: (flags & 1 != 0).then_some(rate) })
     }
 
     pub(crate) fn write(self) -> [u8; 5] {
@@ -38,29 +38,29 @@
     }
 }
 
-/// How a tandem turned a call back.
+/// A tandem could not pass a call on and returned it to the previous exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crankback {
-    /// The processor after the tandem was full.
+    /// The processor of the exchange after the tandem was full.
     pub next_exchange_full: bool,
 }
 
-/// Whose call a set-up belongs to, for the audit and for tandems. Stays the same along the way.
+/// The call that a set-up belongs to, for the circuit audit and for tandems. Each exchange passes it on unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallIdentity {
-    /// The exchange that took the call from its caller.
+    /// The exchange that received the call from its caller.
     pub origin: u16,
-    /// The call's number there, never used twice.
+    /// The call's number at that exchange, never used twice.
     pub call: u64,
-    /// Which seizure of the call, counted from 0.
+    /// Number of the seizure within the call, from 0.
     pub seizure: u8,
     pub call_type: u8,
     pub customer: u16,
-    /// Time that the caller has left when the set-up goes out, to the millisecond.
+    /// Time that the caller still waits for an answer when the set-up is sent, in milliseconds.
     pub time_left_ms: u32,
-    /// It stood, was cut, and comes again.
+    /// The call was standing, was cut, and is set up again.
     pub cut: bool,
-    /// Its caller dials again.
+    /// The caller is redialling after a failed attempt.
     pub redial: bool,
 }
 
@@ -72,10 +72,10 @@
     }
 
     pub(crate) fn read(octets: &[u8]) -> Result<Self, IsupError> {
-        let mut octets = OctetReader::new(octets, "call's identity");
+        let mut octets = OctetReader::new(octets, "call identity");
         let (origin, call, seizure) = (octets.u16()?, octets.u64()?, octets.u8()?);
         let (call_type, customer, time_left_ms) = (octets.u8()?, octets.u16()?, octets.u32()?);
-        let marks = octets.u8()?;
+        let flags = octets.u8()?;
         Ok(Self {
             origin,
             call,
@@ -83,8 +83,8 @@
             call_type,
             customer,
             time_left_ms,
-            cut: marks & 1 != 0,
-            redial: marks & 2 != 0,
+            cut: flags & 1 != 0,
+            redial: flags & 2 != 0,
         })
     }
 
--- a/crates/isup/src/octet_reader.rs
+++ b/crates/isup/src/octet_reader.rs
@@ -1,4 +1,4 @@
-//! Reading fields off a slice, each failure named by what was being read.
+//! Reads integers and slices from the front of octets. Errors name the parameter that was being read.
 
 use crate::message::IsupError;
 
@@ -13,16 +13,16 @@
     }
 
     pub fn take(&mut self, count: usize) -> Result<&'a [u8], IsupError> {
-        let short = IsupError::Short { what: self.what, needs: count, has: self.rest.len() };
-        let (head, rest) = self.rest.split_at_checked(count).ok_or(short)?;
+        let too_short = IsupError::TooShort { what: self.what, needed: count, actual: self.rest.len() };
+        let (head, rest) = self.rest.split_at_checked(count).ok_or(too_short)?;
         self.rest = rest;
         Ok(head)
     }
 
     pub fn array<const N: usize>(&mut self) -> Result<[u8; N], IsupError> {
-        let mut all = [0; N];
-        all.copy_from_slice(self.take(N)?);
-        Ok(all)
+        let mut octets = [0; N];
+        octets.copy_from_slice(self.take(N)?);
+        Ok(octets)
     }
 
     pub fn u8(&mut self) -> Result<u8, IsupError> {
--- a/crates/isup/tests/fuzz.rs
+++ b/crates/isup/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Fuzz target of the codec. As an ordinary test it runs the kept corpus and some seconds' worth of new inputs;
-//! `cargo bolero test -p mintstall-isup whatever_is_read_is_written_back_the_same` fuzzes on with coverage.
+//! Fuzz target of the codec. As an ordinary test it runs the stored corpus and a few seconds of new inputs;
+//! `cargo bolero test -p mintstall-isup whatever_is_read_is_written_back_the_same` fuzzes guided by coverage.
 
 use mintstall_isup::{Deframer, Frame, Message};
 
@@ -10,16 +10,16 @@
         deframer.push(octets);
         while let Ok(Some(frame)) = deframer.next() {
             if let Ok(Frame::Data(data)) = Frame::read(frame) {
-                read_again(data.user);
+                check_round_trip(data.user);
             }
         }
-        read_again(octets);
+        check_round_trip(octets);
     });
 }
 
-/// What a message means is the same after it was written and read again, though its octets may differ: pointers may
-/// skip, optional parameters may come in another order.
-fn read_again(octets: &[u8]) {
+/// A message is equal to itself after it is written and read again. The octets may differ, since pointers may skip
+/// octets and optional parameters may be in another order.
+fn check_round_trip(octets: &[u8]) {
     if let Ok(message) = Message::read(octets) {
         let mut written = Vec::new();
         message.write(&mut written);
--- a/crates/isup/tests/round_trips.rs
+++ b/crates/isup/tests/round_trips.rs
@@ -1,4 +1,4 @@
-//! Whatever is written reads back the same, and no octets make the reader panic.
+//! Messages and frames read back equal to what was written, and no octets make the readers panic.
 
 use std::time::Duration;
 
@@ -28,8 +28,8 @@
         .prop_map(|(count, bits)| RangeStatus { count, status: bits & (u32::MAX >> (32 - u32::from(count))) })
 }
 
-/// Codes that have no meaning here.
-fn other() -> impl Strategy<Value = Vec<(u8, Vec<u8>)>> {
+/// Parameters whose codes the codec does not know.
+fn unknown_parameters() -> impl Strategy<Value = Vec<(u8, Vec<u8>)>> {
     vec((0x60u8..0x90, vec(any::<u8>(), 0..20)), 0..3)
 }
 
@@ -43,49 +43,49 @@
     })
 }
 
-fn same(message: &Message) -> Result<(), TestCaseError> {
+fn check_round_trip(message: &Message) -> Result<(), TestCaseError> {
     let mut octets = Vec::new();
     message.write(&mut octets);
     prop_assert_eq!(&Message::read(&octets).unwrap(), message);
-    // Each shorter beginning is an error or another message, never a panic.
+    // Each truncated message is an error or another message, never a panic.
     (0..octets.len()).for_each(|end| drop(Message::read(&octets[..end])));
     Ok(())
 }
 
 proptest! {
     #[test]
-    fn initial_addresses_come_back_as_written(
+    fn initial_addresses_read_back_as_written(
         fixed in any::<(u8, [u8; 2], u8, u8)>(), called in number(), calling in proptest::option::of(number()),
         map in proptest::option::of(0u32..1 << 31), hops in proptest::option::of(0u8..32),
-        identity in proptest::option::of(identity()), other in other(), cic in 0u16..4096,
+        identity in proptest::option::of(identity()), unknown in unknown_parameters(), cic in 0u16..4096,
     ) {
         let (nature, forward, category, medium) = fixed;
-        let unknown_parameters = other.iter().map(|(code, contents)| (*code, &contents[..])).collect();
+        let unknown_parameters = unknown.iter().map(|(code, contents)| (*code, &contents[..])).collect();
         let map = map.map(CircuitMap);
         let iam = Iam { nature, forward, category, medium, called, calling, map, hops, identity, unknown_parameters };
-        same(&Message::new(Cic(cic), Body::Iam(iam)))?;
+        check_round_trip(&Message::new(Cic(cic), Body::Iam(iam)))?;
     }
 
     #[test]
-    fn releases_come_back_as_written(
-        value in 0u8..128, place in 0u8..16, congestion in any::<Option<u8>>(), wait in any::<Option<u32>>(),
-        beyond in any::<Option<bool>>(), report in proptest::option::of(report()), other in other(),
+    fn releases_read_back_as_written(
+        value in 0u8..128, location in 0u8..16, congestion in any::<Option<u8>>(), wait in any::<Option<u32>>(),
+        next_exchange_full in any::<Option<bool>>(), report in proptest::option::of(report()), unknown in unknown_parameters(),
     ) {
-        let location = match place { 0 => Location::User, 2 => Location::Local, 3 => Location::Transit,
+        let location = match location { 0 => Location::User, 2 => Location::Local, 3 => Location::Transit,
             4 => Location::Remote, other => Location::Other(other) };
         let rel = Rel {
             cause: CauseIndicators::new(location, Q850::from_value(value)),
             congestion,
             congestion_wait: wait.map(|ms| Duration::from_millis(ms.into())),
-            crankback: beyond.map(|beyond| Crankback { next_exchange_full: beyond }),
+            crankback: next_exchange_full.map(|next_exchange_full| Crankback { next_exchange_full }),
             report,
-            unknown_parameters: other.iter().map(|(code, contents)| (*code, &contents[..])).collect(),
+            unknown_parameters: unknown.iter().map(|(code, contents)| (*code, &contents[..])).collect(),
         };
-        same(&Message::new(Cic(1), Body::Rel(rel)))?;
+        check_round_trip(&Message::new(Cic(1), Body::Rel(rel)))?;
     }
 
     #[test]
-    fn circuit_and_answer_messages_come_back_as_written(
+    fn circuit_and_answer_messages_read_back_as_written(
         kind in 0usize..19, status in range(), group in 0u8..4, states in vec(state(), 1..=32),
         report in proptest::option::of(report()), octets in vec(any::<u8>(), 0..40),
     ) {
@@ -109,7 +109,7 @@
             16 => Body::Cqr { states },
             _ => Body::Peer(&octets),
         };
-        same(&Message::new(Cic(37), body))?;
+        check_round_trip(&Message::new(Cic(37), body))?;
     }
 
     #[test]
@@ -124,7 +124,7 @@
     }
 
     #[test]
-    fn a_stream_cut_anywhere_gives_the_same_frames(cuts in vec(0usize..200, 0..6), user in vec(any::<u8>(), 0..60)) {
+    fn a_stream_split_anywhere_gives_the_same_frames(cuts in vec(0usize..200, 0..6), user in vec(any::<u8>(), 0..60)) {
         let data = ProtocolData { opc: 3, dpc: 9, service: m3ua::ISUP, network: 2, priority: 0, sls: 7, user: &user };
         let frames = [Frame::AspUp { asp: Some(4) }, Frame::Data(data), Frame::Heartbeat(b"12345"), Frame::AspActiveAck];
         let mut stream = Vec::new();
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_release_is_on_the_wire_as_the_standard_draws_it() {
+fn a_release_has_the_octets_of_the_standard() {
     let cause = CauseIndicators::new(Location::Local, Q850::NormalClearing);
     let mut octets = Vec::new();
     Message::new(Cic(0x123), Body::Rel(Rel::new(cause))).write(&mut octets);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_frame_that_is_none_is_named() {
+fn an_invalid_version_or_length_is_reported() {
     let mut deframer = Deframer::default();
     deframer.push(b"GET / HTTP/1.1\r\n");
     assert_eq!(deframer.next(), Err(FrameError::Version(b'G')));
@@ -166,7 +166,7 @@
 #[test]
 fn circuits_lie_in_slots_one_to_thirty_one() {
     assert_eq!((Cic::from_index(0), Cic::from_index(30), Cic::from_index(31)), (Cic(1), Cic(31), Cic(33)));
-    assert!((0..Cic::MAX_PER_GROUP).all(|place| Cic::from_index(place).index() == Some(place)));
+    assert!((0..Cic::MAX_PER_GROUP).all(|index| Cic::from_index(index).index() == Some(index)));
     assert_eq!(Cic(64).index(), None);
     let map = CircuitMap(0b1010);
     assert_eq!(map.circuits(Cic(33)).collect::<Vec<_>>(), [Cic(34), Cic(36)]);
