--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -200,7 +200,7 @@
     }
 
     /// A controller gave a call its final answer.
-    pub fn answered(
+    pub fn call_answered(
         &mut self,
         now: Duration,
         office: u16,
--- a/crates/emulator/src/far_exchange.rs
+++ b/crates/emulator/src/far_exchange.rs
@@ -108,7 +108,7 @@
     out: BTreeSet<(u16, u64)>,
     /// Calls given up lately, by when. Emptied by time.
     given_up: BTreeMap<(u16, u64), Duration>,
-    pub tally: FarCounters,
+    pub counters: FarCounters,
 }
 
 impl FarExchange {
@@ -124,7 +124,7 @@
             busy_until: Duration::ZERO,
             out: BTreeSet::new(),
             given_up: BTreeMap::new(),
-            tally: FarCounters::default(),
+            counters: FarCounters::default(),
         }
     }
 
@@ -140,7 +140,7 @@
         self.circuits.clear();
         self.due.clear();
         self.out.clear();
-        self.tally.in_use = 0;
+        self.counters.in_use = 0;
     }
 
     /// When [`FarExchange::on_timer`] is next to be called.
@@ -159,11 +159,11 @@
             match answer {
                 Answer::Stands => {
                     held.state = State::Stands;
-                    self.tally.answered += 1;
+                    self.counters.answered += 1;
                     self.send(cic, Body::Anm { report: None, unknown_parameters: Vec::new() }, out);
                 }
                 Answer::Busy => {
-                    self.tally.turned_back += 1;
+                    self.counters.turned_back += 1;
                     self.free(cic);
                     let cause = CauseIndicators::new(Location::Remote, Q850::UserBusy);
                     self.send(cic, Body::Rel(Rel::new(cause)), out);
@@ -213,10 +213,10 @@
                 let was = self.free(cic);
                 match was.map(|held| (held.whose, held.state)) {
                     Some((whose, State::Rings(..))) => {
-                        self.tally.given_up += 1;
+                        self.counters.given_up += 1;
                         self.given_up.extend(whose.map(|whose| (whose, now)));
                     }
-                    Some((_, State::Stands)) => self.tally.hung_up += 1,
+                    Some((_, State::Stands)) => self.counters.hung_up += 1,
                     None => {}
                 }
                 self.send(cic, Body::Rlc { unknown_parameters: Vec::new() }, out);
@@ -235,11 +235,11 @@
 
     fn set_up(&mut self, now: Duration, cic: Cic, whose: Option<(u16, u64)>) {
         self.given_up.retain(|_, at| *at + RELEASE_TIME > now);
-        self.tally.set_ups += 1;
-        self.tally.dual += u64::from(self.circuits.contains_key(&cic));
+        self.counters.set_ups += 1;
+        self.counters.dual += u64::from(self.circuits.contains_key(&cic));
         if let Some(whose) = whose {
-            self.tally.too_soon += u64::from(self.given_up.contains_key(&whose));
-            self.tally.second_out += u64::from(!self.out.insert(whose));
+            self.counters.too_soon += u64::from(self.given_up.contains_key(&whose));
+            self.counters.second_out += u64::from(!self.out.insert(whose));
         }
         let answer = match self.chance.random::<f64>() {
             draw if draw < self.plan.silent => None,
@@ -256,7 +256,7 @@
         self.due.extend(at.map(|at| (at, cic)));
         let state = State::Rings(at, answer.unwrap_or(Answer::Stands));
         self.circuits.insert(cic, Held { whose, state });
-        self.tally.in_use = self.circuits.len() as u64;
+        self.counters.in_use = self.circuits.len() as u64;
     }
 
     fn free(&mut self, cic: Cic) -> Option<Held> {
@@ -265,7 +265,7 @@
             self.due.remove(&(at, cic));
         }
         held.whose.iter().for_each(|whose| _ = self.out.remove(whose));
-        self.tally.in_use = self.circuits.len() as u64;
+        self.counters.in_use = self.circuits.len() as u64;
         Some(held)
     }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -14,5 +14,5 @@
 pub use day::*;
 pub use far_exchange::{FarCounters, FarExchange, FarPlan};
 pub use observer::{Observation, Observer};
-pub use score::{Outcome, Score, Slice};
+pub use score::{Outcome, Revenue, Score};
 pub use simulation::{Action, LinkMode, Simulation};
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -55,7 +55,7 @@
     /// A controller was told of exchanges.
     MembershipDelivered {
         office: u16,
-        whole: bool,
+        is_full: bool,
         entries: &'a [MemberEntry],
     },
     Started {
--- a/crates/emulator/src/score.rs
+++ b/crates/emulator/src/score.rs
@@ -22,12 +22,12 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Slice {
+pub struct Revenue {
     pub offered: f64,
     pub served: f64,
 }
 
-impl Slice {
+impl Revenue {
     fn add(&mut self, offered: f64, served: f64) {
         self.offered += offered;
         self.served += served;
@@ -41,10 +41,10 @@
 /// Revenue by call type, customer and windows of 10 s of first tries; callers by what became of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Score {
-    pub whole: Slice,
-    pub windows: Vec<Slice>,
-    pub call_types: Vec<Slice>,
-    pub customers: Vec<Slice>,
+    pub whole: Revenue,
+    pub windows: Vec<Revenue>,
+    pub call_types: Vec<Revenue>,
+    pub customers: Vec<Revenue>,
     pub outcomes: BTreeMap<Outcome, u64>,
     pub first_tries: u64,
     pub tries: u64,
@@ -60,9 +60,9 @@
         served: f64,
         outcome: Outcome,
     ) {
-        fn at(slices: &mut Vec<Slice>, index: usize) -> &mut Slice {
+        fn at(slices: &mut Vec<Revenue>, index: usize) -> &mut Revenue {
             if slices.len() <= index {
-                slices.resize(index + 1, Slice::default());
+                slices.resize(index + 1, Revenue::default());
             }
             &mut slices[index]
         }
@@ -74,6 +74,6 @@
     }
 
     pub fn worst_window(&self) -> f64 {
-        self.windows.iter().map(Slice::share).fold(1.0, f64::min)
+        self.windows.iter().map(Revenue::share).fold(1.0, f64::min)
     }
 }
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -750,7 +750,7 @@
         }
         w.observe(
             now,
-            Observation::MembershipDelivered { office, whole: since.is_none(), entries: &entries },
+            Observation::MembershipDelivered { office, is_full: since.is_none(), entries: &entries },
         );
         let news = MembershipUpdate { version: self.version, since, entries };
         self.exchanges[usize::from(office) - 1].told = self.version;
--- a/crates/isup/src/cause.rs
+++ b/crates/isup/src/cause.rs
@@ -104,7 +104,11 @@
             [first, cause, ..] if first & 0x80 != 0 => (first, cause),
             [first, _recommendation, cause, ..] if first & 0x80 == 0 => (first, cause),
             _ => {
-                return Err(IsupError::TooShort { what: "cause indicators", needed: 2, actual: octets.len() });
+                return Err(IsupError::TooShort {
+                    what: "cause indicators",
+                    needed: 2,
+                    actual: octets.len(),
+                });
             }
         };
         Ok(Self { location: Location::from_value(*first), cause: Q850::from_value(*cause) })
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -145,7 +145,7 @@
         while let Some(event) = self.sessions.get_mut(&no).and_then(Session::next_event) {
             match event {
                 Event::Answered(OfferResult { call, exchange_call, answer }) => {
-                    simulation.answered(now, office, call, exchange_call, answer, observer);
+                    simulation.call_answered(now, office, call, exchange_call, answer, observer);
                 }
                 Event::Ended { call, how } => {
                     simulation.call_ended(now, office, call, how.unwrap_or(EndReason::Cut), observer)
--- a/crates/lab/src/far.rs
+++ b/crates/lab/src/far.rs
@@ -40,7 +40,7 @@
     }
 
     pub fn tally(&self) -> FarCounters {
-        lock(&self.far).tally
+        lock(&self.far).counters
     }
 
     /// What it does with set-ups from now on.
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -512,7 +512,7 @@
             match purpose {
                 Purpose::Line(office) => match ServerMessage::read(&text) {
                     Ok(ServerMessage::Answered(a)) => {
-                        self.simulation.answered(
+                        self.simulation.call_answered(
                             now,
                             office,
                             a.call,
--- a/crates/lab/src/rule_checker.rs
+++ b/crates/lab/src/rule_checker.rs
@@ -585,8 +585,8 @@
             Observation::Answered { office, call, exchange_call, answer } => {
                 self.answered(at, office, call, exchange_call, answer);
             }
-            Observation::MembershipDelivered { office, whole, entries } => {
-                self.told(at, office, whole, entries)
+            Observation::MembershipDelivered { office, is_full, entries } => {
+                self.told(at, office, is_full, entries)
             }
             Observation::Started { office } => self.started(office),
             Observation::Killed { office } => self.killed(at, office),
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -320,7 +320,7 @@
                         seat.calls.remove(&name);
                     }
                     for _ in 0..self.interceptor.answer_copies(now, no, name) {
-                        self.simulation.answered(now, no, name, call.0, answer, w);
+                        self.simulation.call_answered(now, no, name, call.0, answer, w);
                     }
                 }
                 Did::Ended(call, end) => {
