--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -1,4 +1,4 @@
-//! The script of a day: the fleet, its traffic, and what goes wrong when.
+//! The script of a day: the exchanges, their traffic, and the faults with their times.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -19,16 +19,16 @@
 }
 
 script! {
-    /// One day. Whatever is left out has the default shown in the schema.
+    /// One day. Fields that are left out have the default of the schema.
     Day {
         name: String = "a day".into(),
         seed: u64 = 1,
-        /// Calls arrive for so long, seconds; the day runs on until all are answered and over.
+        /// Time during which callers start new calls, seconds. The day lasts until all calls are answered and ended.
         length_s: f64 = 30.0,
         regions: Vec<String> = vec!["here".into()],
-        /// How many exchanges; they are numbered from 1 and spread over the regions in turn.
+        /// Number of exchanges. They are numbered from 1 and assigned to the regions in turn.
         exchanges: u16 = 6,
-        /// True speed of each exchange's processor, in turn, 1 being what the plan reckons with.
+        /// Actual speeds of the exchanges' processors as multiples of the planned speed, assigned in turn.
         speeds: Vec<f64> = vec![1.0],
         network: Network = Network::default(),
         groups: Groups = Groups::default(),
@@ -36,35 +36,37 @@
         customers: Vec<CustomerPlan> = vec![CustomerPlan::default()],
         traffic: Traffic = Traffic::default(),
         callers: Callers = Callers::default(),
-        /// On loopback: sessions over WebSocket that callers ask on. In virtual time there are no connections.
+        /// WebSocket sessions of the callers, on loopback only. In virtual time there are no connections.
         clients: ClientPlan = ClientPlan::default(),
         processor: ProcessorPlan = ProcessorPlan::default(),
         directory: DirectoryPlan = DirectoryPlan::default(),
         rules: RuleLimits = RuleLimits::default(),
-        /// Seizures a call may make.
+        /// Maximum number of seizures of a call.
         seizures: u8 = 5,
-        /// Whether each call comes with the tandem that had most room a while ago.
+        /// Whether each offer advises the tandem that had most free circuits up to two seconds ago.
         advice: bool = false,
-        /// Whether controllers may send each other short messages.
+        /// Whether controllers may send short messages to each other.
         messages: bool = false,
         faults: Vec<FaultAt> = Vec::new(),
     }
-    /// One way between exchanges.
+    /// One-way delays between exchanges.
     Network {
+        /// Within a region: each pair's delay is drawn from this range, milliseconds.
         same_ms: [f64; 2] = [3.0, 7.0],
+        /// Between regions, milliseconds.
         cross_ms: [f64; 2] = [11.0, 25.0],
-        /// Each message takes up to this share longer.
+        /// Each message is delayed further by up to this share of the delay.
         jitter: f64 = 0.2,
     }
-    /// Trunk groups: sized for the planned traffic of each pair, which the true one misses.
+    /// Trunk groups, sized for the planned traffic of each pair of exchanges. Actual traffic differs from it.
     Groups {
-        /// Circuits beyond the planned traffic, as a share of it.
+        /// Spare circuits as a share of the planned traffic in erlangs.
         spare: f64 = 0.05,
-        /// And this many times its square root.
+        /// Further spare circuits, as a multiple of the square root of the planned traffic.
         spare_root: f64 = 0.8,
-        /// The plan missed the traffic of each pair by up to this share.
+        /// Actual traffic of each pair differs from the planned traffic by up to this share.
         miss: f64 = 0.15,
-        /// Share of the pairs without a group.
+        /// Share of the pairs that have no trunk group.
         unlinked: f64 = 0.0,
     }
     CallTypePlan {
@@ -73,9 +75,11 @@
         setup_target_ms: u64 = 2000,
         guard_time_ms: u64 = 9000,
         revenue: f64 = 1.0,
-        /// What it earns of its revenue if it stands later than the target.
+        /// Share of the revenue that a call earns if it is answered after the setup target.
         late_share: f64 = 0.25,
+        /// Circuits of a call.
         width: u16 = 1,
+        /// Mean duration of a standing call, seconds.
         hold_s: f64 = 9.0,
     }
     CustomerPlan {
@@ -83,54 +87,61 @@
         share: f64 = 1.0,
     }
     Traffic {
-        /// First tries a second, all exchanges together, as planned.
+        /// Planned calls a second of all exchanges together, redials not counted.
         calls_per_s: f64 = 70.0,
-        /// Offered over planned.
+        /// Actual calls as a multiple of the planned calls.
         load: f64 = 0.9,
-        /// Where calls go shifts this often, seconds (0: never), and by up to which share.
+        /// Interval at which the traffic of each pair of exchanges changes, seconds; 0: never.
         drift_s: f64 = 15.0,
+        /// Largest change of a pair's traffic at a time, as a share of it.
         drift: f64 = 0.3,
     }
     Callers {
+        /// Redials of a caller at most.
         redials: u32 = 2,
+        /// Pause before a redial, milliseconds.
         after_ms: [f64; 2] = [560.0, 1500.0],
-        /// A try is given up after this share of the guard time.
+        /// A caller gives up an attempt after a share of the guard time that is drawn from this range.
         try_share: [f64; 2] = [0.3, 0.4],
-        /// Share that heeds a told time to come back.
+        /// Share of the failed attempts after which the caller waits for the retry time that it received.
         heeds: f64 = 0.7,
-        /// Share that hangs up before its time.
+        /// Share of the attempts that the caller gives up before that time.
         impatient: f64 = 0.005,
     }
     #[schemars(rename = "Clients")]
     ClientPlan {
-        /// Of each exchange; 0: all callers of an exchange share one plain line.
+        /// Sessions of each exchange; 0: all callers of an exchange share one subscriber line.
         sessions: u16 = 0,
-        /// Connections cut a second, of all exchanges together; their clients come back by themselves.
+        /// Connections cut a second, of all exchanges together. The clients reconnect by themselves.
         cuts_per_s: f64 = 0.0,
-        /// Share of the clients cut that never come back; others take their places.
+        /// Share of the disconnected clients that never reconnect; new clients replace them.
         gone: f64 = 0.2,
     }
-    /// The processor of each exchange: one line.
+    /// The processor of each exchange, which handles one job at a time.
     ProcessorPlan {
-        /// Share of its time that the planned load takes; its speed follows from it.
+        /// Processor utilization at the planned load. The processor's speed follows from it.
         busy: f64 = 0.77,
+        /// Time to examine a call that a subscriber offers.
         look_ms: f64 = 1.0,
+        /// Time to send or receive a set-up.
         set_up_ms: f64 = 2.0,
         answer_ms: f64 = 1.0,
         release_ms: f64 = 1.0,
+        /// Time to reject a set-up.
         turn_away_ms: f64 = 0.3,
-        /// It turns set-ups away once they would wait this long.
+        /// The processor rejects set-ups while they would wait longer than this.
         full_wait_ms: f64 = 2000.0,
-        /// Whether it then says how long to stay away.
+        /// Whether a rejection says for how long to send no set-ups.
         tells_wait: bool = true,
-        /// Whether answers and releases go ahead of set-ups.
+        /// Whether answers and releases are handled before set-ups.
         answers_first: bool = true,
         reports: Reports = Reports::None,
     }
     DirectoryPlan {
+        /// Delay of the directory's updates to each controller, milliseconds.
         late_ms: [f64; 2] = [1600.0, 4900.0],
     }
-    /// Figures of the five rules.
+    /// Limits of the five rules that controllers must keep.
     #[schemars(rename = "Rules")]
     RuleLimits {
         answer_grace_ms: u64 = 250,
@@ -141,7 +152,7 @@
         warm_up_ms: u64 = 15_000,
         release_wait_ms: u64 = 200,
     }
-    /// Something that goes wrong.
+    /// A fault, its start and its duration.
     FaultAt {
         at_s: f64 = 0.0,
         for_s: f64 = 0.0,
@@ -149,22 +160,22 @@
     }
 }
 
-/// What a processor says of itself along with answers.
+/// What processors report of themselves to their controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Reports {
     None,
-    /// New set-ups a second that it can take.
+    /// New set-ups that the processor accepts a second.
     Rate,
 }
 
-/// Which exchanges a trouble strikes.
+/// The exchanges that a fault affects.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
 #[schemars(rename = "Which")]
 pub enum FaultTarget {
     Listed(Vec<u16>),
-    /// So many of them, drawn from the day's seed.
+    /// A share of the exchanges, drawn at random.
     Share {
         share: f64,
     },
@@ -175,33 +186,35 @@
 pub enum Fault {
     /// Processors run slower by a factor.
     Slow { exchanges: FaultTarget, factor: f64 },
-    /// Processors take all and answer nothing, then everything at once.
+    /// Processors queue all messages and handle none, then all at once when the fault ends.
     Hang { exchanges: FaultTarget },
-    /// Processors slow down bit by bit, up to a factor, until they are well again at the end.
+    /// Processors slow down gradually, up to a factor, and recover when the fault ends.
     Ageing { exchanges: FaultTarget, factor: f64 },
-    /// Calls come this many times as often.
+    /// New calls arrive more often by a factor.
     Burst { factor: f64 },
-    /// This share of all calls goes to one number with few lines; they are worth a tenth, their callers dial again at once.
+    /// A share of all calls goes to one number with few lines. They earn a tenth of the revenue, and their callers
+    /// redial at once.
     Crowd { exchange: u16, number: u64, lines: u16, share: f64 },
-    /// A region's links to the others are gone.
+    /// The links between a region and the others are lost.
     RegionCut { region: usize },
-    /// The groups between a region and the others keep this share of their circuits.
+    /// The trunk groups between a region and the others keep only a share of their circuits.
     CircuitsLost { region: usize, keep: f64 },
-    /// This share of all circuits fails for an instant: calls on them are cut, and come again.
+    /// A share of the circuits of each trunk group fails for 0.3 s. Calls on them are cut, and their callers call again.
     MassCut { share: f64 },
-    /// New machines take the place of old ones, a few seconds apart: told as draining, then gone; the new one is cold.
+    /// New machines replace old ones, 3 seconds apart. The directory announces each old machine as draining, then as
+    /// gone; the new machine starts cold.
     Replaced { exchanges: FaultTarget, drain_s: f64 },
-    /// Processors and controllers stop, and start again, cold, when the trouble ends.
+    /// Processors and controllers stop. They start again, cold, when the fault ends.
     MassRestart { exchanges: FaultTarget },
-    /// Controllers are killed, and come back when the trouble ends with nothing but the last list.
+    /// Controllers are killed. They start again when the fault ends, with no state but the last membership list.
     ControllersKilled { exchanges: FaultTarget },
-    /// The directory speaks later by this.
+    /// The directory's updates arrive later by this time.
     DirectoryLate { by_ms: f64 },
-    /// This share of the short messages between controllers is lost.
+    /// A share of the short messages between controllers is lost.
     MessagesLost { share: f64 },
-    /// Callers dial again without a pause.
+    /// Callers redial almost at once, without the usual pause.
     RedialAtOnce,
-    /// The connection between two exchanges is gone.
+    /// The connection between two exchanges is lost.
     LinkBreaks { between: [u16; 2] },
 }
 
@@ -228,132 +241,211 @@
 }
 
 impl Day {
-    /// Every fault of the script, each with its place.
+    /// All errors in the script, each with the path of its field.
     pub fn validation_errors(&self) -> Vec<String> {
-        let mut found = Vec::new();
-        let mut say = |wrong: bool, place: String, why: &str| {
-            if wrong {
-                found.push(format!("{place}: {why}"));
+        let mut errors = Vec::new();
+        let mut reject_if = |invalid: bool, path: String, reason: &str| {
+            if invalid {
+                errors.push(format!("{path}: {reason}"));
             }
         };
-        let range = |range: [f64; 2]| !(range[0] >= 0.0 && range[1] >= range[0] && range[1].is_finite());
-        say(!(1.0..=3600.0).contains(&self.length_s), "length_s".into(), "is not within 1 to 3600");
-        say(!(2..=1000).contains(&self.exchanges), "exchanges".into(), "are not 2 to 1000");
-        say(self.regions.is_empty() || self.regions.len() > 200, "regions".into(), "are not 1 to 200");
-        say(
+        let is_invalid_range =
+            |range: [f64; 2]| !(range[0] >= 0.0 && range[1] >= range[0] && range[1].is_finite());
+        reject_if(!(1.0..=3600.0).contains(&self.length_s), "length_s".into(), "is not within 1 to 3600");
+        reject_if(!(2..=1000).contains(&self.exchanges), "exchanges".into(), "is not within 2 to 1000");
+        reject_if(
+            self.regions.is_empty() || self.regions.len() > 200,
+            "regions".into(),
+            "does not list 1 to 200 regions",
+        );
+        reject_if(
             self.speeds.iter().any(|speed| !(0.05..=20.0).contains(speed)),
             "speeds".into(),
-            "not within 0.05 to 20",
+            "not all are within 0.05 to 20",
         );
         let clients = &self.clients;
-        say(clients.sessions > 10_000, "clients.sessions".into(), "are more than 10000");
-        let wrong = !(0.0..=1000.0).contains(&clients.cuts_per_s);
-        say(wrong, "clients.cuts_per_s".into(), "is not within 0 to 1000");
-        say(!(0.0..=1.0).contains(&clients.gone), "clients.gone".into(), "is no share");
-        say(self.speeds.is_empty(), "speeds".into(), "are missing");
-        say(!(1..=16).contains(&self.seizures), "seizures".into(), "are not 1 to 16");
-        say(range(self.network.same_ms), "network.same_ms".into(), "is no range");
-        say(range(self.network.cross_ms), "network.cross_ms".into(), "is no range");
-        say(!(0.0..=5.0).contains(&self.network.jitter), "network.jitter".into(), "is not within 0 to 5");
-        say(range(self.callers.after_ms), "callers.after_ms".into(), "is no range");
-        say(
-            range(self.callers.try_share) || self.callers.try_share[1] > 1.0,
+        reject_if(clients.sessions > 10_000, "clients.sessions".into(), "is above 10000");
+        let invalid = !(0.0..=1000.0).contains(&clients.cuts_per_s);
+        reject_if(invalid, "clients.cuts_per_s".into(), "is not within 0 to 1000");
+        reject_if(!(0.0..=1.0).contains(&clients.gone), "clients.gone".into(), "is not within 0 to 1");
+        reject_if(self.speeds.is_empty(), "speeds".into(), "is empty");
+        reject_if(!(1..=16).contains(&self.seizures), "seizures".into(), "is not within 1 to 16");
+        reject_if(
+            is_invalid_range(self.network.same_ms),
+            "network.same_ms".into(),
+            "is not a range from a lower to a higher number, 0 or above",
+        );
+        reject_if(
+            is_invalid_range(self.network.cross_ms),
+            "network.cross_ms".into(),
+            "is not a range from a lower to a higher number, 0 or above",
+        );
+        reject_if(
+            !(0.0..=5.0).contains(&self.network.jitter),
+            "network.jitter".into(),
+            "is not within 0 to 5",
+        );
+        reject_if(
+            is_invalid_range(self.callers.after_ms),
+            "callers.after_ms".into(),
+            "is not a range from a lower to a higher number, 0 or above",
+        );
+        reject_if(
+            is_invalid_range(self.callers.try_share) || self.callers.try_share[1] > 1.0,
             "callers.try_share".into(),
-            "is no range of shares",
+            "is not a range from a lower to a higher share within 0 to 1",
+        );
+        reject_if(
+            is_invalid_range(self.directory.late_ms),
+            "directory.late_ms".into(),
+            "is not a range from a lower to a higher number, 0 or above",
         );
-        say(range(self.directory.late_ms), "directory.late_ms".into(), "is no range");
-        say(!(0.01..=1.0).contains(&self.processor.busy), "processor.busy".into(), "is not within 0.01 to 1");
-        say(
+        reject_if(
+            !(0.01..=1.0).contains(&self.processor.busy),
+            "processor.busy".into(),
+            "is not within 0.01 to 1",
+        );
+        reject_if(
             !(self.traffic.calls_per_s > 0.0 && self.traffic.calls_per_s <= 1e5),
             "traffic.calls_per_s".into(),
-            "is not above 0, up to 100000",
+            "is not above 0 and at most 100000",
+        );
+        reject_if(!(0.0..=10.0).contains(&self.traffic.load), "traffic.load".into(), "is not within 0 to 10");
+        reject_if(
+            !(0.0..=1.0).contains(&self.groups.unlinked),
+            "groups.unlinked".into(),
+            "is not within 0 to 1",
+        );
+        reject_if(
+            !(0.0..1.0).contains(&self.groups.miss),
+            "groups.miss".into(),
+            "is not at least 0 and below 1",
         );
-        say(!(0.0..=10.0).contains(&self.traffic.load), "traffic.load".into(), "is not within 0 to 10");
-        say(!(0.0..=1.0).contains(&self.groups.unlinked), "groups.unlinked".into(), "is no share");
-        say(!(0.0..1.0).contains(&self.groups.miss), "groups.miss".into(), "is not from 0 to below 1");
-        say(!(0.0..=1.0).contains(&self.rules.cold_share), "rules.cold_share".into(), "is no share");
-        say(
+        reject_if(
+            !(0.0..=1.0).contains(&self.rules.cold_share),
+            "rules.cold_share".into(),
+            "is not within 0 to 1",
+        );
+        reject_if(
             self.call_types.is_empty() || self.call_types.len() > 255,
             "call_types".into(),
-            "are not 1 to 255",
+            "does not list 1 to 255 call types",
         );
-        say(
+        reject_if(
             self.customers.is_empty() || self.customers.len() > 65_535,
             "customers".into(),
-            "are not 1 to 65535",
+            "does not list 1 to 65535 customers",
         );
-        for (at, of) in self.call_types.iter().enumerate() {
-            let place = |field: &str| format!("call_types[{at}].{field}");
-            say(!(of.share >= 0.0 && of.share.is_finite()), place("share"), "is below 0");
-            say(
-                !(1..=31).contains(&of.width),
-                place("width"),
-                "is not 1 to 31: a call's circuits lie in one system",
+        for (index, call_type) in self.call_types.iter().enumerate() {
+            let path = |field: &str| format!("call_types[{index}].{field}");
+            reject_if(
+                !(call_type.share >= 0.0 && call_type.share.is_finite()),
+                path("share"),
+                "is not a finite number of at least 0",
+            );
+            reject_if(
+                !(1..=31).contains(&call_type.width),
+                path("width"),
+                "is not within 1 to 31: all circuits of a call are in one 2048 kbit/s system",
             );
-            say(
-                of.guard_time_ms == 0 || of.guard_time_ms > 600_000,
-                place("guard_time_ms"),
-                "is not 1 to 600000",
+            reject_if(
+                call_type.guard_time_ms == 0 || call_type.guard_time_ms > 600_000,
+                path("guard_time_ms"),
+                "is not within 1 to 600000",
+            );
+            reject_if(
+                !(call_type.hold_s > 0.0 && call_type.hold_s <= 3600.0),
+                path("hold_s"),
+                "is not above 0 and at most 3600",
+            );
+            reject_if(
+                !(call_type.revenue >= 0.0 && call_type.revenue.is_finite()),
+                path("revenue"),
+                "is not a finite number of at least 0",
             );
-            say(!(of.hold_s > 0.0 && of.hold_s <= 3600.0), place("hold_s"), "is not above 0, up to 3600");
-            say(!(of.revenue >= 0.0 && of.revenue.is_finite()), place("revenue"), "is below 0");
         }
-        say(self.call_types.iter().all(|of| of.share <= 0.0), "call_types".into(), "have no share at all");
-        say(self.customers.iter().all(|of| of.share <= 0.0), "customers".into(), "have no share at all");
-        for (at, fault) in self.faults.iter().enumerate() {
-            let place = |field: &str| format!("faults[{at}].{field}");
-            let listed = |which: &FaultTarget| match which {
-                FaultTarget::Listed(these) => these.iter().any(|no| !(1..=self.exchanges).contains(no)),
+        reject_if(
+            self.call_types.iter().all(|call_type| call_type.share <= 0.0),
+            "call_types".into(),
+            "all shares are 0",
+        );
+        reject_if(
+            self.customers.iter().all(|customer| customer.share <= 0.0),
+            "customers".into(),
+            "all shares are 0",
+        );
+        for (index, fault) in self.faults.iter().enumerate() {
+            let path = |field: &str| format!("faults[{index}].{field}");
+            let is_invalid_target = |target: &FaultTarget| match target {
+                FaultTarget::Listed(exchanges) => {
+                    exchanges.iter().any(|exchange| !(1..=self.exchanges).contains(exchange))
+                }
                 FaultTarget::Share { share } => !(0.0..=1.0).contains(share),
             };
-            say(!(fault.at_s >= 0.0 && fault.at_s <= self.length_s), place("at_s"), "is not within the day");
-            say(!(fault.for_s >= 0.0 && fault.for_s <= 3600.0), place("for_s"), "is not within 0 to 3600");
+            reject_if(
+                !(fault.at_s >= 0.0 && fault.at_s <= self.length_s),
+                path("at_s"),
+                "is not within 0 to length_s",
+            );
+            reject_if(
+                !(fault.for_s >= 0.0 && fault.for_s <= 3600.0),
+                path("for_s"),
+                "is not within 0 to 3600",
+            );
             match &fault.what {
                 Fault::Slow { exchanges, factor } | Fault::Ageing { exchanges, factor } => {
-                    say(
-                        listed(exchanges),
-                        place("what.exchanges"),
-                        "names one that is not there, or no share",
+                    reject_if(
+                        is_invalid_target(exchanges),
+                        path("what.exchanges"),
+                        "lists an unknown exchange, or the share is not within 0 to 1",
                     );
-                    say(!(1.0..=1e3).contains(factor), place("what.factor"), "is not within 1 to 1000");
+                    reject_if(!(1.0..=1e3).contains(factor), path("what.factor"), "is not within 1 to 1000");
                 }
                 Fault::Hang { exchanges }
                 | Fault::MassRestart { exchanges }
                 | Fault::ControllersKilled { exchanges }
                 | Fault::Replaced { exchanges, .. } => {
-                    say(
-                        listed(exchanges),
-                        place("what.exchanges"),
-                        "names one that is not there, or no share",
+                    reject_if(
+                        is_invalid_target(exchanges),
+                        path("what.exchanges"),
+                        "lists an unknown exchange, or the share is not within 0 to 1",
                     );
                 }
                 Fault::Burst { factor } => {
-                    say(!(0.0..=100.0).contains(factor), place("what.factor"), "is not within 0 to 100")
+                    reject_if(!(0.0..=100.0).contains(factor), path("what.factor"), "is not within 0 to 100")
                 }
                 Fault::Crowd { exchange, share, .. } => {
-                    say(!(1..=self.exchanges).contains(exchange), place("what.exchange"), "is not there");
-                    say(!(0.0..=1.0).contains(share), place("what.share"), "is no share");
+                    reject_if(
+                        !(1..=self.exchanges).contains(exchange),
+                        path("what.exchange"),
+                        "is not an exchange of the day",
+                    );
+                    reject_if(!(0.0..=1.0).contains(share), path("what.share"), "is not within 0 to 1");
                 }
                 Fault::RegionCut { region } | Fault::CircuitsLost { region, .. } => {
-                    say(*region >= self.regions.len(), place("what.region"), "is not there");
+                    reject_if(
+                        *region >= self.regions.len(),
+                        path("what.region"),
+                        "is not the index of a region",
+                    );
                 }
                 Fault::MassCut { share } | Fault::MessagesLost { share } => {
-                    say(!(0.0..=1.0).contains(share), place("what.share"), "is no share");
+                    reject_if(!(0.0..=1.0).contains(share), path("what.share"), "is not within 0 to 1");
                 }
                 Fault::LinkBreaks { between } => {
-                    let there = between.iter().all(|no| (1..=self.exchanges).contains(no));
-                    say(
-                        !there || between[0] == between[1],
-                        place("what.between"),
-                        "does not name two exchanges",
+                    let known = between.iter().all(|exchange| (1..=self.exchanges).contains(exchange));
+                    reject_if(
+                        !known || between[0] == between[1],
+                        path("what.between"),
+                        "does not list two different exchanges of the day",
                     );
                 }
                 Fault::DirectoryLate { by_ms } => {
-                    say(!(0.0..=1e6).contains(by_ms), place("what.by_ms"), "is not within 0 to 1000000")
+                    reject_if(!(0.0..=1e6).contains(by_ms), path("what.by_ms"), "is not within 0 to 1000000")
                 }
                 Fault::RedialAtOnce => {}
             }
         }
-        found
+        errors
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for the world around controllers. Simulated: nothing here measures a real exchange.
+//! Emulates the environment of controllers: exchange processors, network, directory and subscribers. All are models;
+//! none of their figures is a measurement of a real exchange.
 //!
-//! [`Day`] is the script, [`Simulation`] plays it: told what controllers send, it says by [`Action`] what reaches them.
-//! [`Observer`] sees what crosses between the two.
+//! [`Day`] is the script and [`Simulation`] runs it. The simulation takes what controllers send and returns what they
+//! receive as [`Action`]s. An [`Observer`] is notified of both. [`FarExchange`] emulates a single exchange.
 
 mod callers;
 mod day;
--- a/crates/emulator/src/processor.rs
+++ b/crates/emulator/src/processor.rs
@@ -1,11 +1,12 @@
-//! An exchange's processor: one line of work, slower when cold, slowed, aged or hung. A model, not a measurement.
+//! Model of an exchange's processor: it handles one job at a time, more slowly when cold, slowed or ageing, and none
+//! when hung.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use mintstall_callapi::Offer;
 
-/// What is handed to the controller once its work is done.
+/// Message that the controller gets once the processor has done the job's work.
 #[derive(Debug)]
 pub(crate) enum Payload {
     Frame { from: u16, frame: Vec<u8> },
@@ -18,12 +19,13 @@
     /// Seconds of work at speed 1.
     pub work: f64,
     pub payload: Payload,
-    /// A set-up's link and circuit, while it waits.
+    /// For a received set-up: the exchange it came from, and its circuit.
     pub set_up: Option<(u16, u16)>,
 }
 
+/// A cold start: the speed rises linearly from `share` of full speed to full speed within `warm_up`.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Cold {
+pub(crate) struct ColdStart {
     pub started: Duration,
     pub share: f64,
     pub warm_up: Duration,
@@ -31,87 +33,100 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Processor {
+    /// Seconds of work at speed 1 that the processor does in a second when warm.
     pub speed: f64,
-    pub slow: f64,
-    /// Since when, until when, and up to which factor it ages.
+    /// Factor by which a fault slows the processor; 1 if none does.
+    pub slowdown: f64,
+    /// Start, end and largest slowdown factor of gradual ageing.
     pub ageing: Option<(Duration, Duration, f64)>,
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdStart>,
     pub hung: bool,
-    ahead: VecDeque<Job>,
-    line: VecDeque<Job>,
+    /// Jobs that are handled before those of `queue`.
+    priority_queue: VecDeque<Job>,
+    queue: VecDeque<Job>,
     pub current: Option<Job>,
-    /// Work waiting or being done, seconds at speed 1.
+    /// Work of the current and all queued jobs, seconds at speed 1.
     pub backlog: f64,
-    /// Counts what was started, so that an end that was overtaken by a restart is known.
+    /// Counts job starts and drains, so that the end of a job that was drained is recognized as outdated.
     pub round: u64,
 }
 
 impl Processor {
     pub fn new(speed: f64) -> Self {
-        Self { speed, slow: 1.0, ..Self::default() }
+        Self { speed, slowdown: 1.0, ..Self::default() }
     }
 
-    /// Work done a second.
+    /// Seconds of work at speed 1 that the processor does in a second at present.
     pub fn pace(&self, now: Duration) -> f64 {
-        let warmth = self.cold.map_or(1.0, |cold| {
-            let age = now.saturating_sub(cold.started).as_secs_f64() / cold.warm_up.as_secs_f64().max(1e-9);
-            (cold.share + (1.0 - cold.share) * age).min(1.0)
+        let cold_share = self.cold.map_or(1.0, |cold| {
+            let progress =
+                now.saturating_sub(cold.started).as_secs_f64() / cold.warm_up.as_secs_f64().max(1e-9);
+            (cold.share + (1.0 - cold.share) * progress).min(1.0)
         });
-        let aged = self.ageing.map_or(1.0, |(since, until, factor)| {
-            let share = now.saturating_sub(since).as_secs_f64() / (until - since).as_secs_f64().max(1e-9);
-            1.0 + (factor - 1.0) * share.min(1.0)
+        let ageing = self.ageing.map_or(1.0, |(since, until, factor)| {
+            let progress = now.saturating_sub(since).as_secs_f64() / (until - since).as_secs_f64().max(1e-9);
+            1.0 + (factor - 1.0) * progress.min(1.0)
         });
-        self.speed * warmth / (self.slow * aged)
+        self.speed * cold_share / (self.slowdown * ageing)
     }
 
+    /// Seconds until the processor has done its backlog at its present speed.
     pub fn wait(&self, now: Duration) -> f64 {
         self.backlog / self.pace(now)
     }
 
-    pub fn queued(&self, set_up: (u16, u16)) -> bool {
-        let waits = |job: &Job| job.set_up == Some(set_up);
-        self.line.iter().any(waits) || self.current.as_ref().is_some_and(waits)
+    /// Whether a set-up, given by sender and circuit, is still queued or in progress.
+    pub fn has_set_up(&self, set_up: (u16, u16)) -> bool {
+        let matches = |job: &Job| job.set_up == Some(set_up);
+        self.queue.iter().any(matches) || self.current.as_ref().is_some_and(matches)
     }
 
-    pub fn queued_from(&self, link: u16) -> bool {
-        let waits = |job: &Job| job.set_up.is_some_and(|(from, _)| from == link);
-        self.line.iter().any(waits) || self.current.as_ref().is_some_and(waits)
+    /// Whether any set-up of an exchange is still queued or in progress.
+    pub fn has_set_up_from(&self, exchange: u16) -> bool {
+        let matches = |job: &Job| job.set_up.is_some_and(|(from, _)| from == exchange);
+        self.queue.iter().any(matches) || self.current.as_ref().is_some_and(matches)
     }
 
-    pub fn push(&mut self, job: Job, ahead: bool) {
+    pub fn push(&mut self, job: Job, priority: bool) {
         self.backlog += job.work;
-        if ahead { &mut self.ahead } else { &mut self.line }.push_back(job);
+        if priority { &mut self.priority_queue } else { &mut self.queue }.push_back(job);
     }
 
-    /// Takes up the next job; returns how long it takes.
+    /// Starts the next job unless one is in progress; returns its duration.
     pub fn start(&mut self, now: Duration) -> Option<Duration> {
         if self.hung || self.current.is_some() {
             return None;
         }
-        let job = self.ahead.pop_front().or_else(|| self.line.pop_front())?;
+        let job = self.priority_queue.pop_front().or_else(|| self.queue.pop_front())?;
         let span = Duration::from_secs_f64((job.work / self.pace(now)).min(1e6));
         self.current = Some(job);
         self.round += 1;
         Some(span)
     }
 
-    pub fn done(&mut self) -> Option<Job> {
+    /// Ends the current job.
+    pub fn finish(&mut self) -> Option<Job> {
         let job = self.current.take()?;
         self.backlog = (self.backlog - job.work).max(0.0);
         Some(job)
     }
 
-    /// All that waits, at once and in order.
+    /// Removes all jobs and returns them in the order in which they would have been handled.
     pub fn drain(&mut self) -> Vec<Job> {
         self.backlog = 0.0;
         self.round += 1;
-        self.current.take().into_iter().chain(self.ahead.drain(..)).chain(self.line.drain(..)).collect()
+        self.current
+            .take()
+            .into_iter()
+            .chain(self.priority_queue.drain(..))
+            .chain(self.queue.drain(..))
+            .collect()
     }
 
-    /// What a link that broke still had waiting is lost; its work is done all the same.
-    pub fn lose(&mut self, link: u16) {
-        for job in self.ahead.iter_mut().chain(&mut self.line).chain(&mut self.current) {
-            if matches!(job.payload, Payload::Frame { from, .. } if from == link) {
+    /// Discards the frames of an exchange whose link was lost. The processor still does the work for them.
+    pub fn discard_frames_from(&mut self, exchange: u16) {
+        for job in self.priority_queue.iter_mut().chain(&mut self.queue).chain(&mut self.current) {
+            if matches!(job.payload, Payload::Frame { from, .. } if from == exchange) {
                 (job.payload, job.set_up) = (Payload::Nothing, None);
             }
         }
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -15,7 +15,7 @@
 use crate::callers::Caller;
 use crate::day::{Day, Fault, FaultTarget, Reports};
 use crate::observer::{Observation, Observer};
-use crate::processor::{Cold, Job, Payload, Processor};
+use crate::processor::{ColdStart, Job, Payload, Processor};
 use crate::score::Score;
 
 /// What reaches controllers, in order.
@@ -487,7 +487,7 @@
             wire.deframer = Deframer::default();
             wire.held.clear();
             let connected = std::mem::take(&mut wire.connected);
-            self.exchanges[usize::from(to) - 1].processor.lose(office);
+            self.exchanges[usize::from(to) - 1].processor.discard_frames_from(office);
             if connected {
                 w.observe(now, Observation::LinkDown { office, to });
                 if self.exchanges[usize::from(office) - 1].running {
@@ -598,8 +598,8 @@
                 };
                 let behind = match kind {
                     // They speak of many circuits, and must not overtake a set-up on any of them.
-                    GRS | GRA | CGB => processor.queued_from(from),
-                    _ => processor.queued((from, cic)),
+                    GRS | GRA | CGB => processor.has_set_up_from(from),
+                    _ => processor.has_set_up((from, cic)),
                 };
                 if work == 0.0 && !behind && !processor.hung {
                     return self.deliver(now, to, from, frame, w, actions);
@@ -669,7 +669,7 @@
         if processor.round != round || processor.hung {
             return;
         }
-        let job = processor.done();
+        let job = processor.finish();
         job.into_iter().for_each(|job| self.hand(now, office, job, w, actions));
         self.keep_working(now, office);
     }
@@ -844,8 +844,8 @@
         let (share, warm_up) = (rules.cold_share, Duration::from_millis(rules.warm_up_ms));
         let processor = &mut self.exchanges[usize::from(office) - 1].processor;
         processor.drain();
-        (processor.hung, processor.slow, processor.ageing) = (false, 1.0, None);
-        processor.cold = Some(Cold { started: now, share, warm_up });
+        (processor.hung, processor.slowdown, processor.ageing) = (false, 1.0, None);
+        processor.cold = Some(ColdStart { started: now, share, warm_up });
         let set_ups = processor.speed / (self.day.processor.set_up_ms / 1e3);
         w.observe(now, Observation::ColdStart { office, set_ups });
     }
@@ -896,7 +896,7 @@
         match fault.what {
             Fault::Slow { exchanges, factor } => {
                 for office in self.strikes(no, &exchanges) {
-                    self.exchanges[usize::from(office) - 1].processor.slow = factor;
+                    self.exchanges[usize::from(office) - 1].processor.slowdown = factor;
                 }
             }
             Fault::Ageing { exchanges, factor } => {
@@ -969,7 +969,7 @@
             Fault::Slow { .. } | Fault::Ageing { .. } => {
                 for office in struck {
                     let processor = &mut self.exchanges[usize::from(office) - 1].processor;
-                    (processor.slow, processor.ageing) = (1.0, None);
+                    (processor.slowdown, processor.ageing) = (1.0, None);
                 }
             }
             Fault::Hang { .. } => {
