--- a/crates/emulator/src/far_exchange.rs
+++ b/crates/emulator/src/far_exchange.rs
@@ -1,5 +1,6 @@
-//! One exchange at the far end of a link, without I/O: it takes set-ups, answers them when its processor gets to them, and
-//! releases as it is told. For loads and tests of a single controller; a whole fleet is [`crate::Simulation`].
+//! Emulates one exchange at the far end of a link, without I/O. It accepts set-ups, answers them once its processor has
+//! handled them, and confirms releases. For load runs and tests of a single controller; [`crate::Simulation`] emulates
+//! a whole fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,18 +13,19 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What it does with set-ups.
+/// How the emulated exchange handles set-ups.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct FarPlan {
-    /// Its number.
+    /// Number of the emulated exchange.
     pub exchange: u16,
-    /// Set-ups a second that its processor takes; they wait for it in turn. 0: any number.
+    /// Set-ups that its processor handles a second, in the order of arrival. 0: unlimited.
     pub per_s: f64,
-    /// How long the called party takes to answer after that: drawn between the two, milliseconds.
+    /// Range from which the called party's answer time after that is drawn, milliseconds.
     pub answer_ms: [f64; 2],
-    /// Share of set-ups that are never answered, and that are turned back with cause 17, user busy.
+    /// Share of set-ups that are never answered.
     pub silent: f64,
+    /// Share of set-ups that are released with cause 17, user busy.
     pub busy: f64,
     pub seed: u64,
 }
@@ -35,134 +37,146 @@
 }
 
 impl FarPlan {
-    /// Every fault, each with its place.
+    /// All errors in the plan, each with its field.
     pub fn validation_errors(&self) -> Vec<String> {
-        let mut found = Vec::new();
-        let mut say = |wrong: bool, what: &str| {
-            if wrong {
-                found.push(what.to_string());
+        let mut errors = Vec::new();
+        let mut reject_if = |invalid: bool, error: &str| {
+            if invalid {
+                errors.push(error.to_string());
             }
         };
-        say(!(1..=16_383).contains(&self.exchange), "exchange: is not within 1 to 16383");
-        say(!(self.per_s >= 0.0 && self.per_s.is_finite()), "per_s: is below 0");
-        let [least, most] = self.answer_ms;
-        say(
-            !(least >= 0.0 && least <= most && most <= 3_600_000.0),
-            "answer_ms: is no range within 0 to 3600000",
+        reject_if(!(1..=16_383).contains(&self.exchange), "exchange: is not within 1 to 16383");
+        reject_if(
+            !(self.per_s >= 0.0 && self.per_s.is_finite()),
+            "per_s: is not a finite number of at least 0",
         );
-        say(!(0.0..=1.0).contains(&(self.silent + self.busy)), "silent, busy: are no shares of a whole");
-        found
+        let [min, max] = self.answer_ms;
+        reject_if(
+            !(min >= 0.0 && min <= max && max <= 3_600_000.0),
+            "answer_ms: is not a range within 0 to 3600000",
+        );
+        reject_if(
+            !(0.0..=1.0).contains(&(self.silent + self.busy)),
+            "silent, busy: their sum is not within 0 to 1",
+        );
+        errors
     }
 }
 
-/// What came, and what it saw of the rules: by the identity in the set-ups, nothing else.
+/// Counts of messages and of rule violations. Calls are told apart only by the identity in their set-ups.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FarCounters {
     pub set_ups: u64,
     pub answered: u64,
+    /// Set-ups released with user busy.
     pub turned_back: u64,
-    /// Released before they were answered, and after.
+    /// Calls that the controller released before they were answered.
     pub given_up: u64,
+    /// Calls that the controller released after they were answered.
     pub hung_up: u64,
-    /// Circuits in use now.
+    /// Circuits in use at present.
     pub in_use: u64,
-    /// Set-ups on a circuit in use, and of a call with one out already.
+    /// Set-ups on a circuit in use.
     pub dual: u64,
+    /// Set-ups of a call that has another seizure in progress or standing.
     pub second_out: u64,
-    /// Set-ups of a call sooner than the release time after one that was given up.
+    /// Set-ups of a call within 200 ms of the release of its previous, unanswered set-up.
     pub too_soon: u64,
 }
 
 enum State {
-    /// It is answered, or turned back, then.
-    Rings(Option<Duration>, Answer),
-    Stands,
+    /// Not answered yet. The answer is sent at that time, or never.
+    Ringing(Option<Duration>, SetUpResult),
+    Standing,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Answer {
-    Stands,
+enum SetUpResult {
+    Answered,
     Busy,
 }
 
-struct Held {
-    /// Who took the call, and its number there.
-    whose: Option<(u16, u64)>,
+struct CircuitUse {
+    /// The exchange that received the call from its caller, and the call's number there.
+    call: Option<(u16, u64)>,
     state: State,
 }
 
-/// The release time of the users' rules: what was given up may hold its circuit for so long.
-const RELEASE_TIME: Duration = Duration::from_millis(200);
+/// Time for which a seizure given up may still hold its circuit (release wait of the users' rules). A further set-up of
+/// its call within this time is counted as too soon.
+const RELEASE_WAIT: Duration = Duration::from_millis(200);
 
+/// State of the emulated exchange.
 pub struct FarExchange {
     pub plan: FarPlan,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     deframer: Deframer,
-    /// Which exchange is at the other end, as its messages say.
-    near: u32,
-    circuits: BTreeMap<Cic, Held>,
-    due: BTreeSet<(Duration, Cic)>,
-    /// When the processor is done with what it has.
+    /// Originating point code of the last DATA frame received; replies go to it.
+    near_point_code: u32,
+    circuits: BTreeMap<Cic, CircuitUse>,
+    /// Answers and busy releases to be sent, by time.
+    pending_answers: BTreeSet<(Duration, Cic)>,
+    /// When the processor has handled all received set-ups.
     busy_until: Duration,
-    /// Calls with a set-up out. Emptied as these end.
-    out: BTreeSet<(u16, u64)>,
-    /// Calls given up lately, by when. Emptied by time.
+    /// Calls with a set-up in progress or standing. Entries are removed as these end.
+    active_calls: BTreeSet<(u16, u64)>,
+    /// Calls whose unanswered set-up was released, with the time. Entries expire after [`RELEASE_WAIT`].
     given_up: BTreeMap<(u16, u64), Duration>,
     pub counters: FarCounters,
 }
 
 impl FarExchange {
     pub fn new(plan: FarPlan) -> Self {
-        let chance = Pcg64Mcg::seed_from_u64(plan.seed);
+        let rng = Pcg64Mcg::seed_from_u64(plan.seed);
         Self {
             plan,
-            chance,
+            rng,
             deframer: Deframer::default(),
-            near: 0,
+            near_point_code: 0,
             circuits: BTreeMap::new(),
-            due: BTreeSet::new(),
+            pending_answers: BTreeSet::new(),
             busy_until: Duration::ZERO,
-            out: BTreeSet::new(),
+            active_calls: BTreeSet::new(),
             given_up: BTreeMap::new(),
             counters: FarCounters::default(),
         }
     }
 
-    /// The link is there: what is sent first.
+    /// The link is open: writes the first frames.
     pub fn link_up(&mut self, out: &mut Vec<u8>) {
         self.deframer = Deframer::default();
         Frame::AspUp { asp: Some(self.plan.exchange.into()) }.write(out);
         Frame::AspActive.write(out);
     }
 
-    /// The link is gone, and with it all that was up.
+    /// The link is lost: ends all calls.
     pub fn link_down(&mut self) {
         self.circuits.clear();
-        self.due.clear();
-        self.out.clear();
+        self.pending_answers.clear();
+        self.active_calls.clear();
         self.counters.in_use = 0;
     }
 
-    /// When [`FarExchange::on_timer`] is next to be called.
+    /// When [`FarExchange::on_timer`] is to be called next.
     pub fn next_timer(&self) -> Option<Duration> {
-        self.due.first().map(|(due, _)| *due)
+        self.pending_answers.first().map(|(due, _)| *due)
     }
 
-    /// Answers what is due.
+    /// Sends the answers that are due.
     pub fn on_timer(&mut self, now: Duration, out: &mut Vec<u8>) {
-        while let Some((due, cic)) = self.due.first().copied()
+        while let Some((due, cic)) = self.pending_answers.first().copied()
             && due <= now
         {
-            self.due.remove(&(due, cic));
-            let Some(held) = self.circuits.get_mut(&cic) else { continue };
-            let State::Rings(_, answer) = held.state else { continue };
-            match answer {
-                Answer::Stands => {
-                    held.state = State::Stands;
+            self.pending_answers.remove(&(due, cic));
+            let Some(circuit) = self.circuits.get_mut(&cic) else { continue };
+            let State::Ringing(_, result) = circuit.state else { continue };
+            match result {
+                SetUpResult::Answered => {
+                    circuit.state = State::Standing;
                     self.counters.answered += 1;
                     self.send(cic, Body::Anm { report: None, unknown_parameters: Vec::new() }, out);
                 }
-                Answer::Busy => {
+                SetUpResult::Busy => {
                     self.counters.turned_back += 1;
                     self.free(cic);
                     let cause = CauseIndicators::new(Location::Remote, Q850::UserBusy);
@@ -172,51 +186,51 @@
         }
     }
 
-    /// Octets that came on the link. `false`: they make no sense, and the link is to be closed.
+    /// Handles octets received on the link. `false` if they are invalid; the link is to be closed.
     pub fn on_octets(&mut self, now: Duration, octets: &[u8], out: &mut Vec<u8>) -> bool {
         let mut deframer = std::mem::take(&mut self.deframer);
         deframer.push(octets);
-        let sense = loop {
+        let valid = loop {
             match deframer.next() {
-                Ok(Some(frame)) => self.frame(now, frame, out),
+                Ok(Some(frame)) => self.on_frame(now, frame, out),
                 Ok(None) => break true,
                 Err(_) => break false,
             }
         };
         self.deframer = deframer;
-        sense
+        valid
     }
 
-    fn frame(&mut self, now: Duration, frame: &[u8], out: &mut Vec<u8>) {
+    fn on_frame(&mut self, now: Duration, frame: &[u8], out: &mut Vec<u8>) {
         match Frame::read(frame) {
             Ok(Frame::AspUp { .. }) => Frame::AspUpAck { asp: Some(self.plan.exchange.into()) }.write(out),
             Ok(Frame::AspActive) => Frame::AspActiveAck.write(out),
             Ok(Frame::Heartbeat(data)) => Frame::HeartbeatAck(data).write(out),
             Ok(Frame::Data(data)) => {
-                self.near = data.opc;
+                self.near_point_code = data.opc;
                 if let Ok(message) = Message::read(data.user) {
-                    self.message(now, message, out);
+                    self.on_message(now, message, out);
                 }
             }
             _ => {}
         }
     }
 
-    fn message(&mut self, now: Duration, message: Message, out: &mut Vec<u8>) {
+    fn on_message(&mut self, now: Duration, message: Message, out: &mut Vec<u8>) {
         let Message { cic, body } = message;
         match body {
             Body::Iam(iam) => {
-                let whose = iam.identity.map(|identity| (identity.origin, identity.call));
-                self.set_up(now, cic, whose);
+                let call = iam.identity.map(|identity| (identity.origin, identity.call));
+                self.on_set_up(now, cic, call);
             }
             Body::Rel(_) => {
-                let was = self.free(cic);
-                match was.map(|held| (held.whose, held.state)) {
-                    Some((whose, State::Rings(..))) => {
+                let freed = self.free(cic);
+                match freed.map(|circuit| (circuit.call, circuit.state)) {
+                    Some((call, State::Ringing(..))) => {
                         self.counters.given_up += 1;
-                        self.given_up.extend(whose.map(|whose| (whose, now)));
+                        self.given_up.extend(call.map(|call| (call, now)));
                     }
-                    Some((_, State::Stands)) => self.counters.hung_up += 1,
+                    Some((_, State::Standing)) => self.counters.hung_up += 1,
                     None => {}
                 }
                 self.send(cic, Body::Rlc { unknown_parameters: Vec::new() }, out);
@@ -233,46 +247,46 @@
         }
     }
 
-    fn set_up(&mut self, now: Duration, cic: Cic, whose: Option<(u16, u64)>) {
-        self.given_up.retain(|_, at| *at + RELEASE_TIME > now);
+    fn on_set_up(&mut self, now: Duration, cic: Cic, call: Option<(u16, u64)>) {
+        self.given_up.retain(|_, released| *released + RELEASE_WAIT > now);
         self.counters.set_ups += 1;
         self.counters.dual += u64::from(self.circuits.contains_key(&cic));
-        if let Some(whose) = whose {
-            self.counters.too_soon += u64::from(self.given_up.contains_key(&whose));
-            self.counters.second_out += u64::from(!self.out.insert(whose));
+        if let Some(call) = call {
+            self.counters.too_soon += u64::from(self.given_up.contains_key(&call));
+            self.counters.second_out += u64::from(!self.active_calls.insert(call));
         }
-        let answer = match self.chance.random::<f64>() {
+        let result = match self.rng.random::<f64>() {
             draw if draw < self.plan.silent => None,
-            draw if draw < self.plan.silent + self.plan.busy => Some(Answer::Busy),
-            _ => Some(Answer::Stands),
+            draw if draw < self.plan.silent + self.plan.busy => Some(SetUpResult::Busy),
+            _ => Some(SetUpResult::Answered),
         };
-        let [least, most] = self.plan.answer_ms;
-        let rings = Duration::from_secs_f64((least + (most - least) * self.chance.random::<f64>()) / 1e3);
+        let [min, max] = self.plan.answer_ms;
+        let ringing_time = Duration::from_secs_f64((min + (max - min) * self.rng.random::<f64>()) / 1e3);
         self.busy_until = self.busy_until.max(now);
         if self.plan.per_s > 0.0 {
             self.busy_until += Duration::from_secs_f64(1.0 / self.plan.per_s);
         }
-        let at = answer.map(|_| self.busy_until + rings);
-        self.due.extend(at.map(|at| (at, cic)));
-        let state = State::Rings(at, answer.unwrap_or(Answer::Stands));
-        self.circuits.insert(cic, Held { whose, state });
+        let answer_at = result.map(|_| self.busy_until + ringing_time);
+        self.pending_answers.extend(answer_at.map(|answer_at| (answer_at, cic)));
+        let state = State::Ringing(answer_at, result.unwrap_or(SetUpResult::Answered));
+        self.circuits.insert(cic, CircuitUse { call, state });
         self.counters.in_use = self.circuits.len() as u64;
     }
 
-    fn free(&mut self, cic: Cic) -> Option<Held> {
-        let held = self.circuits.remove(&cic)?;
-        if let State::Rings(Some(at), _) = held.state {
-            self.due.remove(&(at, cic));
+    fn free(&mut self, cic: Cic) -> Option<CircuitUse> {
+        let circuit = self.circuits.remove(&cic)?;
+        if let State::Ringing(Some(answer_at), _) = circuit.state {
+            self.pending_answers.remove(&(answer_at, cic));
         }
-        held.whose.iter().for_each(|whose| _ = self.out.remove(whose));
+        circuit.call.iter().for_each(|call| _ = self.active_calls.remove(call));
         self.counters.in_use = self.circuits.len() as u64;
-        Some(held)
+        Some(circuit)
     }
 
     fn send(&self, cic: Cic, body: Body, out: &mut Vec<u8>) {
         let mut user = Vec::new();
         Message::new(cic, body).write(&mut user);
-        let (opc, dpc) = (self.plan.exchange.into(), self.near);
+        let (opc, dpc) = (self.plan.exchange.into(), self.near_point_code);
         Frame::Data(ProtocolData { opc, dpc, service: 5, network: 2, priority: 0, sls: 0, user: &user })
             .write(out);
     }
