--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -1,4 +1,5 @@
-//! Subscribers: they call, wait, dial again, talk, hang up. Emptied as each caller's last try or call ends.
+//! Subscribers: they call, wait for an answer, redial, talk and hang up. A caller is removed when its last attempt or
+//! call ends.
 
 use std::time::Duration;
 
@@ -11,65 +12,71 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
-    /// Between two tries.
-    Away,
-    /// A try is on its way to the own processor, or was handed to the controller.
-    Trying {
-        handed: bool,
+    /// Waits until the next attempt.
+    BetweenAttempts,
+    /// Has an attempt at the own exchange's processor, or at the controller if `offered`.
+    Attempting {
+        offered: bool,
     },
     Standing,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
+    /// The caller's own exchange.
     pub from: u16,
     offer: Offer,
-    first: Duration,
-    /// The setup target counts from here: the first try, or the cut.
-    since: Duration,
-    until: Duration,
-    tries: u8,
-    redials: u32,
+    first_attempt: Duration,
+    /// Start of the setup target: the first attempt, or the first one after a cut.
+    target_start: Duration,
+    /// When the caller gives up the current attempt.
+    deadline: Duration,
+    attempts: u8,
+    redials_left: u32,
     pub state: State,
     revenue: f64,
     earned: f64,
+    /// Whether a standing call of the caller was cut.
     cut: bool,
+    /// Whether the caller calls the number of a [`Fault::Crowd`](crate::Fault::Crowd).
     crowd: bool,
 }
 
-const LAST_TALK: Duration = Duration::from_secs(5);
+/// Longest time that a call stands after the end of arrivals. Days test call set-up and need not wait for long calls.
+const MAX_HOLD_AFTER_END: Duration = Duration::from_secs(5);
 
-/// A caller and which of its tries, as the number of a call on its line.
-fn number(caller: u64, tries: u8) -> u64 {
-    caller << 8 | u64::from(tries)
+/// Number of a call on its subscriber line: the caller's ID and the number of its attempt.
+fn call_number(caller: u64, attempt: u8) -> u64 {
+    caller << 8 | u64::from(attempt)
 }
 
-fn secs(range: [f64; 2], draw: f64) -> Duration {
+/// A duration in a range in milliseconds; `draw` is from 0 to 1.
+fn ms_in_range(range: [f64; 2], draw: f64) -> Duration {
     Duration::from_secs_f64((range[0] + (range[1] - range[0]) * draw) / 1e3)
 }
 
 impl Simulation {
-    /// The next first try comes, and the one after it is set.
-    pub(crate) fn caller_comes(&mut self, now: Duration) {
-        let rate = self.day.traffic.calls_per_s * self.day.traffic.load * self.burst;
-        let gap = -(1.0 - self.arrivals.random::<f64>()).ln() / rate.max(1e-9);
+    /// A new caller makes its first attempt. Schedules the next caller.
+    pub(crate) fn on_new_caller(&mut self, now: Duration) {
+        let rate = self.day.traffic.calls_per_s * self.day.traffic.load * self.arrival_factor;
+        let gap = -(1.0 - self.arrival_rng.random::<f64>()).ln() / rate.max(1e-9);
         let next = now + Duration::from_secs_f64(gap.min(1e6));
         if next < self.length {
-            self.at(next, Event::CallerComes);
+            self.schedule(next, Event::NewCaller);
         }
-        let draw = self.arrivals.random::<f64>();
-        let (from, mut dest) = self.pair(draw);
-        let (type_draw, customer_draw) = (self.arrivals.random::<f64>(), self.arrivals.random::<f64>());
-        let call_type = pick(self.day.call_types.iter().map(|of| of.share), type_draw);
-        let customer = pick(self.day.customers.iter().map(|of| of.share), customer_draw);
-        let mut dialled = 1_000_000 + self.arrivals.random_range(0..8_000_000u64);
-        let crowd =
-            self.crowd.filter(|crowd| self.arrivals.random::<f64>() < crowd.share && crowd.exchange != from);
+        let draw = self.arrival_rng.random::<f64>();
+        let (from, mut dest) = self.draw_pair(draw);
+        let (type_draw, customer_draw) = (self.arrival_rng.random::<f64>(), self.arrival_rng.random::<f64>());
+        let call_type = pick_share(self.day.call_types.iter().map(|call_type| call_type.share), type_draw);
+        let customer = pick_share(self.day.customers.iter().map(|customer| customer.share), customer_draw);
+        let mut dialled = 1_000_000 + self.arrival_rng.random_range(0..8_000_000u64);
+        let crowd = self
+            .crowd
+            .filter(|crowd| self.arrival_rng.random::<f64>() < crowd.share && crowd.exchange != from);
         if let Some(crowd) = crowd {
             (dest, dialled) = (crowd.exchange, crowd.number);
         }
-        let of = &self.day.call_types[call_type];
-        let revenue = of.revenue * if crowd.is_some() { 0.1 } else { 1.0 };
+        let revenue = self.day.call_types[call_type].revenue * if crowd.is_some() { 0.1 } else { 1.0 };
         let offer = Offer {
             call: 0,
             call_type: call_type as u8,
@@ -84,112 +91,120 @@
         let caller = Caller {
             from,
             offer,
-            first: now,
-            since: now,
-            until: now,
-            tries: 0,
-            redials: self.day.callers.redials,
-            state: State::Away,
+            first_attempt: now,
+            target_start: now,
+            deadline: now,
+            attempts: 0,
+            redials_left: self.day.callers.redials,
+            state: State::BetweenAttempts,
             revenue,
             earned: 0.0,
             cut: false,
             crowd: crowd.is_some(),
         };
-        self.last_caller += 1;
+        self.last_caller_id += 1;
         self.score.first_tries += 1;
-        self.callers.insert(self.last_caller, caller);
-        self.dials(now, self.last_caller);
+        self.callers.insert(self.last_caller_id, caller);
+        self.on_attempt(now, self.last_caller_id);
     }
 
-    /// One try: the own exchange's processor looks at it first.
-    pub(crate) fn dials(&mut self, now: Duration, id: u64) {
+    /// A caller makes an attempt, which the own exchange's processor examines first.
+    pub(crate) fn on_attempt(&mut self, now: Duration, id: u64) {
         let share = self.day.callers.try_share;
-        let (share_draw, early) = (self.chance.random::<f64>(), self.chance.random::<f64>());
-        let impatient = self.chance.random::<f64>() < self.day.callers.impatient;
+        let (share_draw, early_draw) = (self.rng.random::<f64>(), self.rng.random::<f64>());
+        let impatient = self.rng.random::<f64>() < self.day.callers.impatient;
         let Some(caller) = self.callers.get_mut(&id) else { return };
-        let guard = self.day.call_types[usize::from(caller.offer.call_type)].guard_time_ms;
-        let span = secs([share[0] * guard as f64, share[1] * guard as f64], share_draw);
-        caller.tries = caller.tries.saturating_add(1);
-        caller.until = now + span;
-        caller.state = State::Trying { handed: false };
-        caller.offer.call = number(id, caller.tries);
-        let (from, tries, offer) = (caller.from, caller.tries, caller.offer.clone());
+        let guard_ms = self.day.call_types[usize::from(caller.offer.call_type)].guard_time_ms;
+        let patience = ms_in_range([share[0] * guard_ms as f64, share[1] * guard_ms as f64], share_draw);
+        caller.attempts = caller.attempts.saturating_add(1);
+        caller.deadline = now + patience;
+        caller.state = State::Attempting { offered: false };
+        caller.offer.call = call_number(id, caller.attempts);
+        let (from, attempt, offer) = (caller.from, caller.attempts, caller.offer.clone());
         self.score.tries += 1;
-        let leaves = if impatient { now + span.mul_f64(early) } else { now + span };
-        self.at(leaves, Event::GivesUp { caller: id, tries });
+        let gives_up_at = if impatient { now + patience.mul_f64(early_draw) } else { now + patience };
+        self.schedule(gives_up_at, Event::GivesUp { caller: id, attempt });
         if !self.enqueue_attempt(now, from, id, offer) {
-            self.turned_down(now, id, Duration::ZERO, Outcome::NotTaken);
+            self.on_attempt_failed(now, id, Duration::ZERO, Outcome::NotTaken);
         }
     }
 
-    /// The own processor has looked at a try: the controller gets it, if it runs.
+    /// The own exchange's processor has examined an attempt: offers it to the controller, if that is running.
     pub(crate) fn deliver_offer(
         &mut self,
         now: Duration,
         id: u64,
         mut offer: Offer,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
         let Some(caller) = self.callers.get_mut(&id) else { return };
-        let left = caller.until.saturating_sub(now);
-        let waits = caller.state == State::Trying { handed: false } && offer.call == number(id, caller.tries);
+        let time_left = caller.deadline.saturating_sub(now);
+        let is_current = caller.state == State::Attempting { offered: false }
+            && offer.call == call_number(id, caller.attempts);
         let office = caller.from;
-        if !waits || left.is_zero() || !self.exchanges[usize::from(office) - 1].running {
+        if !is_current || time_left.is_zero() || !self.exchanges[usize::from(office) - 1].running {
             return;
         }
-        caller.state = State::Trying { handed: true };
-        offer.time_left_ms = left.as_millis() as u32;
+        caller.state = State::Attempting { offered: true };
+        offer.time_left_ms = time_left.as_millis() as u32;
         if self.day.advice {
             offer.advised = self.advice(now, office, offer.dest);
         }
-        w.observe(now, Observation::Offered { office, offer: &offer });
+        observer.observe(now, Observation::Offered { office, offer: &offer });
         actions.push(Action::Offer { office, offer });
     }
 
-    pub(crate) fn gives_up(
+    /// The caller gives up its attempt, unless it ended before.
+    pub(crate) fn on_give_up(
         &mut self,
         now: Duration,
         id: u64,
-        tries: u8,
-        w: &mut dyn Observer,
+        attempt: u8,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        let Some(caller) = self.callers.get(&id).filter(|caller| caller.tries == tries) else { return };
-        let State::Trying { handed } = caller.state else { return };
-        let (office, call) = (caller.from, number(id, tries));
-        if handed {
-            self.hang_up(now, office, call, w, actions);
+        let Some(caller) = self.callers.get(&id).filter(|caller| caller.attempts == attempt) else { return };
+        let State::Attempting { offered } = caller.state else { return };
+        let (office, call) = (caller.from, call_number(id, attempt));
+        if offered {
+            self.send_hang_up(now, office, call, observer, actions);
         }
-        self.turned_down(now, id, Duration::ZERO, if handed { Outcome::GaveUp } else { Outcome::NotTaken });
+        self.on_attempt_failed(
+            now,
+            id,
+            Duration::ZERO,
+            if offered { Outcome::GaveUp } else { Outcome::NotTaken },
+        );
     }
 
-    /// A try came to nothing: its caller dials again after a while, or leaves it.
-    fn turned_down(&mut self, now: Duration, id: u64, come_back: Duration, outcome: Outcome) {
-        let (draw, heeds) =
-            (self.chance.random::<f64>(), self.chance.random::<f64>() < self.day.callers.heeds);
+    /// An attempt failed: the caller redials after a pause, or gives up the call if it has no redials left.
+    fn on_attempt_failed(&mut self, now: Duration, id: u64, retry_after: Duration, outcome: Outcome) {
+        let (draw, heeds_retry_after) =
+            (self.rng.random::<f64>(), self.rng.random::<f64>() < self.day.callers.heeds);
         let Some(caller) = self.callers.get_mut(&id) else { return };
-        caller.state = State::Away;
-        if caller.redials == 0 {
-            return self.done(id, outcome);
+        caller.state = State::BetweenAttempts;
+        if caller.redials_left == 0 {
+            return self.finish_caller(id, outcome);
         }
-        caller.redials -= 1;
+        caller.redials_left -= 1;
         caller.offer.redial = true;
         let at_once = self.redial_at_once || caller.crowd;
         let mut wait =
-            if at_once { Duration::from_millis(50) } else { secs(self.day.callers.after_ms, draw) };
-        if heeds && !at_once {
-            wait = wait.max(come_back);
+            if at_once { Duration::from_millis(50) } else { ms_in_range(self.day.callers.after_ms, draw) };
+        if heeds_retry_after && !at_once {
+            wait = wait.max(retry_after);
         }
-        self.at(now + wait, Event::Dials { caller: id });
+        self.schedule(now + wait, Event::Attempt { caller: id });
     }
 
-    fn done(&mut self, id: u64, outcome: Outcome) {
+    /// Counts a caller's outcome and removes the caller.
+    fn finish_caller(&mut self, id: u64, outcome: Outcome) {
         if let Some(caller) = self.callers.remove(&id) {
             let (call_type, customer) = (caller.offer.call_type, caller.offer.customer);
             let outcome = if caller.cut && caller.earned == 0.0 { Outcome::Cut } else { outcome };
             self.score.count(
-                caller.first.as_secs_f64(),
+                caller.first_attempt.as_secs_f64(),
                 call_type,
                 customer,
                 caller.revenue,
@@ -207,120 +222,126 @@
         call: u64,
         exchange_call: u64,
         answer: FinalAnswer,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
     ) {
-        w.observe(now, Observation::Answered { office, call, exchange_call, answer });
-        let (id, draw) = (call >> 8, self.chance.random::<f64>());
+        observer.observe(now, Observation::Answered { office, call, exchange_call, answer });
+        let (id, draw) = (call >> 8, self.rng.random::<f64>());
         let Some(caller) = self.callers.get_mut(&id) else { return };
-        if call != number(id, caller.tries) || caller.state != (State::Trying { handed: true }) {
+        if call != call_number(id, caller.attempts) || caller.state != (State::Attempting { offered: true }) {
             return;
         }
         match answer {
             FinalAnswer::Stands => {
-                let of = &self.day.call_types[usize::from(caller.offer.call_type)];
-                let late = now - caller.since > Duration::from_millis(of.setup_target_ms);
-                caller.earned = caller.revenue * if late { of.late_share } else { 1.0 };
+                let call_type = &self.day.call_types[usize::from(caller.offer.call_type)];
+                let late = now - caller.target_start > Duration::from_millis(call_type.setup_target_ms);
+                caller.earned = caller.revenue * if late { call_type.late_share } else { 1.0 };
                 caller.state = State::Standing;
-                let hold = -(1.0 - draw).ln() * of.hold_s;
-                let tries = caller.tries;
-                // The last to talk leave soon after the day's end: it is about set-ups.
-                let until = (now + Duration::from_secs_f64(hold)).min(now.max(self.length + LAST_TALK));
-                self.at(until, Event::HangsUp { caller: id, tries });
+                let hold_s = -(1.0 - draw).ln() * call_type.hold_s;
+                let attempt = caller.attempts;
+                let hang_up_at =
+                    (now + Duration::from_secs_f64(hold_s)).min(now.max(self.length + MAX_HOLD_AFTER_END));
+                self.schedule(hang_up_at, Event::HangsUp { caller: id, attempt });
             }
             FinalAnswer::Refused { come_back_ms } => {
-                self.turned_down(now, id, Duration::from_millis(come_back_ms.into()), Outcome::Refused);
+                self.on_attempt_failed(now, id, Duration::from_millis(come_back_ms.into()), Outcome::Refused);
             }
-            FinalAnswer::Fails => self.turned_down(now, id, Duration::ZERO, Outcome::Failed),
+            FinalAnswer::Fails => self.on_attempt_failed(now, id, Duration::ZERO, Outcome::Failed),
         }
     }
 
-    /// The controller hears that a call's caller hung up, if it runs.
-    fn hang_up(
+    /// Tells the controller, if it is running, that a call's caller hung up.
+    fn send_hang_up(
         &self,
         now: Duration,
         office: u16,
         call: u64,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
         if self.exchanges[usize::from(office) - 1].running {
-            w.observe(now, Observation::HungUp { office, call });
+            observer.observe(now, Observation::HungUp { office, call });
             actions.push(Action::HangUp { office, call });
         }
     }
 
-    pub(crate) fn hangs_up(
+    /// The caller of a standing call hangs up.
+    pub(crate) fn on_hang_up(
         &mut self,
         now: Duration,
         id: u64,
-        tries: u8,
-        w: &mut dyn Observer,
+        attempt: u8,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        let Some(caller) = self.callers.get(&id).filter(|caller| caller.tries == tries) else { return };
+        let Some(caller) = self.callers.get(&id).filter(|caller| caller.attempts == attempt) else { return };
         if caller.state != State::Standing {
             return;
         }
         let (office, late) = (caller.from, caller.earned < caller.revenue);
-        self.hang_up(now, office, number(id, tries), w, actions);
-        self.done(id, if late { Outcome::Late } else { Outcome::Served });
+        self.send_hang_up(now, office, call_number(id, attempt), observer, actions);
+        self.finish_caller(id, if late { Outcome::Late } else { Outcome::Served });
     }
 
-    /// A call that stood has ended, not by its caller: it was cut, and comes again once.
+    /// A standing call ended, but not by its caller: it was cut. The caller calls again, unless a call of it was cut
+    /// before.
     pub fn call_ended(
         &mut self,
         now: Duration,
         office: u16,
         call: u64,
         how: EndReason,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
     ) {
-        w.observe(now, Observation::Ended { office, call, how });
-        self.lost(now, call >> 8, Some(call));
+        observer.observe(now, Observation::Ended { office, call, how });
+        self.on_call_cut(now, call >> 8, Some(call));
     }
 
-    /// Its call is gone, as it hears itself.
-    pub(crate) fn lost(&mut self, now: Duration, id: u64, call: Option<u64>) {
-        let draw = self.chance.random::<f64>();
+    /// A caller notices that its standing call was cut. `call` is the call's number if the controller reported the end.
+    fn on_call_cut(&mut self, now: Duration, id: u64, call: Option<u64>) {
+        let draw = self.rng.random::<f64>();
         let Some(caller) = self.callers.get_mut(&id) else { return };
-        if caller.state != State::Standing || call.is_some_and(|call| call != number(id, caller.tries)) {
+        if caller.state != State::Standing
+            || call.is_some_and(|call| call != call_number(id, caller.attempts))
+        {
             return;
         }
-        (caller.earned, caller.state) = (0.0, State::Away);
+        (caller.earned, caller.state) = (0.0, State::BetweenAttempts);
         if std::mem::replace(&mut caller.cut, true) {
-            return self.done(id, Outcome::Cut);
+            return self.finish_caller(id, Outcome::Cut);
         }
-        let wait = secs([260.0, 3000.0], draw);
-        (caller.since, caller.offer.cut) = (now + wait, true);
-        self.at(now + wait, Event::Dials { caller: id });
+        let wait = ms_in_range([260.0, 3000.0], draw);
+        (caller.target_start, caller.offer.cut) = (now + wait, true);
+        self.schedule(now + wait, Event::Attempt { caller: id });
     }
 
-    /// The client over which a call was asked for has gone for good.
-    pub fn client_lost(&mut self, now: Duration, office: u16, call: u64, w: &mut dyn Observer) {
-        w.observe(now, Observation::ClientLost { office, call });
-        let caller = self.callers.get(&(call >> 8)).filter(|caller| number(call >> 8, caller.tries) == call);
+    /// The client that offered a call disconnected for good.
+    pub fn client_lost(&mut self, now: Duration, office: u16, call: u64, observer: &mut dyn Observer) {
+        observer.observe(now, Observation::ClientLost { office, call });
+        let caller =
+            self.callers.get(&(call >> 8)).filter(|caller| call_number(call >> 8, caller.attempts) == call);
         match caller.map(|caller| caller.state) {
-            Some(State::Standing) => self.done(call >> 8, Outcome::Served),
-            Some(_) => self.done(call >> 8, Outcome::GaveUp),
+            Some(State::Standing) => self.finish_caller(call >> 8, Outcome::Served),
+            Some(_) => self.finish_caller(call >> 8, Outcome::GaveUp),
             None => {}
         }
     }
 
-    /// A controller died: its callers have no answer, and those who talk are cut off.
-    pub(crate) fn callers_of_dead(&mut self, now: Duration, office: u16) {
-        let standing = self.callers.iter().filter(|(_, c)| c.from == office && c.state == State::Standing);
+    /// A controller was killed: its callers get no answer, and its standing calls are cut.
+    pub(crate) fn cut_standing_calls(&mut self, now: Duration, office: u16) {
+        let is_standing = |caller: &Caller| caller.from == office && caller.state == State::Standing;
+        let standing = self.callers.iter().filter(|(_, caller)| is_standing(caller));
         let standing: Vec<u64> = standing.map(|(id, _)| *id).collect();
-        standing.into_iter().for_each(|id| self.lost(now, id, None));
+        standing.into_iter().for_each(|id| self.on_call_cut(now, id, None));
     }
 }
 
-/// Which of some shares a draw below one falls into.
-pub(crate) fn pick(shares: impl Iterator<Item = f64> + Clone, draw: f64) -> usize {
+/// Index of the share that `draw`, from 0 to below 1, selects.
+pub(crate) fn pick_share(shares: impl Iterator<Item = f64> + Clone, draw: f64) -> usize {
     let mut rest = draw * shares.clone().sum::<f64>();
-    let fits = |share: f64| {
+    let is_selected = |share: f64| {
         rest -= share;
         rest < 0.0
     };
     let last = shares.clone().count() - 1;
-    shares.clone().map(fits).position(|fits| fits).unwrap_or(last)
+    shares.clone().map(is_selected).position(|selected| selected).unwrap_or(last)
 }
--- a/crates/emulator/src/processor.rs
+++ b/crates/emulator/src/processor.rs
@@ -48,7 +48,7 @@
     /// Work of the current and all queued jobs, seconds at speed 1.
     pub backlog: f64,
     /// Counts job starts and drains, so that the end of a job that was drained is recognized as outdated.
-    pub round: u64,
+    pub generation: u64,
 }
 
 impl Processor {
@@ -100,7 +100,7 @@
         let job = self.priority_queue.pop_front().or_else(|| self.queue.pop_front())?;
         let span = Duration::from_secs_f64((job.work / self.pace(now)).min(1e6));
         self.current = Some(job);
-        self.round += 1;
+        self.generation += 1;
         Some(span)
     }
 
@@ -114,7 +114,7 @@
     /// Removes all jobs and returns them in the order in which they would have been handled.
     pub fn drain(&mut self) -> Vec<Job> {
         self.backlog = 0.0;
-        self.round += 1;
+        self.generation += 1;
         self.current
             .take()
             .into_iter()
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,4 +1,5 @@
-//! The world around controllers: network, processors, directory and troubles, told things with the time.
+//! Event-driven simulation of a day: network, processors, directory and faults. Each input comes with the time.
+//! `callers.rs` holds the subscribers' part of it.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -13,113 +14,97 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::callers::Caller;
-use crate::day::{Day, Fault, FaultTarget, Reports};
+use crate::day::{CallTypePlan, Day, Fault, FaultTarget, Reports};
 use crate::observer::{Observation, Observer};
 use crate::processor::{ColdStart, Job, Payload, Processor};
 use crate::score::Score;
 
-/// What reaches controllers, in order.
+/// Something that the driver does to a controller, in the order of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// A controller starts; `incarnation` grows with each start.
-    Start {
-        office: u16,
-        incarnation: u32,
-    },
-    /// It is killed, without a word.
-    Kill {
-        office: u16,
-    },
-    /// Its link to another exchange opens (only where the world dials), or breaks.
-    LinkUp {
-        office: u16,
-        to: u16,
-    },
-    LinkDown {
-        office: u16,
-        to: u16,
-    },
-    LinkOctets {
-        office: u16,
-        from: u16,
-        octets: Vec<u8>,
-    },
-    Offer {
-        office: u16,
-        offer: Offer,
-    },
-    HangUp {
-        office: u16,
-        call: u64,
-    },
-    Membership {
-        office: u16,
-        news: MembershipUpdate,
-    },
-    CircuitsInService {
-        office: u16,
-        to: u16,
-        in_service: u16,
-    },
-    ProcessorReport {
-        office: u16,
-        rate: f64,
-    },
+    Start { office: u16, incarnation: u32 },
+    /// The controller is killed without notice.
+    Kill { office: u16 },
+    /// The controller's link to another exchange opens; only with [`LinkMode::InProcess`].
+    LinkUp { office: u16, to: u16 },
+    /// The controller's link to another exchange is lost.
+    LinkDown { office: u16, to: u16 },
+    /// The controller receives octets on a link.
+    LinkOctets { office: u16, from: u16, octets: Vec<u8> },
+    /// A caller's call is offered to the controller.
+    Offer { office: u16, offer: Offer },
+    /// The caller of a call hangs up.
+    HangUp { office: u16, call: u64 },
+    /// The controller receives a membership update.
+    Membership { office: u16, news: MembershipUpdate },
+    /// The number of circuits in service in a trunk group has changed.
+    CircuitsInService { office: u16, to: u16, in_service: u16 },
+    /// The exchange's processor reports how many set-ups it accepts a second.
+    ProcessorReport { office: u16, rate: f64 },
 }
 
-/// Who opens the links.
+/// Who opens the links between exchanges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkMode {
-    /// The world, as soon as both ends can: virtual time.
+    /// The simulation opens a link as soon as both ends are able to, in virtual time.
     InProcess,
-    /// The controllers dial, and are told apart by where they dial.
+    /// The controllers connect over sockets. The address that a connection goes to identifies both ends.
     Sockets,
 }
 
 #[derive(Debug)]
 pub(crate) enum Event {
-    CallerComes,
-    Dials { caller: u64 },
-    GivesUp { caller: u64, tries: u8 },
-    HangsUp { caller: u64, tries: u8 },
-    Arrives { to: u16, from: u16, round: u32, frame: Vec<u8> },
-    Done { office: u16, round: u64 },
-    Hand { office: u16, job: Job },
-    Dial { a: u16, b: u16 },
-    Tell { office: u16 },
-    Report,
-    Drift,
-    Begins(usize),
-    Ends(usize),
-    Starts { office: u16 },
-    Replaced { office: u16 },
-    Back { a: u16, b: u16 },
+    NewCaller,
+    Attempt { caller: u64 },
+    GivesUp { caller: u64, attempt: u8 },
+    HangsUp { caller: u64, attempt: u8 },
+    FrameArrives { to: u16, from: u16, epoch: u32, frame: Vec<u8> },
+    JobDone { office: u16, generation: u64 },
+    DeliverJob { office: u16, job: Job },
+    ConnectLink { a: u16, b: u16 },
+    SendMembership { office: u16 },
+    ProcessorReports,
+    TrafficDrift,
+    FaultBegins(usize),
+    FaultEnds(usize),
+    StartController { office: u16 },
+    ReplaceMachine { office: u16 },
+    RestoreCircuits { a: u16, b: u16 },
 }
 
 pub(crate) struct Exchange {
+    /// The exchange's ID in the membership list. It grows by 1 when the machine is replaced.
     id: u32,
     region: usize,
     pub processor: Processor,
-    /// Whether the controller runs, and how often it has started.
+    /// Whether the controller is running.
     pub running: bool,
+    /// How often the controller has been started.
     incarnation: u32,
-    /// What of the directory it was told, and until when what it is told is on its way.
-    told: u64,
-    telling: Duration,
+    /// Version of the last membership update that the controller received; 0 if none.
+    delivered_version: u64,
+    /// Arrival time of the last membership update sent. Updates don't overtake each other.
+    last_update_arrival: Duration,
 }
 
+/// One direction of the link between two exchanges.
 #[derive(Default)]
-struct Wire {
+struct LinkDirection {
     delay: Duration,
+    /// Whether the sender's end is open.
     connected: bool,
+    /// Splits the sender's octets into frames.
     deframer: Deframer,
-    /// Frames sent before the far end was there.
-    held: Vec<Vec<u8>>,
-    /// What was sent before a break does not arrive after it.
-    round: u32,
-    last: Duration,
+    /// Frames sent before the receiver's end was open.
+    held_frames: Vec<Vec<u8>>,
+    /// Counts link losses, so that frames sent before a loss don't arrive after it.
+    epoch: u32,
+    /// Arrival time of the last frame. Frames don't overtake each other.
+    last_arrival: Duration,
 }
 
+/// The [`Fault::Crowd`] in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Crowd {
     pub exchange: u16,
@@ -127,64 +112,79 @@
     pub share: f64,
 }
 
+/// State of a simulated day. Pairs of exchanges that aren't directed have the lower number first.
 pub struct Simulation {
     pub(crate) day: Day,
     link_mode: LinkMode,
     pub(crate) length: Duration,
-    queue: BinaryHeap<Reverse<(Duration, u64, Slot)>>,
+    queue: BinaryHeap<Reverse<(Duration, u64, QueuedEvent)>>,
     sequence: u64,
-    pub(crate) arrivals: Pcg64Mcg,
-    pub(crate) chance: Pcg64Mcg,
+    /// Draws the callers and their traffic.
+    pub(crate) arrival_rng: Pcg64Mcg,
+    /// Draws everything else after the start.
+    pub(crate) rng: Pcg64Mcg,
     pub(crate) exchanges: Vec<Exchange>,
+    /// Circuits of each trunk group.
     groups: BTreeMap<(u16, u16), u16>,
+    /// Circuits in service of each trunk group.
     in_service: BTreeMap<(u16, u16), u16>,
-    /// Circuits taken, as far as the wires show, by wire: only for advice.
-    taken: Vec<i32>,
-    /// Free circuits as the centre saw them, by wire, and when it looks again.
-    stale: (Duration, Vec<i32>),
-    /// By sender, then receiver.
-    wires: Vec<Wire>,
-    /// Releases of turned away set-ups, whose completion the controller must not see.
-    swallow: BTreeSet<(u16, u16, u16)>,
-    /// Planned and true calls a second, by pair, and the sums to draw one from.
+    /// Calls in progress in each group as counted from IAM and RLC frames, at the index of the link direction from the
+    /// lower number. Used only for the advised tandem.
+    circuits_in_use: Vec<i32>,
+    /// When the free circuits are next determined for the advised tandem, and the last result by link direction.
+    free_circuits: (Duration, Vec<i32>),
+    /// By sender, then receiver; see `direction_index`.
+    link_directions: Vec<LinkDirection>,
+    /// Sender, receiver and circuit of the RLCs that confirm the release of a set-up that a full processor rejected.
+    /// The rejecting exchange's controller must not see them.
+    hidden_release_completes: BTreeSet<(u16, u16, u16)>,
+    /// Actual calls a second by origin and destination.
     flows: Vec<(u16, u16, f64)>,
-    sums: Vec<f64>,
+    /// Cumulative sums of the calls a second in `flows`, from which a pair is drawn.
+    cumulative_rates: Vec<f64>,
+    /// The directory's entries by exchange ID: version of the last change, entry, start time of the processor.
     entries: BTreeMap<u32, (u64, MemberEntry, Duration)>,
     version: u64,
-    late_by: Duration,
+    /// Additional delay of the directory's updates due to a fault.
+    directory_delay: Duration,
+    /// Regions whose links to the others are lost.
     cut_regions: Vec<usize>,
-    broken: BTreeSet<(u16, u16)>,
-    pub(crate) burst: f64,
+    broken_links: BTreeSet<(u16, u16)>,
+    /// Factor by which a fault raises the rate of new callers.
+    pub(crate) arrival_factor: f64,
     pub(crate) crowd: Option<Crowd>,
     pub(crate) redial_at_once: bool,
-    messages_lost: f64,
-    struck: BTreeMap<usize, Vec<u16>>,
+    /// Share of the messages between controllers that is lost.
+    message_loss_share: f64,
+    /// Affected exchanges by index of the fault in the script.
+    affected: BTreeMap<usize, Vec<u16>>,
     pub(crate) callers: BTreeMap<u64, Caller>,
-    pub(crate) last_caller: u64,
+    pub(crate) last_caller_id: u64,
     pub score: Score,
 }
 
-/// An event that is ordered by its time and number alone.
+/// An event in the queue. All compare equal, so that the queue is ordered by time and sequence number alone.
 #[derive(Debug)]
-struct Slot(Event);
+struct QueuedEvent(Event);
 
-impl PartialEq for Slot {
+impl PartialEq for QueuedEvent {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
-impl Eq for Slot {}
-impl PartialOrd for Slot {
+impl Eq for QueuedEvent {}
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Slot {
+impl Ord for QueuedEvent {
     fn cmp(&self, _: &Self) -> std::cmp::Ordering {
         std::cmp::Ordering::Equal
     }
 }
 
+/// The pair with the lower number first.
 fn pair(a: u16, b: u16) -> (u16, u16) {
     (a.min(b), a.max(b))
 }
@@ -194,68 +194,71 @@
 }
 
 impl Simulation {
-    /// The day must have no faults of its script.
+    /// The day must have no [`Day::validation_errors`].
     pub fn new(day: &Day, link_mode: LinkMode) -> Self {
-        let stream = |no: u64| Pcg64Mcg::seed_from_u64(day.seed.wrapping_mul(31).wrapping_add(no));
-        let mut plan = stream(1);
+        let stream = |number: u64| Pcg64Mcg::seed_from_u64(day.seed.wrapping_mul(31).wrapping_add(number));
+        let mut setup_rng = stream(1);
         let offices: Vec<u16> = (1..=day.exchanges).collect();
         let pairs: Vec<(u16, u16)> = offices
             .iter()
             .flat_map(|a| offices.iter().map(move |b| (*a, *b)))
             .filter(|(a, b)| a != b)
             .collect();
-        let weights: Vec<f64> = pairs.iter().map(|_| plan.random_range(0.4..1.6)).collect();
-        let all: f64 = weights.iter().sum();
-        let planned = pairs.iter().zip(&weights).map(|((a, b), weight)| (*a, *b, weight / all));
+        let weights: Vec<f64> = pairs.iter().map(|_| setup_rng.random_range(0.4..1.6)).collect();
+        let total_weight: f64 = weights.iter().sum();
+        let planned = pairs.iter().zip(&weights).map(|((a, b), weight)| (*a, *b, weight / total_weight));
         let planned: Vec<(u16, u16, f64)> =
             planned.map(|(a, b, share)| (a, b, share * day.traffic.calls_per_s)).collect();
-        let shares: f64 = day.call_types.iter().map(|of| of.share).sum();
-        let held =
-            day.call_types.iter().map(|of| of.share / shares * of.hold_s * f64::from(of.width)).sum::<f64>();
+        let total_share: f64 = day.call_types.iter().map(|call_type| call_type.share).sum();
+        let circuit_seconds_of = |call_type: &CallTypePlan| {
+            call_type.share / total_share * call_type.hold_s * f64::from(call_type.width)
+        };
+        let circuit_seconds = day.call_types.iter().map(circuit_seconds_of).sum::<f64>();
         let mut groups = BTreeMap::new();
         let rates: BTreeMap<(u16, u16), f64> = planned.iter().map(|(a, b, rate)| ((*a, *b), *rate)).collect();
         for (a, b, rate) in planned.iter().filter(|(a, b, _)| a < b) {
-            let back = rates.get(&(*b, *a)).copied().unwrap_or(0.0);
-            let erlangs = (rate + back) * held;
+            let reverse_rate = rates.get(&(*b, *a)).copied().unwrap_or(0.0);
+            let erlangs = (rate + reverse_rate) * circuit_seconds;
             let size = erlangs * (1.0 + day.groups.spare) + erlangs.sqrt() * day.groups.spare_root;
-            if plan.random::<f64>() >= day.groups.unlinked {
+            if setup_rng.random::<f64>() >= day.groups.unlinked {
                 groups.insert((*a, *b), (size.round().clamp(1.0, f64::from(Cic::MAX_PER_GROUP))) as u16);
             }
         }
         let miss = day.groups.miss;
         let flows: Vec<_> = planned
             .iter()
-            .map(|(a, b, rate)| (*a, *b, rate * plan.random_range(1.0 - miss..=1.0 + miss)))
+            .map(|(a, b, rate)| (*a, *b, rate * setup_rng.random_range(1.0 - miss..=1.0 + miss)))
             .collect();
         let work = &day.processor;
-        let exchanges = offices.iter().map(|no| {
-            let sum = |side: fn(&(u16, u16, f64)) -> u16| {
-                planned.iter().filter(|flow| side(flow) == *no).map(|flow| flow.2).sum::<f64>()
+        let exchanges = offices.iter().map(|office| {
+            let rate_by = |end: fn(&(u16, u16, f64)) -> u16| {
+                planned.iter().filter(|flow| end(flow) == *office).map(|flow| flow.2).sum::<f64>()
             };
-            let (out, into) = (sum(|flow| flow.0), sum(|flow| flow.1));
-            let ms = out * (work.look_ms + work.set_up_ms + work.answer_ms)
-                + into * (work.set_up_ms + work.release_ms);
-            let true_speed = day.speeds[(usize::from(*no) - 1) % day.speeds.len()];
+            let (outgoing, incoming) = (rate_by(|flow| flow.0), rate_by(|flow| flow.1));
+            let work_ms = outgoing * (work.look_ms + work.set_up_ms + work.answer_ms)
+                + incoming * (work.set_up_ms + work.release_ms);
+            let true_speed = day.speeds[(usize::from(*office) - 1) % day.speeds.len()];
             Exchange {
-                id: u32::from(*no) * 100,
-                region: (usize::from(*no) - 1) % day.regions.len(),
-                processor: Processor::new((ms / 1e3 / work.busy).max(1e-6) * true_speed),
+                id: u32::from(*office) * 100,
+                region: (usize::from(*office) - 1) % day.regions.len(),
+                processor: Processor::new((work_ms / 1e3 / work.busy).max(1e-6) * true_speed),
                 running: false,
                 incarnation: 0,
-                told: 0,
-                telling: Duration::ZERO,
+                delivered_version: 0,
+                last_update_arrival: Duration::ZERO,
             }
         });
         let exchanges: Vec<Exchange> = exchanges.collect();
-        let mut wires: Vec<Wire> = (0..offices.len() * offices.len()).map(|_| Wire::default()).collect();
+        let mut link_directions: Vec<LinkDirection> =
+            (0..offices.len() * offices.len()).map(|_| LinkDirection::default()).collect();
         for (a, b) in &pairs {
-            let same = exchanges[usize::from(*a) - 1].region == exchanges[usize::from(*b) - 1].region;
-            let [least, most] = if same { day.network.same_ms } else { day.network.cross_ms };
-            let delay = seconds((least + (most - least) * plan.random::<f64>()) / 1e3);
-            wires[(usize::from(*a) - 1) * offices.len() + usize::from(*b) - 1].delay = delay;
+            let same_region = exchanges[usize::from(*a) - 1].region == exchanges[usize::from(*b) - 1].region;
+            let [min, max] = if same_region { day.network.same_ms } else { day.network.cross_ms };
+            let delay = seconds((min + (max - min) * setup_rng.random::<f64>()) / 1e3);
+            link_directions[(usize::from(*a) - 1) * offices.len() + usize::from(*b) - 1].delay = delay;
         }
-        let entry = |(no, exchange): (usize, &Exchange)| {
-            let (office, region) = (no as u16 + 1, exchange.region as u8);
+        let entry = |(index, exchange): (usize, &Exchange)| {
+            let (office, region) = (index as u16 + 1, exchange.region as u8);
             let entry = MemberEntry {
                 exchange: exchange.id,
                 office,
@@ -272,52 +275,52 @@
             link_mode,
             queue: BinaryHeap::new(),
             sequence: 0,
-            arrivals: stream(2),
-            chance: stream(3),
+            arrival_rng: stream(2),
+            rng: stream(3),
             exchanges,
             in_service: groups.clone(),
             groups,
-            taken: vec![0; offices.len() * offices.len()],
-            stale: (Duration::ZERO, Vec::new()),
-            wires,
-            swallow: BTreeSet::new(),
+            circuits_in_use: vec![0; offices.len() * offices.len()],
+            free_circuits: (Duration::ZERO, Vec::new()),
+            link_directions,
+            hidden_release_completes: BTreeSet::new(),
             flows,
-            sums: Vec::new(),
+            cumulative_rates: Vec::new(),
             version: 1,
-            late_by: Duration::ZERO,
+            directory_delay: Duration::ZERO,
             cut_regions: Vec::new(),
-            broken: BTreeSet::new(),
-            burst: 1.0,
+            broken_links: BTreeSet::new(),
+            arrival_factor: 1.0,
             crowd: None,
             redial_at_once: false,
-            messages_lost: 0.0,
-            struck: BTreeMap::new(),
+            message_loss_share: 0.0,
+            affected: BTreeMap::new(),
             callers: BTreeMap::new(),
-            last_caller: 0,
+            last_caller_id: 0,
             score: Score::default(),
         };
-        simulation.sum_flows();
+        simulation.update_cumulative_rates();
         if link_mode == LinkMode::InProcess {
-            offices
-                .iter()
-                .for_each(|office| simulation.at(Duration::ZERO, Event::Starts { office: *office }));
+            offices.iter().for_each(|office| {
+                simulation.schedule(Duration::ZERO, Event::StartController { office: *office })
+            });
         }
-        // Links and groups need a moment to open.
-        simulation.at(seconds(1.5), Event::CallerComes);
-        for (no, fault) in day.faults.iter().enumerate() {
-            simulation.at(seconds(fault.at_s), Event::Begins(no));
-            simulation.at(seconds(fault.at_s + fault.for_s), Event::Ends(no));
+        // Links and trunk groups need time to open.
+        simulation.schedule(seconds(1.5), Event::NewCaller);
+        for (index, fault) in day.faults.iter().enumerate() {
+            simulation.schedule(seconds(fault.at_s), Event::FaultBegins(index));
+            simulation.schedule(seconds(fault.at_s + fault.for_s), Event::FaultEnds(index));
         }
         if day.traffic.drift_s > 0.0 {
-            simulation.at(seconds(day.traffic.drift_s), Event::Drift);
+            simulation.schedule(seconds(day.traffic.drift_s), Event::TrafficDrift);
         }
         if day.processor.reports != Reports::None {
-            simulation.at(Duration::ZERO, Event::Report);
+            simulation.schedule(Duration::ZERO, Event::ProcessorReports);
         }
         simulation
     }
 
-    /// Circuits between two exchanges.
+    /// Circuits of the trunk group between two exchanges, by pair with the lower number first.
     pub fn groups(&self) -> &BTreeMap<(u16, u16), u16> {
         &self.groups
     }
@@ -326,188 +329,200 @@
         &self.day
     }
 
-    pub(crate) fn at(&mut self, at: Duration, event: Event) {
+    pub(crate) fn schedule(&mut self, at: Duration, event: Event) {
         self.sequence += 1;
-        self.queue.push(Reverse((at, self.sequence, Slot(event))));
+        self.queue.push(Reverse((at, self.sequence, QueuedEvent(event))));
     }
 
     pub fn next_event_time(&self) -> Option<Duration> {
         self.queue.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Whether all arrivals are over and every caller has left.
+    /// Whether arrivals have ended and no caller is left.
     pub fn is_finished(&self, now: Duration) -> bool {
         now >= self.length && self.callers.is_empty()
     }
 
-    /// Lets the next thing happen, if it is due; it happens at its own time.
-    pub fn advance(&mut self, now: Duration, w: &mut dyn Observer, actions: &mut Vec<Action>) -> bool {
+    /// Handles the next event if it is due, at the event's own time. `false` if none is due.
+    pub fn advance(&mut self, now: Duration, observer: &mut dyn Observer, actions: &mut Vec<Action>) -> bool {
         if self.next_event_time().is_none_or(|at| at > now) {
             return false;
         }
-        let Some(Reverse((at, _, Slot(event)))) = self.queue.pop() else { return false };
+        let Some(Reverse((at, _, QueuedEvent(event)))) = self.queue.pop() else { return false };
         match event {
-            Event::CallerComes => self.caller_comes(at),
-            Event::Dials { caller } => self.dials(at, caller),
-            Event::GivesUp { caller, tries } => self.gives_up(at, caller, tries, w, actions),
-            Event::HangsUp { caller, tries } => self.hangs_up(at, caller, tries, w, actions),
-            Event::Arrives { to, from, round, frame } => {
-                if self.wire(from, to).round == round {
-                    self.arrives(at, to, from, frame, w, actions);
+            Event::NewCaller => self.on_new_caller(at),
+            Event::Attempt { caller } => self.on_attempt(at, caller),
+            Event::GivesUp { caller, attempt } => self.on_give_up(at, caller, attempt, observer, actions),
+            Event::HangsUp { caller, attempt } => self.on_hang_up(at, caller, attempt, observer, actions),
+            Event::FrameArrives { to, from, epoch, frame } => {
+                if self.direction(from, to).epoch == epoch {
+                    self.on_frame_arrival(at, to, from, frame, observer, actions);
                 }
             }
-            Event::Done { office, round } => self.done_work(at, office, round, w, actions),
-            Event::Hand { office, job } => self.hand(at, office, job, w, actions),
-            Event::Dial { a, b } => {
-                if self.usable(a, b) && !self.wire(a, b).connected {
+            Event::JobDone { office, generation } => {
+                self.on_job_done(at, office, generation, observer, actions)
+            }
+            Event::DeliverJob { office, job } => self.deliver_job(at, office, job, observer, actions),
+            Event::ConnectLink { a, b } => {
+                if self.is_link_usable(a, b) && !self.direction(a, b).connected {
                     for (office, to) in [(a, b), (b, a)] {
-                        self.wire(office, to).connected = true;
-                        w.observe(at, Observation::LinkUp { office, to });
+                        self.direction(office, to).connected = true;
+                        observer.observe(at, Observation::LinkUp { office, to });
                         actions.push(Action::LinkUp { office, to });
                     }
                 }
             }
-            Event::Tell { office } => self.tell(at, office, w, actions),
-            Event::Report => self.report(at, actions),
-            Event::Drift => {
-                self.drift();
-                self.at(at + seconds(self.day.traffic.drift_s), Event::Drift);
+            Event::SendMembership { office } => self.send_membership(at, office, observer, actions),
+            Event::ProcessorReports => self.send_processor_reports(at, actions),
+            Event::TrafficDrift => {
+                self.change_traffic();
+                self.schedule(at + seconds(self.day.traffic.drift_s), Event::TrafficDrift);
             }
-            Event::Begins(no) => self.begins(at, no, w, actions),
-            Event::Ends(no) => self.ends(at, no, w, actions),
-            Event::Starts { office } => self.starts(at, office, w, actions),
-            Event::Replaced { office } => self.replaced(at, office, w, actions),
-            Event::Back { a, b } => {
+            Event::FaultBegins(index) => self.begin_fault(at, index, observer, actions),
+            Event::FaultEnds(index) => self.end_fault(at, index, observer, actions),
+            Event::StartController { office } => self.start_controller(at, office, observer, actions),
+            Event::ReplaceMachine { office } => self.replace_machine(at, office, observer, actions),
+            Event::RestoreCircuits { a, b } => {
                 self.set_circuits(a, b, self.groups.get(&(a, b)).copied().unwrap_or(0), actions)
             }
         }
         true
     }
 
-    // Traffic.
+    // Traffic
 
-    pub(crate) fn pair(&self, draw: f64) -> (u16, u16) {
-        let wanted = draw * self.sums.last().copied().unwrap_or(0.0);
-        let at = self.sums.partition_point(|sum| *sum <= wanted).min(self.flows.len() - 1);
-        (self.flows[at].0, self.flows[at].1)
+    /// The origin and destination of a call; `draw` is from 0 to below 1.
+    pub(crate) fn draw_pair(&self, draw: f64) -> (u16, u16) {
+        let wanted = draw * self.cumulative_rates.last().copied().unwrap_or(0.0);
+        let index = self.cumulative_rates.partition_point(|sum| *sum <= wanted).min(self.flows.len() - 1);
+        (self.flows[index].0, self.flows[index].1)
     }
 
-    fn sum_flows(&mut self) {
+    fn update_cumulative_rates(&mut self) {
         let add = |sum: &mut f64, flow: &(u16, u16, f64)| {
             *sum += flow.2;
             Some(*sum)
         };
-        self.sums = self.flows.iter().scan(0.0, add).collect();
+        self.cumulative_rates = self.flows.iter().scan(0.0, add).collect();
     }
 
-    fn drift(&mut self) {
-        let by = self.day.traffic.drift;
+    fn change_traffic(&mut self) {
+        let max_change = self.day.traffic.drift;
         for flow in &mut self.flows {
-            flow.2 *= 1.0 + by * (self.arrivals.random::<f64>() * 2.0 - 1.0);
+            flow.2 *= 1.0 + max_change * (self.arrival_rng.random::<f64>() * 2.0 - 1.0);
         }
-        self.sum_flows();
+        self.update_cumulative_rates();
     }
 
-    /// The tandem that had most room at the centre's last look, two seconds apart.
+    /// The tandem with the most free circuits when these were last determined, which happens every two seconds.
     pub(crate) fn advice(&mut self, now: Duration, from: u16, dest: u16) -> Option<u16> {
-        if now >= self.stale.0 {
-            let mut room = vec![i32::MIN; self.taken.len()];
+        if now >= self.free_circuits.0 {
+            let mut free = vec![i32::MIN; self.circuits_in_use.len()];
             for ((a, b), size) in &self.in_service {
-                let (at, back) = (self.wire_at(*a, *b), self.wire_at(*b, *a));
-                room[at] = i32::from(*size) - self.taken[at];
-                room[back] = room[at];
+                let (index, reverse) = (self.direction_index(*a, *b), self.direction_index(*b, *a));
+                free[index] = i32::from(*size) - self.circuits_in_use[index];
+                free[reverse] = free[index];
             }
-            self.stale = (now + seconds(2.0), room);
+            self.free_circuits = (now + seconds(2.0), free);
         }
         let count = self.exchanges.len();
-        let first_legs = &self.stale.1[(usize::from(from) - 1) * count..usize::from(from) * count];
-        // Free circuits are the same seen from either end, so the second legs are the row of the destination.
-        let second_legs = &self.stale.1[(usize::from(dest) - 1) * count..usize::from(dest) * count];
-        let rooms = first_legs.iter().zip(second_legs).map(|(first, second)| *first.min(second));
-        let tandems = (1..=self.day.exchanges).zip(rooms).filter(|(no, _)| *no != from && *no != dest);
-        tandems.filter(|(_, room)| *room > i32::MIN).max_by_key(|(_, room)| *room).map(|(tandem, _)| tandem)
+        let first_legs = &self.free_circuits.1[(usize::from(from) - 1) * count..usize::from(from) * count];
+        // Free circuits are the same from both ends, so the row of the destination holds the second legs.
+        let second_legs = &self.free_circuits.1[(usize::from(dest) - 1) * count..usize::from(dest) * count];
+        let free_by_tandem = first_legs.iter().zip(second_legs).map(|(first, second)| *first.min(second));
+        let tandems = (1..=self.day.exchanges)
+            .zip(free_by_tandem)
+            .filter(|(tandem, _)| *tandem != from && *tandem != dest);
+        tandems.filter(|(_, free)| *free > i32::MIN).max_by_key(|(_, free)| *free).map(|(tandem, _)| tandem)
     }
 
-    // The network.
+    // Network
 
-    fn wire_at(&self, from: u16, to: u16) -> usize {
+    fn direction_index(&self, from: u16, to: u16) -> usize {
         (usize::from(from) - 1) * self.exchanges.len() + usize::from(to) - 1
     }
 
-    fn wire(&mut self, from: u16, to: u16) -> &mut Wire {
-        let at = self.wire_at(from, to);
-        &mut self.wires[at]
+    fn direction(&mut self, from: u16, to: u16) -> &mut LinkDirection {
+        let index = self.direction_index(from, to);
+        &mut self.link_directions[index]
     }
 
-    fn usable(&self, a: u16, b: u16) -> bool {
+    fn is_link_usable(&self, a: u16, b: u16) -> bool {
         let (one, other) = (&self.exchanges[usize::from(a) - 1], &self.exchanges[usize::from(b) - 1]);
-        let cut = |region: &usize| (one.region == *region) != (other.region == *region);
+        let crosses = |region: &usize| (one.region == *region) != (other.region == *region);
         one.running
             && other.running
-            && !self.broken.contains(&pair(a, b))
-            && !self.cut_regions.iter().any(cut)
+            && !self.broken_links.contains(&pair(a, b))
+            && !self.cut_regions.iter().any(crosses)
     }
 
-    /// A controller opened its connection for another exchange.
+    /// A controller opened its link to another exchange.
     pub fn link_connected(
         &mut self,
         now: Duration,
         office: u16,
         to: u16,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        if !self.usable(office, to) {
+        if !self.is_link_usable(office, to) {
             return actions.push(Action::LinkDown { office, to });
         }
-        self.wire(office, to).connected = true;
-        w.observe(now, Observation::LinkUp { office, to });
-        let held = std::mem::take(&mut self.wire(to, office).held);
-        held.into_iter().for_each(|frame| self.on_its_way(now, to, office, frame));
+        self.direction(office, to).connected = true;
+        observer.observe(now, Observation::LinkUp { office, to });
+        let held_frames = std::mem::take(&mut self.direction(to, office).held_frames);
+        held_frames.into_iter().for_each(|frame| self.send_frame(now, to, office, frame));
     }
 
-    /// It closed it, or died.
+    /// A controller closed its link to another exchange, or the link was lost.
     pub fn link_disconnected(
         &mut self,
         now: Duration,
         office: u16,
         to: u16,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        if self.wire(office, to).connected {
-            self.break_link(now, office, to, w, actions);
+        if self.direction(office, to).connected {
+            self.break_link(now, office, to, observer, actions);
         }
     }
 
-    fn break_link(&mut self, now: Duration, a: u16, b: u16, w: &mut dyn Observer, actions: &mut Vec<Action>) {
+    fn break_link(
+        &mut self,
+        now: Duration,
+        a: u16,
+        b: u16,
+        observer: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
         for (office, to) in [(a, b), (b, a)] {
-            let wire = self.wire(office, to);
-            wire.round += 1;
-            wire.deframer = Deframer::default();
-            wire.held.clear();
-            let connected = std::mem::take(&mut wire.connected);
+            let direction = self.direction(office, to);
+            direction.epoch += 1;
+            direction.deframer = Deframer::default();
+            direction.held_frames.clear();
+            let was_connected = std::mem::take(&mut direction.connected);
             self.exchanges[usize::from(to) - 1].processor.discard_frames_from(office);
-            if connected {
-                w.observe(now, Observation::LinkDown { office, to });
+            if was_connected {
+                observer.observe(now, Observation::LinkDown { office, to });
                 if self.exchanges[usize::from(office) - 1].running {
                     actions.push(Action::LinkDown { office, to });
                 }
             }
         }
-        self.swallow.retain(|(from, to, _)| pair(*from, *to) != pair(a, b));
+        self.hidden_release_completes.retain(|(from, to, _)| pair(*from, *to) != pair(a, b));
     }
 
-    fn dial_later(&mut self, now: Duration, a: u16, b: u16) {
+    fn connect_later(&mut self, now: Duration, a: u16, b: u16) {
         if self.link_mode == LinkMode::InProcess {
-            let wait = seconds(self.chance.random_range(0.05..0.25));
-            self.at(now + wait, Event::Dial { a, b });
+            let wait = seconds(self.rng.random_range(0.05..0.25));
+            self.schedule(now + wait, Event::ConnectLink { a, b });
         }
     }
 
-    fn dial_all(&mut self, now: Duration, among: impl Fn(u16, u16) -> bool) {
-        let pairs: Vec<_> = self.groups.keys().copied().filter(|(a, b)| among(*a, *b)).collect();
-        pairs.into_iter().for_each(|(a, b)| self.dial_later(now, a, b));
+    fn connect_all(&mut self, now: Duration, includes: impl Fn(u16, u16) -> bool) {
+        let pairs: Vec<_> = self.groups.keys().copied().filter(|(a, b)| includes(*a, *b)).collect();
+        pairs.into_iter().for_each(|(a, b)| self.connect_later(now, a, b));
     }
 
     /// A controller sent octets on its link to another exchange.
@@ -517,75 +532,75 @@
         office: u16,
         to: u16,
         octets: &[u8],
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
     ) {
-        if !self.wire(office, to).connected {
+        if !self.direction(office, to).connected {
             return;
         }
-        let mut deframer = std::mem::take(&mut self.wire(office, to).deframer);
+        let mut deframer = std::mem::take(&mut self.direction(office, to).deframer);
         deframer.push(octets);
         while let Ok(Some(frame)) = deframer.next() {
-            w.observe(now, Observation::FrameSent { office, to, frame });
-            if isup(frame).is_some_and(|(kind, _)| kind == IAM) {
-                // Sending it costs the own processor too; looking at a call that is refused costs only the look.
+            observer.observe(now, Observation::FrameSent { office, to, frame });
+            if type_and_circuit(frame).is_some_and(|(kind, _)| kind == IAM) {
+                // Sending a set-up costs the own processor `set_up_ms`. Only `look_ms` was spent on the call before.
                 let work = self.day.processor.set_up_ms / 1e3;
                 let job = Job { work, payload: Payload::Nothing, set_up: None };
                 self.exchanges[usize::from(office) - 1].processor.push(job, false);
-                self.keep_working(now, office);
+                self.start_next_job(now, office);
             }
-            self.on_its_way(now, office, to, frame.to_vec());
+            self.send_frame(now, office, to, frame.to_vec());
         }
-        self.wire(office, to).deframer = deframer;
+        self.direction(office, to).deframer = deframer;
     }
 
-    fn on_its_way(&mut self, now: Duration, from: u16, to: u16, frame: Vec<u8>) {
-        const HELD: usize = 64;
-        if !self.wire(to, from).connected {
-            let wire = self.wire(from, to);
-            if wire.held.len() < HELD {
-                wire.held.push(frame);
+    fn send_frame(&mut self, now: Duration, from: u16, to: u16, frame: Vec<u8>) {
+        const MAX_HELD_FRAMES: usize = 64;
+        if !self.direction(to, from).connected {
+            let direction = self.direction(from, to);
+            if direction.held_frames.len() < MAX_HELD_FRAMES {
+                direction.held_frames.push(frame);
             }
             return;
         }
-        if let Some((kind, cic)) = isup(&frame) {
+        if let Some((kind, cic)) = type_and_circuit(&frame) {
             match kind {
-                PEER if self.chance.random::<f64>() < self.messages_lost => return,
-                RLC if self.swallow.remove(&(from, to, cic)) => return,
+                PEER if self.rng.random::<f64>() < self.message_loss_share => return,
+                RLC if self.hidden_release_completes.remove(&(from, to, cic)) => return,
                 IAM | RLC => {
                     let (a, b) = pair(from, to);
-                    let at = self.wire_at(a, b);
-                    self.taken[at] += if kind == IAM { 1 } else { -1 };
+                    let index = self.direction_index(a, b);
+                    self.circuits_in_use[index] += if kind == IAM { 1 } else { -1 };
                 }
                 _ => {}
             }
         }
-        let jitter = 1.0 + self.day.network.jitter * self.chance.random::<f64>();
-        let wire = self.wire(from, to);
-        let at = (now + wire.delay.mul_f64(jitter)).max(wire.last);
-        wire.last = at;
-        let round = wire.round;
-        self.at(at, Event::Arrives { to, from, round, frame });
+        let jitter = 1.0 + self.day.network.jitter * self.rng.random::<f64>();
+        let direction = self.direction(from, to);
+        let at = (now + direction.delay.mul_f64(jitter)).max(direction.last_arrival);
+        direction.last_arrival = at;
+        let epoch = direction.epoch;
+        self.schedule(at, Event::FrameArrives { to, from, epoch, frame });
     }
 
-    fn arrives(
+    fn on_frame_arrival(
         &mut self,
         now: Duration,
         to: u16,
         from: u16,
         frame: Vec<u8>,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
         let work = &self.day.processor;
         let (set_up, answer, release) = (work.set_up_ms / 1e3, work.answer_ms / 1e3, work.release_ms / 1e3);
-        let (full, ahead) = (work.full_wait_ms / 1e3, work.answers_first);
+        let (max_wait, answers_first) = (work.full_wait_ms / 1e3, work.answers_first);
         let processor = &mut self.exchanges[usize::from(to) - 1].processor;
         let frame_of = |frame| Payload::Frame { from, frame };
-        match isup(&frame) {
+        match type_and_circuit(&frame) {
             Some((IAM, cic)) => {
-                w.observe(now, Observation::SetUpArrived { office: to, from });
-                if processor.wait(now) > full && !processor.hung {
-                    return self.turn_away(now, to, from, cic);
+                observer.observe(now, Observation::SetUpArrived { office: to, from });
+                if processor.wait(now) > max_wait && !processor.hung {
+                    return self.reject_set_up(now, to, from, cic);
                 }
                 let job = Job { work: set_up, payload: frame_of(frame), set_up: Some((from, cic)) };
                 processor.push(job, false);
@@ -596,184 +611,200 @@
                     REL => release,
                     _ => 0.0,
                 };
-                let behind = match kind {
-                    // They speak of many circuits, and must not overtake a set-up on any of them.
+                let is_after_set_up = match kind {
+                    // They concern many circuits, and must not overtake a set-up on any of them.
                     GRS | GRA | CGB => processor.has_set_up_from(from),
                     _ => processor.has_set_up((from, cic)),
                 };
-                if work == 0.0 && !behind && !processor.hung {
-                    return self.deliver(now, to, from, frame, w, actions);
+                if work == 0.0 && !is_after_set_up && !processor.hung {
+                    return self.deliver_frame(now, to, from, frame, observer, actions);
                 }
-                processor.push(Job { work, payload: frame_of(frame), set_up: None }, ahead && !behind);
+                processor.push(
+                    Job { work, payload: frame_of(frame), set_up: None },
+                    answers_first && !is_after_set_up,
+                );
             }
-            None => return self.deliver(now, to, from, frame, w, actions),
+            None => return self.deliver_frame(now, to, from, frame, observer, actions),
         }
-        self.keep_working(now, to);
+        self.start_next_job(now, to);
     }
 
-    /// A full processor turns a set-up away itself; its controller never sees it.
-    fn turn_away(&mut self, now: Duration, to: u16, from: u16, cic: u16) {
+    /// A full processor rejects a set-up by itself; its controller never sees the set-up.
+    fn reject_set_up(&mut self, now: Duration, to: u16, from: u16, cic: u16) {
         let plan = &self.day.processor;
-        let (work, full, tells) = (plan.turn_away_ms / 1e3, plan.full_wait_ms / 1e3, plan.tells_wait);
+        let (work, max_wait, tells_wait) =
+            (plan.turn_away_ms / 1e3, plan.full_wait_ms / 1e3, plan.tells_wait);
         let processor = &mut self.exchanges[usize::from(to) - 1].processor;
-        let wait = (processor.wait(now) - full * 0.7).max(0.1);
+        let wait = (processor.wait(now) - max_wait * 0.7).max(0.1);
         processor.push(Job { work, payload: Payload::Nothing, set_up: None }, false);
-        self.swallow.insert((from, to, cic));
+        self.hidden_release_completes.insert((from, to, cic));
         let cause = CauseIndicators::new(Location::Local, Q850::Congestion);
-        let rel =
-            Rel { congestion_wait: tells.then(|| seconds(wait)), congestion: Some(2), ..Rel::new(cause) };
+        let rel = Rel {
+            congestion_wait: tells_wait.then(|| seconds(wait)),
+            congestion: Some(2),
+            ..Rel::new(cause)
+        };
         let (mut user, mut frame) = (Vec::new(), Vec::new());
         Message::new(Cic(cic), Body::Rel(rel)).write(&mut user);
         let (opc, dpc) = (u32::from(to), u32::from(from));
         let data =
             ProtocolData { opc, dpc, service: m3ua::ISUP, network: 2, priority: 0, sls: 0, user: &user };
         Frame::Data(data).write(&mut frame);
-        self.on_its_way(now, to, from, frame);
-        self.keep_working(now, to);
+        self.send_frame(now, to, from, frame);
+        self.start_next_job(now, to);
     }
 
-    fn deliver(
+    fn deliver_frame(
         &mut self,
         now: Duration,
         office: u16,
         from: u16,
         frame: Vec<u8>,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        if self.exchanges[usize::from(office) - 1].running && self.wire(office, from).connected {
-            w.observe(now, Observation::FrameReceived { office, from, frame: &frame });
+        if self.exchanges[usize::from(office) - 1].running && self.direction(office, from).connected {
+            observer.observe(now, Observation::FrameReceived { office, from, frame: &frame });
             actions.push(Action::LinkOctets { office, from, octets: frame });
         }
     }
 
-    // Processors.
+    // Processors
 
-    fn keep_working(&mut self, now: Duration, office: u16) {
+    fn start_next_job(&mut self, now: Duration, office: u16) {
         let processor = &mut self.exchanges[usize::from(office) - 1].processor;
-        if let Some(span) = processor.start(now) {
-            let round = processor.round;
-            self.at(now + span, Event::Done { office, round });
+        if let Some(duration) = processor.start(now) {
+            let generation = processor.generation;
+            self.schedule(now + duration, Event::JobDone { office, generation });
         }
     }
 
-    fn done_work(
+    fn on_job_done(
         &mut self,
         now: Duration,
         office: u16,
-        round: u64,
-        w: &mut dyn Observer,
+        generation: u64,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
         let processor = &mut self.exchanges[usize::from(office) - 1].processor;
-        if processor.round != round || processor.hung {
+        if processor.generation != generation || processor.hung {
             return;
         }
         let job = processor.finish();
-        job.into_iter().for_each(|job| self.hand(now, office, job, w, actions));
-        self.keep_working(now, office);
+        job.into_iter().for_each(|job| self.deliver_job(now, office, job, observer, actions));
+        self.start_next_job(now, office);
     }
 
-    fn hand(
+    fn deliver_job(
         &mut self,
         now: Duration,
         office: u16,
         job: Job,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
         match job.payload {
-            Payload::Frame { from, frame } => self.deliver(now, office, from, frame, w, actions),
-            Payload::Offer { caller, offer } => self.deliver_offer(now, caller, offer, w, actions),
+            Payload::Frame { from, frame } => self.deliver_frame(now, office, from, frame, observer, actions),
+            Payload::Offer { caller, offer } => self.deliver_offer(now, caller, offer, observer, actions),
             Payload::Nothing => {}
         }
     }
 
-    /// A try comes to its own exchange's processor. `false`: it is full, or nothing runs there.
+    /// Queues an attempt at the caller's own exchange's processor. `false` if the processor is full or the controller is
+    /// not running.
     pub(crate) fn enqueue_attempt(&mut self, now: Duration, from: u16, caller: u64, offer: Offer) -> bool {
         let plan = &self.day.processor;
-        let (work, full) = (plan.look_ms / 1e3, plan.full_wait_ms / 1e3);
+        let (work, max_wait) = (plan.look_ms / 1e3, plan.full_wait_ms / 1e3);
         let exchange = &mut self.exchanges[usize::from(from) - 1];
-        if !exchange.running || exchange.processor.wait(now) > full {
+        if !exchange.running || exchange.processor.wait(now) > max_wait {
             return false;
         }
         exchange.processor.push(Job { work, payload: Payload::Offer { caller, offer }, set_up: None }, false);
-        self.keep_working(now, from);
+        self.start_next_job(now, from);
         true
     }
 
-    fn report(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn send_processor_reports(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let plan = &self.day.processor;
-        for (no, exchange) in self.exchanges.iter().enumerate().filter(|(_, exchange)| exchange.running) {
+        for (index, exchange) in self.exchanges.iter().enumerate().filter(|(_, exchange)| exchange.running) {
             let wait = exchange.processor.wait(now);
-            let room = (1.0 - wait * 1e3 / plan.full_wait_ms).clamp(0.05, 1.0);
-            let rate = exchange.processor.pace(now) / (plan.set_up_ms / 1e3) * room;
-            actions.push(Action::ProcessorReport { office: no as u16 + 1, rate });
+            let free_share = (1.0 - wait * 1e3 / plan.full_wait_ms).clamp(0.05, 1.0);
+            let rate = exchange.processor.pace(now) / (plan.set_up_ms / 1e3) * free_share;
+            actions.push(Action::ProcessorReport { office: index as u16 + 1, rate });
         }
         if now < self.length {
-            self.at(now + seconds(0.5), Event::Report);
+            self.schedule(now + seconds(0.5), Event::ProcessorReports);
         }
     }
 
-    // The directory.
+    // Directory
 
-    fn directory(&mut self, now: Duration, entry: MemberEntry, started: Duration) {
+    /// Changes an entry of the directory and schedules the update of every controller.
+    fn update_directory(&mut self, now: Duration, entry: MemberEntry, started: Duration) {
         self.version += 1;
         self.entries.insert(entry.exchange, (self.version, entry, started));
         for office in 1..=self.day.exchanges {
-            let [least, most] = self.day.directory.late_ms;
-            let late = seconds((least + (most - least) * self.chance.random::<f64>()) / 1e3) + self.late_by;
+            let [min, max] = self.day.directory.late_ms;
+            let delay = seconds((min + (max - min) * self.rng.random::<f64>()) / 1e3) + self.directory_delay;
             let exchange = &mut self.exchanges[usize::from(office) - 1];
-            let at = (now + late).max(exchange.telling);
-            exchange.telling = at;
+            let at = (now + delay).max(exchange.last_update_arrival);
+            exchange.last_update_arrival = at;
             if exchange.running {
-                self.at(at, Event::Tell { office });
+                self.schedule(at, Event::SendMembership { office });
             }
         }
     }
 
-    fn tell(&mut self, now: Duration, office: u16, w: &mut dyn Observer, actions: &mut Vec<Action>) {
+    /// Sends a controller the entries that changed since the version it has, or all if it has none.
+    fn send_membership(
+        &mut self,
+        now: Duration,
+        office: u16,
+        observer: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
         let exchange = &self.exchanges[usize::from(office) - 1];
         if !exchange.running {
             return;
         }
-        let held = exchange.told;
-        let since = (held > 0).then_some(held);
-        let aged = |(_, entry, started): &(u64, MemberEntry, Duration)| {
+        let delivered_version = exchange.delivered_version;
+        let since = (delivered_version > 0).then_some(delivered_version);
+        let with_age = |(_, entry, started): &(u64, MemberEntry, Duration)| {
             let age = (!started.is_zero()).then(|| now.saturating_sub(*started).as_millis() as u64);
             MemberEntry { age_ms: age, ..*entry }
         };
         let entries: Vec<MemberEntry> =
-            self.entries.values().filter(|entry| entry.0 > held).map(aged).collect();
+            self.entries.values().filter(|entry| entry.0 > delivered_version).map(with_age).collect();
         if entries.is_empty() {
             return;
         }
-        w.observe(
+        observer.observe(
             now,
             Observation::MembershipDelivered { office, is_full: since.is_none(), entries: &entries },
         );
         let news = MembershipUpdate { version: self.version, since, entries };
-        self.exchanges[usize::from(office) - 1].told = self.version;
+        self.exchanges[usize::from(office) - 1].delivered_version = self.version;
         actions.push(Action::Membership { office, news });
     }
 
-    /// A controller turned a version down: it is told all from the start.
+    /// A controller rejected an update: sends it the full list.
     pub fn resend_membership(
         &mut self,
         now: Duration,
         office: u16,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
         if let Some(exchange) = self.exchanges.get_mut(usize::from(office).wrapping_sub(1)) {
-            exchange.told = 0;
-            // A whole list of the version held would be turned down as old.
+            exchange.delivered_version = 0;
+            // The controller would reject a full list of the version it has as outdated.
             self.version += 1;
-            self.tell(now, office, w, actions);
+            self.send_membership(now, office, observer, actions);
         }
     }
 
-    fn standing(&mut self, now: Duration, office: u16, status: MemberStatus, started: Duration) {
+    fn set_member_status(&mut self, now: Duration, office: u16, status: MemberStatus, started: Duration) {
         let exchange = &self.exchanges[usize::from(office) - 1];
         let entry = MemberEntry {
             exchange: exchange.id,
@@ -782,28 +813,40 @@
             status,
             age_ms: None,
         };
-        self.directory(now, entry, started);
+        self.update_directory(now, entry, started);
     }
 
-    // Troubles.
+    // Faults
 
-    /// All of them die before any of their neighbours is told of it.
-    fn kill(&mut self, now: Duration, offices: &[u16], w: &mut dyn Observer, actions: &mut Vec<Action>) {
+    /// Kills controllers: all of them stop before the loss of their links is reported to any other.
+    fn kill_controllers(
+        &mut self,
+        now: Duration,
+        offices: &[u16],
+        observer: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
         let running = |office: &u16| self.exchanges[usize::from(*office) - 1].running;
-        let dying: Vec<u16> = offices.iter().copied().filter(running).collect();
-        for office in &dying {
+        let killed: Vec<u16> = offices.iter().copied().filter(running).collect();
+        for office in &killed {
             self.exchanges[usize::from(*office) - 1].running = false;
-            w.observe(now, Observation::Killed { office: *office });
+            observer.observe(now, Observation::Killed { office: *office });
             actions.push(Action::Kill { office: *office });
         }
-        for office in dying {
+        for office in killed {
             let others: Vec<_> = (1..=self.day.exchanges).filter(|other| *other != office).collect();
-            others.into_iter().for_each(|other| self.break_link(now, office, other, w, actions));
-            self.callers_of_dead(now, office);
+            others.into_iter().for_each(|other| self.break_link(now, office, other, observer, actions));
+            self.cut_standing_calls(now, office);
         }
     }
 
-    fn starts(&mut self, now: Duration, office: u16, w: &mut dyn Observer, actions: &mut Vec<Action>) {
+    fn start_controller(
+        &mut self,
+        now: Duration,
+        office: u16,
+        observer: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
         let exchange = &mut self.exchanges[usize::from(office) - 1];
         if exchange.running {
             return;
@@ -811,35 +854,36 @@
         exchange.incarnation += 1;
         actions.push(Action::Start { office, incarnation: exchange.incarnation * 2 });
         if self.link_mode == LinkMode::InProcess {
-            self.controller_ready(now, office, w, actions);
+            self.controller_ready(now, office, observer, actions);
         }
     }
 
-    /// A controller that was started takes calls from now on.
+    /// A controller that was started accepts calls from now on.
     pub fn controller_ready(
         &mut self,
         now: Duration,
         office: u16,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
         let exchange = &mut self.exchanges[usize::from(office) - 1];
         exchange.running = true;
-        // It comes back with its last list, told anew as a whole.
-        exchange.told = 0;
+        // A restarted controller has its last list, and gets the full list as a new version.
+        exchange.delivered_version = 0;
         self.version += u64::from(exchange.incarnation > 1);
-        w.observe(now, Observation::Started { office });
-        self.tell(now, office, w, actions);
+        observer.observe(now, Observation::Started { office });
+        self.send_membership(now, office, observer, actions);
         for (a, b) in self.in_service.keys().copied().filter(|(a, b)| *a == office || *b == office) {
             let (to, in_service) = (if a == office { b } else { a }, self.in_service[&(a, b)]);
             if in_service < self.groups[&(a, b)] {
                 actions.push(Action::CircuitsInService { office, to, in_service });
             }
         }
-        self.dial_all(now, |a, b| a == office || b == office);
+        self.connect_all(now, |a, b| a == office || b == office);
     }
 
-    fn cold(&mut self, now: Duration, office: u16, w: &mut dyn Observer) {
+    /// An exchange's processor starts cold, with an empty queue and without faults.
+    fn start_cold(&mut self, now: Duration, office: u16, observer: &mut dyn Observer) {
         let rules = &self.day.rules;
         let (share, warm_up) = (rules.cold_share, Duration::from_millis(rules.warm_up_ms));
         let processor = &mut self.exchanges[usize::from(office) - 1].processor;
@@ -847,17 +891,23 @@
         (processor.hung, processor.slowdown, processor.ageing) = (false, 1.0, None);
         processor.cold = Some(ColdStart { started: now, share, warm_up });
         let set_ups = processor.speed / (self.day.processor.set_up_ms / 1e3);
-        w.observe(now, Observation::ColdStart { office, set_ups });
+        observer.observe(now, Observation::ColdStart { office, set_ups });
     }
 
-    /// The old machine stops; the new one starts in its place.
-    fn replaced(&mut self, now: Duration, office: u16, w: &mut dyn Observer, actions: &mut Vec<Action>) {
-        self.kill(now, &[office], w, actions);
-        self.standing(now, office, MemberStatus::Gone, Duration::ZERO);
+    /// Stops an exchange's machine and starts a new one in its place.
+    fn replace_machine(
+        &mut self,
+        now: Duration,
+        office: u16,
+        observer: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
+        self.kill_controllers(now, &[office], observer, actions);
+        self.set_member_status(now, office, MemberStatus::Gone, Duration::ZERO);
         self.exchanges[usize::from(office) - 1].id += 1;
-        self.cold(now, office, w);
-        self.standing(now, office, MemberStatus::Ready, now);
-        self.starts(now, office, w, actions);
+        self.start_cold(now, office, observer);
+        self.set_member_status(now, office, MemberStatus::Ready, now);
+        self.start_controller(now, office, observer, actions);
     }
 
     fn set_circuits(&mut self, a: u16, b: u16, in_service: u16, actions: &mut Vec<Action>) {
@@ -869,59 +919,66 @@
         }
     }
 
-    fn strikes(&mut self, no: usize, which: &FaultTarget) -> Vec<u16> {
-        let struck = match which {
-            FaultTarget::Listed(these) => these.clone(),
+    /// Selects the exchanges that a fault affects, and stores them for the end of the fault.
+    fn select_affected(&mut self, fault: usize, target: &FaultTarget) -> Vec<u16> {
+        let affected = match target {
+            FaultTarget::Listed(exchanges) => exchanges.clone(),
             FaultTarget::Share { share } => {
                 let mut all: Vec<u16> = (1..=self.day.exchanges).collect();
                 let count = (share * f64::from(self.day.exchanges)).round() as usize;
-                let draw = |chance: &mut Pcg64Mcg, all: &mut Vec<u16>| {
-                    all.swap_remove(chance.random_range(0..all.len()))
-                };
-                (0..count.min(all.len())).map(|_| draw(&mut self.chance, &mut all)).collect()
+                let draw =
+                    |rng: &mut Pcg64Mcg, all: &mut Vec<u16>| all.swap_remove(rng.random_range(0..all.len()));
+                (0..count.min(all.len())).map(|_| draw(&mut self.rng, &mut all)).collect()
             }
         };
-        self.struck.insert(no, struck.clone());
-        struck
+        self.affected.insert(fault, affected.clone());
+        affected
     }
 
-    fn crossing(&self, region: usize) -> Vec<(u16, u16)> {
-        let inside = |no: u16| self.exchanges[usize::from(no) - 1].region == region;
+    /// The trunk groups between a region and the others.
+    fn groups_across(&self, region: usize) -> Vec<(u16, u16)> {
+        let inside = |office: u16| self.exchanges[usize::from(office) - 1].region == region;
         self.groups.keys().copied().filter(|(a, b)| inside(*a) != inside(*b)).collect()
     }
 
-    fn begins(&mut self, now: Duration, no: usize, w: &mut dyn Observer, actions: &mut Vec<Action>) {
-        let fault = self.day.faults[no].clone();
-        w.observe(now, Observation::Fault { name: fault.what.name(), begins: true });
+    fn begin_fault(
+        &mut self,
+        now: Duration,
+        index: usize,
+        observer: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
+        let fault = self.day.faults[index].clone();
+        observer.observe(now, Observation::Fault { name: fault.what.name(), begins: true });
         match fault.what {
             Fault::Slow { exchanges, factor } => {
-                for office in self.strikes(no, &exchanges) {
+                for office in self.select_affected(index, &exchanges) {
                     self.exchanges[usize::from(office) - 1].processor.slowdown = factor;
                 }
             }
             Fault::Ageing { exchanges, factor } => {
                 let until = now + seconds(fault.for_s);
-                for office in self.strikes(no, &exchanges) {
+                for office in self.select_affected(index, &exchanges) {
                     self.exchanges[usize::from(office) - 1].processor.ageing = Some((now, until, factor));
                 }
             }
             Fault::Hang { exchanges } => {
-                for office in self.strikes(no, &exchanges) {
+                for office in self.select_affected(index, &exchanges) {
                     self.exchanges[usize::from(office) - 1].processor.hung = true;
                 }
             }
-            Fault::Burst { factor } => self.burst = factor,
+            Fault::Burst { factor } => self.arrival_factor = factor,
             Fault::Crowd { exchange, number, share, .. } => {
                 self.crowd = Some(Crowd { exchange, number, share })
             }
             Fault::RegionCut { region } => {
                 self.cut_regions.push(region);
-                for (a, b) in self.crossing(region) {
-                    self.break_link(now, a, b, w, actions);
+                for (a, b) in self.groups_across(region) {
+                    self.break_link(now, a, b, observer, actions);
                 }
             }
             Fault::CircuitsLost { region, keep } => {
-                for (a, b) in self.crossing(region) {
+                for (a, b) in self.groups_across(region) {
                     let left = (f64::from(self.groups[&(a, b)]) * keep.clamp(0.0, 1.0)).round() as u16;
                     self.set_circuits(a, b, left, actions);
                 }
@@ -930,100 +987,109 @@
                 for (a, b) in self.groups.keys().copied().collect::<Vec<_>>() {
                     let left = (f64::from(self.groups[&(a, b)]) * (1.0 - share)).round() as u16;
                     self.set_circuits(a, b, left.min(self.in_service[&(a, b)]), actions);
-                    self.at(now + seconds(0.3), Event::Back { a, b });
+                    self.schedule(now + seconds(0.3), Event::RestoreCircuits { a, b });
                 }
             }
             Fault::Replaced { exchanges, drain_s } => {
-                for (turn, office) in self.strikes(no, &exchanges).into_iter().enumerate() {
-                    self.standing(now, office, MemberStatus::Draining, Duration::ZERO);
-                    self.at(now + seconds(drain_s + 3.0 * turn as f64), Event::Replaced { office });
+                for (position, office) in self.select_affected(index, &exchanges).into_iter().enumerate() {
+                    self.set_member_status(now, office, MemberStatus::Draining, Duration::ZERO);
+                    self.schedule(
+                        now + seconds(drain_s + 3.0 * position as f64),
+                        Event::ReplaceMachine { office },
+                    );
                 }
             }
             Fault::MassRestart { exchanges } => {
-                let struck = self.strikes(no, &exchanges);
-                self.kill(now, &struck, w, actions);
-                for office in struck {
+                let affected = self.select_affected(index, &exchanges);
+                self.kill_controllers(now, &affected, observer, actions);
+                for office in affected {
                     self.exchanges[usize::from(office) - 1].processor.drain();
-                    self.standing(now, office, MemberStatus::Gone, Duration::ZERO);
+                    self.set_member_status(now, office, MemberStatus::Gone, Duration::ZERO);
                 }
             }
             Fault::ControllersKilled { exchanges } => {
-                let struck = self.strikes(no, &exchanges);
-                self.kill(now, &struck, w, actions);
+                let affected = self.select_affected(index, &exchanges);
+                self.kill_controllers(now, &affected, observer, actions);
             }
-            Fault::DirectoryLate { by_ms } => self.late_by = seconds(by_ms / 1e3),
-            Fault::MessagesLost { share } => self.messages_lost = share,
+            Fault::DirectoryLate { by_ms } => self.directory_delay = seconds(by_ms / 1e3),
+            Fault::MessagesLost { share } => self.message_loss_share = share,
             Fault::RedialAtOnce => self.redial_at_once = true,
             Fault::LinkBreaks { between: [a, b] } => {
-                self.broken.insert(pair(a, b));
-                self.break_link(now, a, b, w, actions);
+                self.broken_links.insert(pair(a, b));
+                self.break_link(now, a, b, observer, actions);
             }
         }
     }
 
-    fn ends(&mut self, now: Duration, no: usize, w: &mut dyn Observer, actions: &mut Vec<Action>) {
-        let fault = self.day.faults[no].clone();
-        w.observe(now, Observation::Fault { name: fault.what.name(), begins: false });
-        let struck = self.struck.remove(&no).unwrap_or_default();
+    fn end_fault(
+        &mut self,
+        now: Duration,
+        index: usize,
+        observer: &mut dyn Observer,
+        actions: &mut Vec<Action>,
+    ) {
+        let fault = self.day.faults[index].clone();
+        observer.observe(now, Observation::Fault { name: fault.what.name(), begins: false });
+        let affected = self.affected.remove(&index).unwrap_or_default();
         match fault.what {
             Fault::Slow { .. } | Fault::Ageing { .. } => {
-                for office in struck {
+                for office in affected {
                     let processor = &mut self.exchanges[usize::from(office) - 1].processor;
                     (processor.slowdown, processor.ageing) = (1.0, None);
                 }
             }
             Fault::Hang { .. } => {
-                for office in struck {
+                for office in affected {
                     let processor = &mut self.exchanges[usize::from(office) - 1].processor;
                     processor.hung = false;
                     for job in processor.drain() {
-                        self.at(now, Event::Hand { office, job });
+                        self.schedule(now, Event::DeliverJob { office, job });
                     }
                 }
             }
-            Fault::Burst { .. } => self.burst = 1.0,
+            Fault::Burst { .. } => self.arrival_factor = 1.0,
             Fault::Crowd { .. } => self.crowd = None,
             Fault::RegionCut { region } => {
                 self.cut_regions.retain(|cut| *cut != region);
-                self.crossing(region).into_iter().for_each(|(a, b)| self.dial_later(now, a, b));
+                self.groups_across(region).into_iter().for_each(|(a, b)| self.connect_later(now, a, b));
             }
             Fault::CircuitsLost { region, .. } => {
-                for (a, b) in self.crossing(region) {
+                for (a, b) in self.groups_across(region) {
                     self.set_circuits(a, b, self.groups[&(a, b)], actions);
                 }
             }
             Fault::MassRestart { .. } => {
-                for office in struck {
-                    self.cold(now, office, w);
-                    self.starts(now, office, w, actions);
-                    self.standing(now, office, MemberStatus::Ready, now);
+                for office in affected {
+                    self.start_cold(now, office, observer);
+                    self.start_controller(now, office, observer, actions);
+                    self.set_member_status(now, office, MemberStatus::Ready, now);
                 }
             }
             Fault::ControllersKilled { .. } => {
-                struck.into_iter().for_each(|office| self.starts(now, office, w, actions))
+                affected.into_iter().for_each(|office| self.start_controller(now, office, observer, actions))
             }
-            Fault::DirectoryLate { .. } => self.late_by = Duration::ZERO,
-            Fault::MessagesLost { .. } => self.messages_lost = 0.0,
+            Fault::DirectoryLate { .. } => self.directory_delay = Duration::ZERO,
+            Fault::MessagesLost { .. } => self.message_loss_share = 0.0,
             Fault::RedialAtOnce => self.redial_at_once = false,
             Fault::LinkBreaks { between: [a, b] } => {
-                self.broken.remove(&pair(a, b));
-                self.dial_later(now, a, b);
+                self.broken_links.remove(&pair(a, b));
+                self.connect_later(now, a, b);
             }
             Fault::MassCut { .. } | Fault::Replaced { .. } => {}
         }
     }
 
-    /// A controller ended by itself, which nothing here asked of it; it is started again.
+    /// A controller ended although no fault of the script killed it. It is started again after 0.5 s.
     pub fn controller_crashed(
         &mut self,
         now: Duration,
         office: u16,
-        w: &mut dyn Observer,
+        observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        self.kill(now, &[office], w, actions);
+        self.kill_controllers(now, &[office], observer, actions);
         actions.retain(|action| *action != Action::Kill { office });
-        self.at(now + seconds(0.5), Event::Starts { office });
+        self.schedule(now + seconds(0.5), Event::StartController { office });
     }
 }
 
@@ -1036,8 +1102,8 @@
 const CGB: u8 = 0x18;
 const PEER: u8 = mintstall_isup::national::PEER_MESSAGE;
 
-/// The type and circuit of the ISUP message in a frame, without reading all of it.
-fn isup(frame: &[u8]) -> Option<(u8, u16)> {
+/// Type and circuit of the ISUP message in a frame, read without the rest of the message.
+fn type_and_circuit(frame: &[u8]) -> Option<(u8, u16)> {
     match Frame::read(frame) {
         Ok(Frame::Data(ProtocolData { service: m3ua::ISUP, user: [low, high, kind, ..], .. })) => {
             Some((*kind, u16::from_le_bytes([*low, *high]) & Cic::MAX))
