--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -146,8 +146,10 @@
     RuleLimits {
         answer_grace_ms: u64 = 250,
         drain_grace_ms: u64 = 2000,
+        /// A cold exchange must not be sent more than this multiple of its capacity within `fall_ms`.
         fall_multiple: f64 = 2.5,
         fall_ms: u64 = 1000,
+        /// Capacity of an exchange that starts cold, as a share of its full capacity, which it has after `warm_up_ms`.
         cold_share: f64 = 0.3,
         warm_up_ms: u64 = 15_000,
         release_wait_ms: u64 = 200,
@@ -175,7 +177,7 @@
 #[schemars(rename = "Which")]
 pub enum FaultTarget {
     Listed(Vec<u16>),
-    /// A share of the exchanges, drawn at random.
+    /// A share of the exchanges, drawn with the day's seed.
     Share {
         share: f64,
     },
@@ -199,7 +201,7 @@
     RegionCut { region: usize },
     /// The trunk groups between a region and the others keep only a share of their circuits.
     CircuitsLost { region: usize, keep: f64 },
-    /// A share of the circuits of each trunk group fails for 0.3 s. Calls on them are cut, and their callers call again.
+    /// A share of the circuits of each trunk group fails for 0.3 s. Calls on them are cut; their callers call again.
     MassCut { share: f64 },
     /// New machines replace old ones, 3 seconds apart. The directory announces each old machine as draining, then as
     /// gone; the new machine starts cold.
@@ -261,7 +263,7 @@
         reject_if(
             self.speeds.iter().any(|speed| !(0.05..=20.0).contains(speed)),
             "speeds".into(),
-            "not all are within 0.05 to 20",
+            "values are not all within 0.05 to 20",
         );
         let clients = &self.clients;
         reject_if(clients.sessions > 10_000, "clients.sessions".into(), "is above 10000");
--- a/crates/emulator/src/processor.rs
+++ b/crates/emulator/src/processor.rs
@@ -58,16 +58,16 @@
 
     /// Seconds of work at speed 1 that the processor does in a second at present.
     pub fn pace(&self, now: Duration) -> f64 {
-        let cold_share = self.cold.map_or(1.0, |cold| {
+        let cold_factor = self.cold.map_or(1.0, |cold| {
             let progress =
                 now.saturating_sub(cold.started).as_secs_f64() / cold.warm_up.as_secs_f64().max(1e-9);
             (cold.share + (1.0 - cold.share) * progress).min(1.0)
         });
-        let ageing = self.ageing.map_or(1.0, |(since, until, factor)| {
+        let ageing_factor = self.ageing.map_or(1.0, |(since, until, factor)| {
             let progress = now.saturating_sub(since).as_secs_f64() / (until - since).as_secs_f64().max(1e-9);
             1.0 + (factor - 1.0) * progress.min(1.0)
         });
-        self.speed * cold_share / (self.slowdown * ageing)
+        self.speed * cold_factor / (self.slowdown * ageing_factor)
     }
 
     /// Seconds until the processor has done its backlog at its present speed.
@@ -98,10 +98,10 @@
             return None;
         }
         let job = self.priority_queue.pop_front().or_else(|| self.queue.pop_front())?;
-        let span = Duration::from_secs_f64((job.work / self.pace(now)).min(1e6));
+        let duration = Duration::from_secs_f64((job.work / self.pace(now)).min(1e6));
         self.current = Some(job);
         self.generation += 1;
-        Some(span)
+        Some(duration)
     }
 
     /// Ends the current job.
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -19,10 +19,10 @@
 use crate::processor::{ColdStart, Job, Payload, Processor};
 use crate::score::Score;
 
-/// Something that the driver does to a controller, in the order of the list.
+/// What happens to a controller. The driver of the simulation carries the actions out in the order of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A controller starts; `incarnation` grows with each start.
+    /// The controller starts; `incarnation` grows with each start.
     Start { office: u16, incarnation: u32 },
     /// The controller is killed without notice.
     Kill { office: u16 },
@@ -142,7 +142,8 @@
     flows: Vec<(u16, u16, f64)>,
     /// Cumulative sums of the calls a second in `flows`, from which a pair is drawn.
     cumulative_rates: Vec<f64>,
-    /// The directory's entries by exchange ID: version of the last change, entry, start time of the processor.
+    /// The directory's entries by exchange ID: version of the last change, entry, start time of the processor (zero if
+    /// the processor started before the day).
     entries: BTreeMap<u32, (u64, MemberEntry, Duration)>,
     version: u64,
     /// Additional delay of the directory's updates due to a fault.
@@ -474,7 +475,7 @@
         held_frames.into_iter().for_each(|frame| self.send_frame(now, to, office, frame));
     }
 
-    /// A controller closed its link to another exchange, or the link was lost.
+    /// A controller closed its link to another exchange, or ended.
     pub fn link_disconnected(
         &mut self,
         now: Duration,
@@ -542,7 +543,7 @@
         while let Ok(Some(frame)) = deframer.next() {
             observer.observe(now, Observation::FrameSent { office, to, frame });
             if type_and_circuit(frame).is_some_and(|(kind, _)| kind == IAM) {
-                // Sending a set-up costs the own processor `set_up_ms`. Only `look_ms` was spent on the call before.
+                // Sending a set-up costs the own processor `set_up_ms`, too. A refused call costs it only `look_ms`.
                 let work = self.day.processor.set_up_ms / 1e3;
                 let job = Job { work, payload: Payload::Nothing, set_up: None };
                 self.exchanges[usize::from(office) - 1].processor.push(job, false);
@@ -711,8 +712,8 @@
         }
     }
 
-    /// Queues an attempt at the caller's own exchange's processor. `false` if the processor is full or the controller is
-    /// not running.
+    /// Queues an attempt at the processor of the caller's own exchange. `false` if the processor is full or the
+    /// controller is not running.
     pub(crate) fn enqueue_attempt(&mut self, now: Duration, from: u16, caller: u64, offer: Offer) -> bool {
         let plan = &self.day.processor;
         let (work, max_wait) = (plan.look_ms / 1e3, plan.full_wait_ms / 1e3);
--- a/crates/isup/src/m3ua.rs
+++ b/crates/isup/src/m3ua.rs
@@ -10,7 +10,11 @@
 pub enum FrameError {
     #[error("frame: version {0}, expected 1")]
     Version(u8),
-    #[error("frame: length {0} is not a multiple of 4 within {min} to {max} octets", min = HEADER_OCTETS, max = MAX_FRAME_OCTETS)]
+    #[error(
+        "frame: length {0} is not a multiple of 4 within {min} to {max} octets",
+        min = HEADER_OCTETS,
+        max = MAX_FRAME_OCTETS
+    )]
     Length(u32),
     #[error("frame: parameter {tag:#06x} has the wrong length")]
     Parameter { tag: u16 },
--- a/crates/isup/tests/round_trips.rs
+++ b/crates/isup/tests/round_trips.rs
@@ -57,7 +57,8 @@
     fn initial_addresses_read_back_as_written(
         fixed in any::<(u8, [u8; 2], u8, u8)>(), called in number(), calling in proptest::option::of(number()),
         map in proptest::option::of(0u32..1 << 31), hops in proptest::option::of(0u8..32),
-        identity in proptest::option::of(identity()), unknown in unknown_parameters(), cic in 0u16..4096,
+        identity in proptest::option::of(identity()), unknown in unknown_parameters(),
+        cic in 0u16..4096,
     ) {
         let (nature, forward, category, medium) = fixed;
         let unknown_parameters = unknown.iter().map(|(code, contents)| (*code, &contents[..])).collect();
@@ -69,7 +70,8 @@
     #[test]
     fn releases_read_back_as_written(
         value in 0u8..128, location in 0u8..16, congestion in any::<Option<u8>>(), wait in any::<Option<u32>>(),
-        next_exchange_full in any::<Option<bool>>(), report in proptest::option::of(report()), unknown in unknown_parameters(),
+        next_exchange_full in any::<Option<bool>>(), report in proptest::option::of(report()),
+        unknown in unknown_parameters(),
     ) {
         let location = match location { 0 => Location::User, 2 => Location::Local, 3 => Location::Transit,
             4 => Location::Remote, other => Location::Other(other) };
@@ -124,7 +126,9 @@
     }
 
     #[test]
-    fn a_stream_split_anywhere_gives_the_same_frames(cuts in vec(0usize..200, 0..6), user in vec(any::<u8>(), 0..60)) {
+    fn a_stream_split_anywhere_gives_the_same_frames(
+        cuts in vec(0usize..200, 0..6), user in vec(any::<u8>(), 0..60),
+    ) {
         let data = ProtocolData { opc: 3, dpc: 9, service: m3ua::ISUP, network: 2, priority: 0, sls: 7, user: &user };
         let frames = [Frame::AspUp { asp: Some(4) }, Frame::Data(data), Frame::Heartbeat(b"12345"), Frame::AspActiveAck];
         let mut stream = Vec::new();
