--- a/crates/isup/src/national.rs
+++ b/crates/isup/src/national.rs
@@ -45,8 +45,8 @@
     pub next_exchange_full: bool,
 }
 
-/// The call that a set-up belongs to, for tandems and for the laboratory's rule checker. A tandem passes it on with a new
-/// `time_left_ms`, and otherwise unchanged.
+/// The call that a set-up belongs to, for tandems and for the laboratory's rule checker. A tandem passes it on with
+/// a new `time_left_ms`, and otherwise unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallIdentity {
     /// The exchange that received the call from its caller.
