--- a/crates/planner/src/analysis.rs
+++ b/crates/planner/src/analysis.rs
@@ -1,4 +1,5 @@
-//! What saturates first as a fleet grows, and what a loss of exchanges does to the rest.
+//! The order in which groups and processors saturate as traffic grows, the sizes that a goal needs, what a loss of exchanges does to
+//! the rest, and a comparison of two fleets. Each question is answered by solving the `model`, often many times.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,155 +7,165 @@
 use crate::model::{Solution, solve};
 use crate::multirate::kaufman_roberts;
 
-/// What can be full.
+/// A group or processor that can saturate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Bottleneck {
     Group { between: [u16; 2] },
     Processor { exchange: u16 },
 }
 
-/// A limit and the growth at which it is reached.
+/// A bottleneck and the growth of the traffic at which it saturates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SaturationPoint {
-    pub limit: Bottleneck,
+    pub bottleneck: Bottleneck,
     pub growth: f64,
 }
 
-/// Which limits are reached: groups that block more than `most_blocked` of any call type, processors offered more than they can do.
-fn reached(solution: &Solution, most_blocked: f64) -> BTreeSet<Bottleneck> {
-    let full =
-        solution.groups.iter().filter(|group| group.blocked.iter().any(|blocked| *blocked > most_blocked));
-    let groups = full.map(|group| Bottleneck::Group { between: group.between });
-    let over = solution.processors.iter().filter(|of| of.load > 1.0);
-    groups.chain(over.map(|of| Bottleneck::Processor { exchange: of.exchange })).collect()
+/// The saturated bottlenecks: groups that block a larger share than `max_blocking` of any call type, and processors that are offered
+/// more work than they can do.
+fn saturated(solution: &Solution, max_blocking: f64) -> BTreeSet<Bottleneck> {
+    let full_groups =
+        solution.groups.iter().filter(|group| group.blocked.iter().any(|blocked| *blocked > max_blocking));
+    let groups = full_groups.map(|group| Bottleneck::Group { between: group.between });
+    let overloaded = solution.processors.iter().filter(|processor| processor.load > 1.0);
+    let processors = overloaded.map(|processor| Bottleneck::Processor { exchange: processor.exchange });
+    groups.chain(processors).collect()
 }
 
-/// Limits in the order in which growth reaches them, from `least` to `most` times the traffic, to within `step`.
+/// Bottlenecks in the order in which growth of the traffic saturates them, from `min_growth` to `max_growth` in steps of at most `step`
+/// (at least 0.001, and at most 10,000 steps).
 ///
-/// `told`: how far it has come, from nought to one.
+/// `on_progress` is called after each step with the share of the work done, from 0 to 1.
 pub fn saturation_points(
     fleet: &Fleet,
-    most_blocked: f64,
-    [least, most]: [f64; 2],
+    max_blocking: f64,
+    [min_growth, max_growth]: [f64; 2],
     step: f64,
-    told: &mut dyn FnMut(f64),
+    on_progress: &mut dyn FnMut(f64),
 ) -> Vec<SaturationPoint> {
-    let steps = ((most - least) / step.max(1e-3)).ceil().clamp(1.0, 10_000.0) as u32;
-    let mut found: BTreeMap<Bottleneck, f64> = BTreeMap::new();
-    for at in 0..=steps {
-        let growth = least + (most - least) * f64::from(at) / f64::from(steps);
-        let now = reached(&solve(&fleet.grown(growth)).low_blocking, most_blocked);
-        now.into_iter().for_each(|limit| _ = found.entry(limit).or_insert(growth));
-        told(f64::from(at) / f64::from(steps));
+    let steps = ((max_growth - min_growth) / step.max(1e-3)).ceil().clamp(1.0, 10_000.0) as u32;
+    let mut first_growth: BTreeMap<Bottleneck, f64> = BTreeMap::new();
+    for number in 0..=steps {
+        let growth = min_growth + (max_growth - min_growth) * f64::from(number) / f64::from(steps);
+        let bottlenecks = saturated(&solve(&fleet.with_growth(growth)).low_blocking, max_blocking);
+        bottlenecks.into_iter().for_each(|bottleneck| _ = first_growth.entry(bottleneck).or_insert(growth));
+        on_progress(f64::from(number) / f64::from(steps));
     }
-    let mut all: Vec<_> =
-        found.into_iter().map(|(limit, growth)| SaturationPoint { limit, growth }).collect();
-    all.sort_by(|a, b| a.growth.total_cmp(&b.growth).then(a.limit.cmp(&b.limit)));
-    all
+    let mut points: Vec<_> =
+        first_growth.into_iter().map(|(bottleneck, growth)| SaturationPoint { bottleneck, growth }).collect();
+    points.sort_by(|a, b| a.growth.total_cmp(&b.growth).then(a.bottleneck.cmp(&b.bottleneck)));
+    points
 }
 
-/// What a loss of exchanges does.
+/// The effect of a loss of exchanges.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lost {
-    /// Share of the traffic that came from or went to them.
-    pub gone: f64,
-    /// Share of the rest that stands before and after.
-    pub before: f64,
-    pub after: f64,
-    /// Whether the rest may stay jammed.
-    pub jams: bool,
-    /// Limits of the rest that are reached now and were not before.
-    pub reached: Vec<Bottleneck>,
+pub struct LossEffect {
+    /// Share of all traffic that came from or went to the lost exchanges.
+    pub lost_traffic_share: f64,
+    /// Share of first tries that is answered in the whole fleet before the loss.
+    pub answered_before: f64,
+    /// Share of first tries that is answered among the remaining exchanges after the loss.
+    pub answered_after: f64,
+    /// Whether the remaining exchanges have a second equilibrium with high blocking, in which they may stay.
+    pub may_stay_jammed: bool,
+    /// Bottlenecks that are saturated after the loss and were not before.
+    pub newly_saturated: Vec<Bottleneck>,
 }
 
-/// Loses exchanges, with so many times the callers' redials (1: as ever), as when all dial again early.
-pub fn lose(fleet: &Fleet, lost: &BTreeSet<u16>, redials: f64, most_blocked: f64) -> Lost {
+/// Works out the loss of the exchanges `lost`. `redial_factor` multiplies the callers' redials after the loss (1: as before), as when
+/// all callers redial early.
+pub fn loss_effect(fleet: &Fleet, lost: &BTreeSet<u16>, redial_factor: f64, max_blocking: f64) -> LossEffect {
     let mut rest = fleet.without(lost);
-    let all = |fleet: &Fleet| fleet.traffic.iter().map(|of| of.per_s).sum::<f64>();
-    let gone = if all(fleet) > 0.0 { 1.0 - all(&rest) / all(fleet) } else { 0.0 };
+    let traffic_per_s = |fleet: &Fleet| fleet.traffic.iter().map(|pair| pair.per_s).sum::<f64>();
+    let lost_traffic_share =
+        if traffic_per_s(fleet) > 0.0 { 1.0 - traffic_per_s(&rest) / traffic_per_s(fleet) } else { 0.0 };
     let before = solve(fleet).low_blocking;
-    let most = f64::from(rest.redials.most) * redials.max(0.0);
-    rest.redials.most = most.round().min(255.0) as u8;
+    let max_redials = f64::from(rest.redials.most) * redial_factor.max(0.0);
+    rest.redials.most = max_redials.round().min(255.0) as u8;
     let after = solve(&rest);
-    let known = reached(&before, most_blocked);
-    let new = reached(&after.low_blocking, most_blocked).into_iter().filter(|limit| !known.contains(limit));
-    Lost {
-        gone,
-        before: before.stood,
-        after: after.low_blocking.stood,
-        jams: after.high_blocking.is_some(),
-        reached: new.collect(),
+    let saturated_before = saturated(&before, max_blocking);
+    let newly_saturated = saturated(&after.low_blocking, max_blocking)
+        .into_iter()
+        .filter(|bottleneck| !saturated_before.contains(bottleneck));
+    LossEffect {
+        lost_traffic_share,
+        answered_before: before.answered_share,
+        answered_after: after.low_blocking.answered_share,
+        may_stay_jammed: after.high_blocking.is_some(),
+        newly_saturated: newly_saturated.collect(),
     }
 }
 
-/// A group and the circuits it needs.
+/// The circuits that a group has and those that it needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sized {
+pub struct GroupSize {
     pub between: [u16; 2],
     pub circuits: u16,
     pub needed: u16,
 }
 
-/// Rounds of sizing and solving again: what one group takes over changes what others are offered.
-const SIZINGS: u32 = 20;
+/// Rounds of sizing all groups and solving again. Each round changes what groups overflow to each other.
+const MAX_SIZING_ROUNDS: u32 = 20;
 
-/// The fewest circuits on each group at which no call type is blocked more than this, none taken away. The second: whether it
-/// came to rest.
-pub fn size_groups(fleet: &Fleet, most_blocked: f64) -> (Vec<Sized>, bool) {
+/// The fewest circuits of each group at which no call type is blocked more than `max_blocking`. No group gets fewer circuits than it
+/// has. The second value says whether the sizes settled.
+pub fn size_groups(fleet: &Fleet, max_blocking: f64) -> (Vec<GroupSize>, bool) {
     let mut sized = fleet.clone();
     let types = fleet.call_types.len();
-    let mut at_rest = false;
-    for _ in 0..SIZINGS {
+    let mut settled = false;
+    for _ in 0..MAX_SIZING_ROUNDS {
         let solution = solve(&sized).low_blocking;
-        at_rest = true;
+        settled = true;
         for (group, state) in sized.groups.iter_mut().zip(&solution.groups) {
-            let fits = |circuits: u16| {
+            let suffices = |circuits: u16| {
                 let blocked = kaufman_roberts(circuits, &state.offered).blocked;
-                blocked.iter().take(types).all(|blocked| *blocked <= most_blocked)
+                blocked.iter().take(types).all(|blocked| *blocked <= max_blocking)
             };
-            if fits(group.circuits) {
+            if suffices(group.circuits) {
                 continue;
             }
-            at_rest = false;
-            let (mut low, mut high) = (group.circuits, MOST_CIRCUITS);
+            settled = false;
+            let (mut low, mut high) = (group.circuits, MAX_CIRCUITS_PER_GROUP);
             while high - low > 1 {
                 let middle = low.midpoint(high);
-                match fits(middle) {
+                match suffices(middle) {
                     true => high = middle,
                     false => low = middle,
                 }
             }
             group.circuits = high;
         }
-        if at_rest {
+        if settled {
             break;
         }
     }
-    let both = fleet.groups.iter().zip(&sized.groups);
-    let all =
-        both.map(|(was, is)| Sized { between: was.between, circuits: was.circuits, needed: is.circuits });
-    (all.collect(), at_rest)
+    let pairs = fleet.groups.iter().zip(&sized.groups);
+    let sizes = pairs.map(|(present, sized)| GroupSize {
+        between: present.between,
+        circuits: present.circuits,
+        needed: sized.circuits,
+    });
+    (sizes.collect(), settled)
 }
 
-/// As many as one group can have here.
-const MOST_CIRCUITS: u16 = 3968;
+const MAX_CIRCUITS_PER_GROUP: u16 = 3968;
 
-/// How many times as fast all processors must be for this share of first tries to stand. `None`: no speed helps, the groups
-/// are too small.
+/// The factor on the speed of all processors with which the share `goal` of first tries is answered. `None`: even a factor of 64 does
+/// not suffice, the groups are too small.
 pub fn size_processors(fleet: &Fleet, goal: f64) -> Option<f64> {
-    let stood = |times: f64| {
+    let answered_share = |factor: f64| {
         let mut faster = fleet.clone();
-        faster.exchanges.iter_mut().for_each(|of| of.speed *= times);
-        solve(&faster).low_blocking.stood
+        faster.exchanges.iter_mut().for_each(|exchange| exchange.speed *= factor);
+        solve(&faster).low_blocking.answered_share
     };
     let (mut low, mut high) = (0.0, 64.0);
-    if stood(high) < goal {
+    if answered_share(high) < goal {
         return None;
     }
-    // To a thousandth: speeds are not known better.
+    // Speeds are not known more exactly than to a thousandth.
     while high - low > 1e-3 * high {
         let middle = f64::midpoint(low, high);
-        match middle > 0.0 && stood(middle) >= goal {
+        match middle > 0.0 && answered_share(middle) >= goal {
             true => high = middle,
             false => low = middle,
         }
@@ -162,47 +173,53 @@
     Some(high)
 }
 
-/// Two descriptions side by side.
+/// A comparison of two fleets.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Compared {
-    /// Share of first tries that stands in each.
-    pub stood: [f64; 2],
-    /// Limits reached in the one alone, and in the other alone.
-    pub only: [Vec<Bottleneck>; 2],
-    /// Groups of both, by how much more the second blocks of any call type; those that differ, most first.
-    pub blocked: Vec<([u16; 2], f64)>,
-    /// Processors of both, by how much more the second is offered over what it can do.
-    pub loads: Vec<(u16, f64)>,
+pub struct Comparison {
+    /// Share of first tries that is answered in each.
+    pub answered_share: [f64; 2],
+    /// Bottlenecks that are saturated in the first fleet only, and in the second only.
+    pub saturated_only_in: [Vec<Bottleneck>; 2],
+    /// Groups of both fleets with the blocking of their worst call type in the second minus that in the first; the largest
+    /// differences first, without those that are equal.
+    pub blocking_differences: Vec<([u16; 2], f64)>,
+    /// Processors of both fleets with their load in the second minus that in the first, in the same order.
+    pub load_differences: Vec<(u16, f64)>,
 }
 
-/// Differences below this are none.
-const NO_DIFFERENCE: f64 = 1e-4;
+/// Values that differ by no more than this count as equal.
+const MAX_EQUAL_DIFFERENCE: f64 = 1e-4;
 
-pub fn compare(one: &Fleet, other: &Fleet, most_blocked: f64) -> Compared {
-    let solved = [solve(one).low_blocking, solve(other).low_blocking];
-    let [here, there] = [&solved[0], &solved[1]].map(|solution| reached(solution, most_blocked));
-    let worst = |solution: &Solution| -> BTreeMap<[u16; 2], f64> {
-        let of = |blocked: &[f64]| blocked.iter().copied().fold(0.0, f64::max);
+pub fn compare(first: &Fleet, second: &Fleet, max_blocking: f64) -> Comparison {
+    let solutions = [solve(first).low_blocking, solve(second).low_blocking];
+    let [in_first, in_second] =
+        [&solutions[0], &solutions[1]].map(|solution| saturated(solution, max_blocking));
+    let worst_blocking = |solution: &Solution| -> BTreeMap<[u16; 2], f64> {
+        let worst = |blocked: &[f64]| blocked.iter().copied().fold(0.0, f64::max);
         let ends = |[a, b]: [u16; 2]| [a.min(b), a.max(b)];
-        solution.groups.iter().map(|group| (ends(group.between), of(&group.blocked))).collect()
+        solution.groups.iter().map(|group| (ends(group.between), worst(&group.blocked))).collect()
     };
-    let load = |solution: &Solution| -> BTreeMap<u16, f64> {
-        solution.processors.iter().map(|of| (of.exchange, of.load)).collect()
+    let loads = |solution: &Solution| -> BTreeMap<u16, f64> {
+        solution.processors.iter().map(|processor| (processor.exchange, processor.load)).collect()
     };
-    Compared {
-        stood: [solved[0].stood, solved[1].stood],
-        only: [here.difference(&there).copied().collect(), there.difference(&here).copied().collect()],
-        blocked: differences(&worst(&solved[0]), &worst(&solved[1])),
-        loads: differences(&load(&solved[0]), &load(&solved[1])),
+    Comparison {
+        answered_share: [solutions[0].answered_share, solutions[1].answered_share],
+        saturated_only_in: [
+            in_first.difference(&in_second).copied().collect(),
+            in_second.difference(&in_first).copied().collect(),
+        ],
+        blocking_differences: differences(&worst_blocking(&solutions[0]), &worst_blocking(&solutions[1])),
+        load_differences: differences(&loads(&solutions[0]), &loads(&solutions[1])),
     }
 }
 
-/// What is in both, by how much more the second has; the largest differences first.
-fn differences<K: Ord + Copy>(one: &BTreeMap<K, f64>, other: &BTreeMap<K, f64>) -> Vec<(K, f64)> {
-    let both = one.iter().filter_map(|(key, was)| Some((*key, other.get(key)? - was)));
-    let mut all: Vec<_> = both.filter(|(_, more)| more.abs() > NO_DIFFERENCE).collect();
-    all.sort_by(|a, b| b.1.abs().total_cmp(&a.1.abs()).then(a.0.cmp(&b.0)));
-    all
+/// The second value minus the first for each key that is in both maps; the largest differences first.
+fn differences<K: Ord + Copy>(first: &BTreeMap<K, f64>, second: &BTreeMap<K, f64>) -> Vec<(K, f64)> {
+    let in_both = first.iter().filter_map(|(key, value)| Some((*key, second.get(key)? - value)));
+    let mut differences: Vec<_> =
+        in_both.filter(|(_, difference)| difference.abs() > MAX_EQUAL_DIFFERENCE).collect();
+    differences.sort_by(|a, b| b.1.abs().total_cmp(&a.1.abs()).then(a.0.cmp(&b.0)));
+    differences
 }
 
 #[cfg(test)]
@@ -210,7 +227,7 @@
     use super::*;
     use crate::fleet::{CallType, Exchange, Group, Redials, Traffic, Work};
 
-    /// Four exchanges in two regions; one group is small, one processor slow.
+    /// Four exchanges in two regions. The group between 1 and 2 is small, the processor of 4 is slow.
     fn fleet() -> Fleet {
         let exchange = |no: u16| Exchange {
             exchange: no,
@@ -239,25 +256,25 @@
     }
 
     #[test]
-    fn limits_are_reached_in_the_order_of_their_room() {
+    fn bottlenecks_saturate_in_the_order_of_their_spare_capacity() {
         assert_eq!(fleet().validation_errors(), Vec::<String>::new());
-        let mut told = Vec::new();
-        let order = saturation_points(&fleet(), 0.05, [0.5, 6.0], 0.25, &mut |share| told.push(share));
-        assert_eq!(order[0].limit, Bottleneck::Group { between: [1, 2] }, "{order:?}");
+        let mut progress = Vec::new();
+        let order = saturation_points(&fleet(), 0.05, [0.5, 6.0], 0.25, &mut |share| progress.push(share));
+        assert_eq!(order[0].bottleneck, Bottleneck::Group { between: [1, 2] }, "{order:?}");
         let processors: Vec<_> =
-            order.iter().filter(|of| matches!(of.limit, Bottleneck::Processor { .. })).collect();
-        assert_eq!(processors[0].limit, Bottleneck::Processor { exchange: 4 }, "{order:?}");
+            order.iter().filter(|point| matches!(point.bottleneck, Bottleneck::Processor { .. })).collect();
+        assert_eq!(processors[0].bottleneck, Bottleneck::Processor { exchange: 4 }, "{order:?}");
         assert!(processors[0].growth < 4.0 && order.windows(2).all(|pair| pair[0].growth <= pair[1].growth));
-        assert_eq!((told.first(), told.last()), (Some(&0.0), Some(&1.0)));
+        assert_eq!((progress.first(), progress.last()), (Some(&0.0), Some(&1.0)));
     }
 
     #[test]
-    fn sized_groups_lose_no_more_than_wanted_and_not_much_less() {
-        let (sized, at_rest) = size_groups(&fleet().grown(2.0), 0.01);
-        let needed = |between: [u16; 2]| sized.iter().find(|of| of.between == between).unwrap();
-        assert!(at_rest && needed([1, 2]).needed > 24, "{sized:?}");
-        assert_eq!(needed([3, 4]).needed, 62, "enough already");
-        let mut fleet = fleet().grown(2.0);
+    fn sized_groups_meet_the_blocking_limit_with_few_spare_circuits() {
+        let (sized, settled) = size_groups(&fleet().with_growth(2.0), 0.01);
+        let needed = |between: [u16; 2]| sized.iter().find(|group| group.between == between).unwrap();
+        assert!(settled && needed([1, 2]).needed > 24, "{sized:?}");
+        assert_eq!(needed([3, 4]).needed, 62, "the present circuits suffice");
+        let mut fleet = fleet().with_growth(2.0);
         fleet.groups[0].circuits = needed([1, 2]).needed;
         assert!(solve(&fleet).low_blocking.groups[0].blocked[0] <= 0.01);
         fleet.groups[0].circuits -= 2;
@@ -265,54 +282,57 @@
     }
 
     #[test]
-    fn processors_are_sized_for_a_goal_that_groups_allow() {
-        let pressed = fleet().grown(4.0);
-        let mut wide = pressed.clone();
-        wide.groups.iter_mut().for_each(|group| group.circuits = 310);
-        let before = solve(&wide).low_blocking.stood;
-        let times = size_processors(&wide, 0.98).unwrap();
-        assert!(before < 0.95 && times > 1.2 && times < 6.0, "{before}, {times}");
-        let mut narrow = pressed;
-        narrow.groups.iter_mut().for_each(|group| group.circuits = 4);
-        assert_eq!(size_processors(&narrow, 0.98), None);
+    fn processors_are_sized_for_a_goal_unless_the_groups_are_too_small() {
+        let loaded = fleet().with_growth(4.0);
+        let mut large_groups = loaded.clone();
+        large_groups.groups.iter_mut().for_each(|group| group.circuits = 310);
+        let before = solve(&large_groups).low_blocking.answered_share;
+        let factor = size_processors(&large_groups, 0.98).unwrap();
+        assert!(before < 0.95 && factor > 1.2 && factor < 6.0, "{before}, {factor}");
+        let mut small_groups = loaded;
+        small_groups.groups.iter_mut().for_each(|group| group.circuits = 4);
+        assert_eq!(size_processors(&small_groups, 0.98), None);
     }
 
     #[test]
-    fn two_fleets_are_compared_by_what_differs() {
-        let (one, mut other) = (fleet().grown(2.0), fleet().grown(2.0));
-        assert_eq!(compare(&one, &one, 0.02).blocked, []);
+    fn a_comparison_lists_only_the_differences_of_two_fleets() {
+        let (one, mut other) = (fleet().with_growth(2.0), fleet().with_growth(2.0));
+        assert_eq!(compare(&one, &one, 0.02).blocking_differences, []);
         other.groups[0].circuits = 62;
         let compared = compare(&one, &other, 0.02);
-        assert!(compared.stood[1] > compared.stood[0], "{compared:?}");
-        assert_eq!(compared.only, [vec![Bottleneck::Group { between: [1, 2] }], vec![]]);
-        assert!(compared.blocked[0].0 == [1, 2] && compared.blocked[0].1 < -0.1, "{compared:?}");
+        assert!(compared.answered_share[1] > compared.answered_share[0], "{compared:?}");
+        assert_eq!(compared.saturated_only_in, [vec![Bottleneck::Group { between: [1, 2] }], vec![]]);
+        assert!(
+            compared.blocking_differences[0].0 == [1, 2] && compared.blocking_differences[0].1 < -0.1,
+            "{compared:?}"
+        );
     }
 
     #[test]
-    fn a_region_lost_takes_its_traffic_along_and_leaves_the_rest() {
+    fn losing_a_region_removes_its_traffic_and_keeps_the_rest_connected() {
         let fleet = fleet();
-        let lost = lose(&fleet, &fleet.regions()["south"], 2.0, 0.05);
-        // Only the pair of 1 and 2 is left of six.
-        assert!((lost.gone - 5.0 / 6.0).abs() < 1e-9, "{lost:?}");
-        // It has its small group alone now: no tandem is left.
-        assert!(lost.after < lost.before && lost.after > 0.5, "{lost:?}");
+        let effect = loss_effect(&fleet, &fleet.regions()["south"], 2.0, 0.05);
+        // Of six pairs only that of 1 and 2 is left.
+        assert!((effect.lost_traffic_share - 5.0 / 6.0).abs() < 1e-9, "{effect:?}");
+        // This pair has only its small direct group: no tandem is left.
+        assert!(effect.answered_after < effect.answered_before && effect.answered_after > 0.5, "{effect:?}");
     }
 
     #[test]
-    fn each_fault_of_a_description_has_its_place() {
+    fn each_validation_error_names_its_place() {
         let mut bad = fleet();
         bad.groups[1].between = [1, 9];
         bad.call_types[0].share = 0.5;
         bad.traffic[0].per_s = f64::NAN;
         bad.exchanges[3].exchange = 1;
-        let faults = bad.validation_errors().join("\n");
+        let errors = bad.validation_errors().join("\n");
         for place in [
             "groups[1].between: there is no exchange 9",
-            "call_types: their shares make 0.5",
+            "call_types: the shares add up to 0.5",
             "traffic[0].per_s",
-            "exchanges[3].exchange: 1 is named",
+            "exchanges[3].exchange: 1 is already in use",
         ] {
-            assert!(faults.contains(place), "{faults}");
+            assert!(errors.contains(place), "{errors}");
         }
     }
 }
--- a/crates/planner/src/fleet.rs
+++ b/crates/planner/src/fleet.rs
@@ -1,25 +1,25 @@
-//! The description of a fleet: exchanges, groups, what is offered between them, and how callers behave.
+//! The description of a fleet: exchanges, groups, the traffic offered between exchanges, and how callers redial.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A fleet. Times are seconds or milliseconds as their names say.
+/// A fleet. Names ending in `_s` are seconds, those ending in `_ms` are milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
     pub exchanges: Vec<Exchange>,
     pub groups: Vec<Group>,
     pub call_types: Vec<CallType>,
-    /// First tries a second from one exchange to another, of all call types together.
+    /// First tries a second from one exchange to another, over all call types.
     pub traffic: Vec<Traffic>,
     #[serde(default)]
     pub redials: Redials,
     #[serde(default)]
     pub work: Work,
-    /// Circuits of a tandem's first leg that are left to direct calls.
-    #[serde(default = "reserved")]
+    /// Circuits that calls over a tandem leave free on the first leg, reserved for direct calls.
+    #[serde(default = "default_reserved")]
     pub reserved: u16,
 }
 
@@ -29,8 +29,8 @@
     pub exchange: u16,
     #[serde(default)]
     pub region: String,
-    /// Of its processor, 1 being that on which the work was measured.
-    #[serde(default = "one")]
+    /// Speed of the processor, relative to the one on which `work` was measured.
+    #[serde(default = "default_speed")]
     pub speed: f64,
 }
 
@@ -45,9 +45,10 @@
 #[serde(deny_unknown_fields)]
 pub struct CallType {
     pub name: String,
-    /// Of all first tries.
+    /// Share of all first tries.
     pub share: f64,
-    #[serde(default = "one_circuit")]
+    /// Circuits that each call takes.
+    #[serde(default = "default_width")]
     pub width: u16,
     pub hold_s: f64,
 }
@@ -60,13 +61,13 @@
     pub per_s: f64,
 }
 
-/// Callers whose call does not stand.
+/// Redials of callers whose call is not answered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Redials {
-    /// Share of them that dials again.
+    /// Share of these callers that redial.
     pub share: f64,
-    /// How often at most.
+    /// Redials of one caller at most.
     pub most: u8,
 }
 
@@ -76,13 +77,13 @@
     }
 }
 
-/// What a processor does for a call, milliseconds at speed 1.
+/// Processor time for each call, milliseconds at speed 1.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Work {
-    /// For a caller's try, at its own exchange.
+    /// For a try, at the caller's own exchange.
     pub look_ms: f64,
-    /// For a set-up that arrives, at a tandem or a destination.
+    /// For a set-up that arrives at a tandem or at the destination.
     pub set_up_ms: f64,
     pub answer_ms: f64,
     pub release_ms: f64,
@@ -94,87 +95,111 @@
     }
 }
 
-fn one() -> f64 {
+fn default_speed() -> f64 {
     1.0
 }
 
-fn one_circuit() -> u16 {
+fn default_width() -> u16 {
     1
 }
 
-fn reserved() -> u16 {
+fn default_reserved() -> u16 {
     2
 }
 
 impl Fleet {
-    /// Every fault, each with its place.
+    /// All errors of the description, each with its place.
     pub fn validation_errors(&self) -> Vec<String> {
-        let mut found = Vec::new();
-        let mut say = |wrong: bool, place: String, why: String| {
+        let mut errors = Vec::new();
+        let mut check = |wrong: bool, place: String, why: String| {
             if wrong {
-                found.push(format!("{place}: {why}"));
+                errors.push(format!("{place}: {why}"));
             }
         };
-        let above = |value: f64| value > 0.0 && value.is_finite();
-        let share = |value: f64| (0.0..=1.0).contains(&value);
-        let mut known = BTreeSet::new();
-        say(!(2..=1000).contains(&self.exchanges.len()), "exchanges".into(), "are not 2 to 1000".into());
-        for (at, of) in self.exchanges.iter().enumerate() {
-            let place = format!("exchanges[{at}]");
-            say(
-                !known.insert(of.exchange),
+        let is_positive = |value: f64| value > 0.0 && value.is_finite();
+        let is_share = |value: f64| (0.0..=1.0).contains(&value);
+        let mut numbers = BTreeSet::new();
+        check(
+            !(2..=1000).contains(&self.exchanges.len()),
+            "exchanges".into(),
+            "there must be 2 to 1000".into(),
+        );
+        for (index, exchange) in self.exchanges.iter().enumerate() {
+            let place = format!("exchanges[{index}]");
+            check(
+                !numbers.insert(exchange.exchange),
                 format!("{place}.exchange"),
-                format!("{} is named before", of.exchange),
+                format!("{} is already in use", exchange.exchange),
+            );
+            check(
+                !is_positive(exchange.speed),
+                format!("{place}.speed"),
+                format!("{} is not a finite number above 0", exchange.speed),
             );
-            say(!above(of.speed), format!("{place}.speed"), format!("{} is not above 0", of.speed));
         }
         let mut pairs = BTreeSet::new();
-        for (at, group) in self.groups.iter().enumerate() {
-            let (place, [a, b]) = (format!("groups[{at}]"), group.between);
+        for (index, group) in self.groups.iter().enumerate() {
+            let (place, [a, b]) = (format!("groups[{index}]"), group.between);
             for end in [a, b] {
-                say(!known.contains(&end), format!("{place}.between"), format!("there is no exchange {end}"));
+                check(
+                    !numbers.contains(&end),
+                    format!("{place}.between"),
+                    format!("there is no exchange {end}"),
+                );
             }
-            say(a == b, format!("{place}.between"), "both ends are the same".into());
-            say(
+            check(a == b, format!("{place}.between"), "both ends are the same".into());
+            check(
                 !pairs.insert((a.min(b), a.max(b))),
                 format!("{place}.between"),
-                "has a group already".into(),
+                "there is already a group between these exchanges".into(),
             );
-            say(
+            check(
                 group.circuits > 3968,
                 format!("{place}.circuits"),
-                format!("{} are more than 3968", group.circuits),
+                format!("{} is more than 3968", group.circuits),
             );
         }
-        say(self.call_types.is_empty(), "call_types".into(), "are missing".into());
-        for (at, of) in self.call_types.iter().enumerate() {
-            let place = format!("call_types[{at}]");
-            say(!share(of.share), format!("{place}.share"), format!("{} is no share", of.share));
-            say(
-                !(1..=31).contains(&of.width),
+        check(self.call_types.is_empty(), "call_types".into(), "there must be at least one".into());
+        for (index, call_type) in self.call_types.iter().enumerate() {
+            let place = format!("call_types[{index}]");
+            check(
+                !is_share(call_type.share),
+                format!("{place}.share"),
+                format!("{} is not a share from 0 to 1", call_type.share),
+            );
+            check(
+                !(1..=31).contains(&call_type.width),
                 format!("{place}.width"),
-                format!("{} is not within 1 to 31", of.width),
+                format!("{} is not within 1 to 31", call_type.width),
+            );
+            check(
+                !is_positive(call_type.hold_s),
+                format!("{place}.hold_s"),
+                format!("{} is not a finite number above 0", call_type.hold_s),
             );
-            say(!above(of.hold_s), format!("{place}.hold_s"), format!("{} is not above 0", of.hold_s));
         }
-        let whole: f64 = self.call_types.iter().map(|of| of.share).sum();
-        say((whole - 1.0).abs() > 1e-6, "call_types".into(), format!("their shares make {whole}, not 1"));
-        for (at, of) in self.traffic.iter().enumerate() {
-            let place = format!("traffic[{at}]");
-            for end in [of.from, of.to] {
-                say(!known.contains(&end), place.clone(), format!("there is no exchange {end}"));
+        let total: f64 = self.call_types.iter().map(|call_type| call_type.share).sum();
+        check(
+            (total - 1.0).abs() > 1e-6,
+            "call_types".into(),
+            format!("the shares add up to {total}, not 1"),
+        );
+        for (index, traffic) in self.traffic.iter().enumerate() {
+            let place = format!("traffic[{index}]");
+            for end in [traffic.from, traffic.to] {
+                check(!numbers.contains(&end), place.clone(), format!("there is no exchange {end}"));
             }
-            say(of.from == of.to, place.clone(), "both ends are the same".into());
-            say(
-                !(of.per_s >= 0.0 && of.per_s.is_finite()),
+            check(traffic.from == traffic.to, place.clone(), "both ends are the same".into());
+            check(
+                !(traffic.per_s >= 0.0 && traffic.per_s.is_finite()),
                 format!("{place}.per_s"),
-                format!("{} is below 0", of.per_s),
+                format!("{} is not a finite number of at least 0", traffic.per_s),
             );
         }
-        say(
-            !share(self.redials.share),
+        check(
+            !is_share(self.redials.share),
             "redials.share".into(),
-            format!("{} is no share", self.redials.share),
+            format!("{} is not a share from 0 to 1", self.redials.share),
         );
         let work = [
             ("look_ms", self.work.look_ms),
@@ -183,32 +208,36 @@
             ("release_ms", self.work.release_ms),
         ];
         for (name, ms) in work {
-            say(!(ms >= 0.0 && ms.is_finite()), format!("work.{name}"), format!("{ms} is below 0"));
+            check(
+                !(ms >= 0.0 && ms.is_finite()),
+                format!("work.{name}"),
+                format!("{ms} is not a finite number of at least 0"),
+            );
         }
-        found
+        errors
     }
 
-    /// Without some exchanges: their groups go, and so does what came from or went to them.
+    /// The fleet without the exchanges `lost`, their groups and the traffic from and to them.
     pub fn without(&self, lost: &BTreeSet<u16>) -> Self {
         let mut fleet = self.clone();
-        fleet.exchanges.retain(|of| !lost.contains(&of.exchange));
+        fleet.exchanges.retain(|exchange| !lost.contains(&exchange.exchange));
         fleet.groups.retain(|group| group.between.iter().all(|end| !lost.contains(end)));
-        fleet.traffic.retain(|of| !lost.contains(&of.from) && !lost.contains(&of.to));
+        fleet.traffic.retain(|traffic| !lost.contains(&traffic.from) && !lost.contains(&traffic.to));
         fleet
     }
 
-    /// With so many times the traffic.
-    pub fn grown(&self, times: f64) -> Self {
+    /// The fleet with its traffic multiplied by `factor`.
+    pub fn with_growth(&self, factor: f64) -> Self {
         let mut fleet = self.clone();
-        fleet.traffic.iter_mut().for_each(|of| of.per_s *= times);
+        fleet.traffic.iter_mut().for_each(|traffic| traffic.per_s *= factor);
         fleet
     }
 
-    /// Exchanges of each region.
+    /// The exchanges of each region.
     pub fn regions(&self) -> BTreeMap<&str, BTreeSet<u16>> {
         let mut regions: BTreeMap<&str, BTreeSet<u16>> = BTreeMap::new();
-        for of in &self.exchanges {
-            regions.entry(&of.region).or_default().insert(of.exchange);
+        for exchange in &self.exchanges {
+            regions.entry(&exchange.region).or_default().insert(exchange.exchange);
         }
         regions
     }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,15 +1,16 @@
-//! Capacity planning, without I/O: what a fleet carries, and what breaks first as it grows or loses exchanges.
+//! Capacity planning without I/O: the traffic that a fleet carries, and which groups and processors saturate first as traffic grows
+//! or exchanges are lost.
 //!
 //! | file | holds |
 //! | --- | --- |
 //! | `erlang` | Erlang's loss formula and its inverses |
-//! | `multirate` | calls of several widths on one group: Kaufman and Roberts, with circuits kept back |
-//! | `fleet` | the description of a fleet, every fault found with its place |
-//! | `model` | loads and losses of all groups and processors together, by fixed points |
-//! | `analysis` | what saturates first, what a loss of exchanges does |
-//! | `call_log` | what controllers saw, as files of lines |
-//! | `call_log_writer` | what is written to such a file, bounded |
-//! | `traffic_matrix` | a traffic matrix from these, with how sure it is |
+//! | `multirate` | blocking of calls of several widths on one group (Kaufman and Roberts), with reserved circuits |
+//! | `fleet` | the description of a fleet and its validation |
+//! | `model` | loads and losses of all groups and processors together, by fixed-point iteration |
+//! | `analysis` | saturation order, sizing, loss of exchanges, comparison of two fleets |
+//! | `call_log` | call logs of controllers: their records, and reading them |
+//! | `call_log_writer` | the records to be written to call logs, with bounded queue and files |
+//! | `traffic_matrix` | a traffic matrix estimated from call logs, with confidence intervals |
 
 pub mod analysis;
 pub mod call_log;
@@ -21,8 +22,8 @@
 pub mod traffic_matrix;
 
 pub use analysis::{
-    Bottleneck, Compared, Lost, SaturationPoint, Sized, compare, lose, saturation_points, size_groups,
-    size_processors,
+    Bottleneck, Comparison, GroupSize, LossEffect, SaturationPoint, compare, loss_effect, saturation_points,
+    size_groups, size_processors,
 };
 pub use fleet::Fleet;
 pub use model::{Equilibria, Solution, solve};
--- a/crates/planner/src/model.rs
+++ b/crates/planner/src/model.rs
@@ -1,302 +1,328 @@
-//! Loads and losses of all groups and processors together, by fixed points.
+//! Loads and losses of all groups and processors of a fleet together, by fixed-point iteration.
 //!
-//! Each group is in balance with what is offered to it (`multirate`), thinned by what the other groups and processors of a way lose
-//! (the reduced-load approximation; Kelly, 1986). A call goes direct, else over a tandem whose first leg has room beyond the
-//! circuits kept back, drawn by how much is free there; callers whose call does not stand dial again; a processor that is offered
-//! more than it can do takes its share. All is turned round, half of the way at a time, until nothing moves. Routing with a choice
-//! can have two balances, one free and one jammed (Akinpelu, 1984): both starts are tried, and both ends told.
+//! Each group is in equilibrium with the traffic offered to it (`multirate`), reduced by what the other groups and processors on the
+//! route lose (the reduced-load approximation; Kelly, 1986). A call goes direct, else over a tandem whose first leg has more free
+//! circuits than the reserved ones; the tandem is drawn by the number of free circuits there. Callers whose call is not answered
+//! redial. A processor that is offered more work than it can do accepts a share of it. In each round every loss moves half-way to its
+//! new value, until no loss moves any more. Alternative routing can have two equilibria, one with low and one with high blocking
+//! (Akinpelu, 1984): the iteration starts from an empty and from a full fleet, and both results are reported.
 //!
-//! Not in it: further attempts after a failed one (what stands is a little more), room in pieces for wide calls, the time of day.
+//! The model leaves out further attempts after a failed seizure (slightly more calls are answered in practice), free circuits that
+//! are scattered so that a wide call finds no room, and the time of day.
 
 use std::collections::BTreeMap;
 
 use crate::fleet::Fleet;
 use crate::multirate::{Stream, kaufman_roberts};
 
-/// A group in balance.
+/// A group in equilibrium.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupState {
     pub between: [u16; 2],
     pub circuits: u16,
-    /// Share of each call type's direct calls that find no room.
+    /// Share of direct calls that find no room, by call type.
     pub blocked: Vec<f64>,
-    /// Circuits taken on average.
-    pub taken: f64,
-    /// What is offered to it, direct calls by type and then first legs to tandems by type.
+    /// Mean number of occupied circuits.
+    pub mean_occupied: f64,
+    /// Offered traffic: direct calls and second legs by call type, then first legs to tandems by call type.
     pub offered: Vec<Stream>,
-    /// Of each call type's calls over this group as a first leg.
-    beyond: Vec<f64>,
+    /// Share of calls that find no room when this group is their first leg to a tandem, by call type.
+    first_leg_blocked: Vec<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessorState {
     pub exchange: u16,
-    /// Work offered over what it can do: above 1 it takes its share.
+    /// Offered work over capacity; above 1 the processor accepts only a share of it.
     pub load: f64,
 }
 
-/// One balance of the fleet.
+/// One equilibrium of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Solution {
     pub groups: Vec<GroupState>,
     pub processors: Vec<ProcessorState>,
-    /// Share of first tries whose caller stands in the end, of all and by call type.
-    pub stood: f64,
-    pub stood_by_type: Vec<f64>,
-    /// Tries over first tries, and share of what stands that goes over a tandem.
-    pub tries: f64,
-    pub detours: f64,
-    /// Rounds until nothing moved; `None`: it still moved by so much at the last.
-    pub rounds: Result<u32, f64>,
+    /// Share of first tries whose call is answered in the end, if need be after redials.
+    pub answered_share: f64,
+    pub answered_share_by_type: Vec<f64>,
+    pub tries_per_first_try: f64,
+    /// Share of the answered calls that go over a tandem.
+    pub detour_share: f64,
+    /// The number of rounds after which the iteration converged, or the largest move of the last round if it did not.
+    pub convergence: Result<u32, f64>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Equilibria {
-    /// From an empty fleet.
+    /// The iteration starts from an empty fleet.
     pub low_blocking: Solution,
-    /// From a full one, where that ends elsewhere: the fleet can be in either.
+    /// The iteration starts from a full fleet. Present if it ends in another equilibrium: the fleet can be in either.
     pub high_blocking: Option<Solution>,
 }
 
-/// Rounds at most, and what counts as no move.
-const ROUNDS: u32 = 400;
-const STILL: f64 = 1e-7;
-/// What overflows less than this is not followed over tandems.
-const NOTHING: f64 = 1e-9;
-/// Balances that differ less are one.
-const SAME: f64 = 1e-3;
+const MAX_ROUNDS: u32 = 400;
+/// The iteration has converged when no loss moves by more than this in a round.
+const CONVERGED_MOVE: f64 = 1e-7;
+/// Overflow of a direct group below this rate is not routed over tandems.
+const MIN_OVERFLOW_PER_S: f64 = 1e-9;
+/// Two solutions whose answered shares differ by no more than this are the same equilibrium.
+const SAME_EQUILIBRIUM: f64 = 1e-3;
 
-/// Works out a fleet without faults.
+/// Solves a fleet that has no validation errors.
 pub fn solve(fleet: &Fleet) -> Equilibria {
     let low_blocking = Model::new(fleet, 0.0).run();
-    let full = Model::new(fleet, 0.95).run();
-    let apart = (low_blocking.stood - full.stood).abs() > SAME;
-    Equilibria { low_blocking, high_blocking: apart.then_some(full) }
+    let from_full = Model::new(fleet, 0.95).run();
+    let differ = (low_blocking.answered_share - from_full.answered_share).abs() > SAME_EQUILIBRIUM;
+    Equilibria { low_blocking, high_blocking: differ.then_some(from_full) }
 }
 
 struct Model<'a> {
     fleet: &'a Fleet,
-    /// Places of groups by their ends, the lower first.
-    places: BTreeMap<(u16, u16), usize>,
-    /// Who has a group with whom.
+    /// Index in `groups` by the two ends, the lower number first.
+    group_index: BTreeMap<(u16, u16), usize>,
+    /// Exchanges to which an exchange has a group.
     neighbours: BTreeMap<u16, Vec<u16>>,
     groups: Vec<GroupState>,
-    /// Share of what it is offered that each processor takes, and its load.
-    taking: BTreeMap<u16, f64>,
-    loads: BTreeMap<u16, f64>,
-    /// By place in `traffic` and call type: share of tries that do not stand.
-    lost: Vec<Vec<f64>>,
+    /// Share of the offered work that each processor accepts.
+    accepted_share: BTreeMap<u16, f64>,
+    processor_loads: BTreeMap<u16, f64>,
+    /// Share of tries that are not answered, by index in `traffic` and call type.
+    lost_share: Vec<Vec<f64>>,
 }
 
-/// What one round offers.
+/// The traffic of one round.
 struct Round {
-    /// By group and call type: calls at a time of direct and second legs, and of first legs.
-    direct: Vec<Vec<f64>>,
-    first: Vec<Vec<f64>>,
-    work: BTreeMap<u16, f64>,
-    tries: f64,
-    firsts: f64,
-    detoured: f64,
-    carried: f64,
-    stood: Vec<f64>,
-    wanted: Vec<f64>,
+    /// Erlangs of direct calls and second legs, by group and call type.
+    direct_erlangs: Vec<Vec<f64>>,
+    /// Erlangs of first legs to tandems, by group and call type.
+    first_leg_erlangs: Vec<Vec<f64>>,
+    /// Milliseconds of work at speed 1 for each second, by exchange.
+    work_ms: BTreeMap<u16, f64>,
+    tries_per_s: f64,
+    first_tries_per_s: f64,
+    detoured_per_s: f64,
+    answered_per_s: f64,
+    answered_per_s_by_type: Vec<f64>,
+    first_tries_per_s_by_type: Vec<f64>,
 }
 
 impl<'a> Model<'a> {
-    fn new(fleet: &'a Fleet, start: f64) -> Self {
+    /// All losses start at `initial_loss`.
+    fn new(fleet: &'a Fleet, initial_loss: f64) -> Self {
         let types = fleet.call_types.len();
-        let mut places = BTreeMap::new();
+        let mut group_index = BTreeMap::new();
         let mut neighbours: BTreeMap<u16, Vec<u16>> = BTreeMap::new();
-        for (place, group) in fleet.groups.iter().enumerate() {
+        for (index, group) in fleet.groups.iter().enumerate() {
             let [a, b] = group.between;
-            places.insert((a.min(b), a.max(b)), place);
+            group_index.insert((a.min(b), a.max(b)), index);
             neighbours.entry(a).or_default().push(b);
             neighbours.entry(b).or_default().push(a);
         }
-        let state = |group: &crate::fleet::Group| GroupState {
+        let initial_state = |group: &crate::fleet::Group| GroupState {
             between: group.between,
             circuits: group.circuits,
-            blocked: vec![start; types],
-            beyond: vec![start; types],
-            taken: f64::from(group.circuits) * start,
+            blocked: vec![initial_loss; types],
+            first_leg_blocked: vec![initial_loss; types],
+            mean_occupied: f64::from(group.circuits) * initial_loss,
             offered: Vec::new(),
         };
         Self {
             fleet,
-            places,
+            group_index,
             neighbours,
-            groups: fleet.groups.iter().map(state).collect(),
-            taking: fleet.exchanges.iter().map(|of| (of.exchange, 1.0)).collect(),
-            loads: BTreeMap::new(),
-            lost: vec![vec![start; types]; fleet.traffic.len()],
+            groups: fleet.groups.iter().map(initial_state).collect(),
+            accepted_share: fleet.exchanges.iter().map(|exchange| (exchange.exchange, 1.0)).collect(),
+            processor_loads: BTreeMap::new(),
+            lost_share: vec![vec![initial_loss; types]; fleet.traffic.len()],
         }
     }
 
     fn run(mut self) -> Solution {
-        let mut moved = f64::MAX;
-        for round in 1..=ROUNDS {
-            let offered = self.offer();
-            moved = self.settle(&offered);
-            if moved < STILL {
-                return self.solution(&offered, Ok(round));
+        let mut largest_move = f64::MAX;
+        for number in 1..=MAX_ROUNDS {
+            let round = self.offer_traffic();
+            largest_move = self.update_losses(&round);
+            if largest_move < CONVERGED_MOVE {
+                return self.solution(&round, Ok(number));
             }
         }
-        let offered = self.offer();
-        self.solution(&offered, Err(moved))
+        let round = self.offer_traffic();
+        self.solution(&round, Err(largest_move))
     }
 
-    fn place(&self, a: u16, b: u16) -> Option<usize> {
-        self.places.get(&(a.min(b), a.max(b))).copied()
+    fn group_between(&self, a: u16, b: u16) -> Option<usize> {
+        self.group_index.get(&(a.min(b), a.max(b))).copied()
     }
 
-    fn taken_at(&self, exchange: u16) -> f64 {
-        self.taking.get(&exchange).copied().unwrap_or(0.0)
+    fn accepted_share_at(&self, exchange: u16) -> f64 {
+        self.accepted_share.get(&exchange).copied().unwrap_or(0.0)
     }
 
-    /// What goes where with the losses as they are; the losses of each pair are brought up to date on the way.
-    fn offer(&mut self) -> Round {
+    /// Offers all traffic to groups and processors under the present losses, and moves the lost share of each pair.
+    fn offer_traffic(&mut self) -> Round {
         let types = self.fleet.call_types.len();
         let mut round = Round {
-            direct: vec![vec![0.0; types]; self.groups.len()],
-            first: vec![vec![0.0; types]; self.groups.len()],
-            work: BTreeMap::new(),
-            tries: 0.0,
-            firsts: 0.0,
-            detoured: 0.0,
-            carried: 0.0,
-            stood: vec![0.0; types],
-            wanted: vec![0.0; types],
+            direct_erlangs: vec![vec![0.0; types]; self.groups.len()],
+            first_leg_erlangs: vec![vec![0.0; types]; self.groups.len()],
+            work_ms: BTreeMap::new(),
+            tries_per_s: 0.0,
+            first_tries_per_s: 0.0,
+            detoured_per_s: 0.0,
+            answered_per_s: 0.0,
+            answered_per_s_by_type: vec![0.0; types],
+            first_tries_per_s_by_type: vec![0.0; types],
         };
-        for at in 0..self.fleet.traffic.len() {
-            let of = &self.fleet.traffic[at];
-            if of.per_s <= 0.0 {
+        for pair in 0..self.fleet.traffic.len() {
+            let traffic = &self.fleet.traffic[pair];
+            if traffic.per_s <= 0.0 {
                 continue;
             }
-            let ends = self.taken_at(of.from) * self.taken_at(of.to);
+            let accepted = self.accepted_share_at(traffic.from) * self.accepted_share_at(traffic.to);
             for kind in 0..types {
                 let call_type = &self.fleet.call_types[kind];
-                let first_tries = of.per_s * call_type.share;
-                let again = self.fleet.redials.share * self.lost[at][kind];
-                let tries: f64 = (0..=i32::from(self.fleet.redials.most)).map(|k| again.powi(k)).sum::<f64>()
-                    * first_tries;
-                *round.work.entry(of.from).or_default() += tries * self.fleet.work.look_ms;
-                let sent = tries * ends;
-                let stands = self.way(at, kind, sent, &mut round);
-                let lost = if tries > 0.0 { 1.0 - (stands / tries).min(1.0) } else { 0.0 };
-                round.tries += tries;
-                round.firsts += first_tries;
-                round.carried += stands;
-                round.wanted[kind] += first_tries;
-                round.stood[kind] += stands;
-                self.lost[at][kind] = self.lost[at][kind].midpoint(lost);
+                let first_tries = traffic.per_s * call_type.share;
+                let redial_share = self.fleet.redials.share * self.lost_share[pair][kind];
+                let tries: f64 =
+                    (0..=i32::from(self.fleet.redials.most)).map(|k| redial_share.powi(k)).sum::<f64>()
+                        * first_tries;
+                *round.work_ms.entry(traffic.from).or_default() += tries * self.fleet.work.look_ms;
+                let sent = tries * accepted;
+                let answered = self.route(pair, kind, sent, &mut round);
+                let lost = if tries > 0.0 { 1.0 - (answered / tries).min(1.0) } else { 0.0 };
+                round.tries_per_s += tries;
+                round.first_tries_per_s += first_tries;
+                round.answered_per_s += answered;
+                round.first_tries_per_s_by_type[kind] += first_tries;
+                round.answered_per_s_by_type[kind] += answered;
+                self.lost_share[pair][kind] = self.lost_share[pair][kind].midpoint(lost);
             }
         }
         round
     }
 
-    /// Sends calls of one pair and type, a second; returns how many stand.
-    fn way(&self, at: usize, kind: usize, sent: f64, round: &mut Round) -> f64 {
-        let of = &self.fleet.traffic[at];
-        let hold = self.fleet.call_types[kind].hold_s;
-        let direct = self.place(of.from, of.to).filter(|place| self.groups[*place].circuits > 0);
-        let blocked = direct.map_or(1.0, |place| self.groups[place].blocked[kind]);
-        let mut stands = 0.0;
-        if let Some(place) = direct {
-            round.direct[place][kind] += sent * hold;
-            stands += sent * (1.0 - blocked);
-            self.arrives(of.to, sent * (1.0 - blocked), round);
+    /// Routes `sent` calls a second of one pair and type, direct and over tandems; returns how many of them are answered.
+    fn route(&self, pair: usize, kind: usize, sent: f64, round: &mut Round) -> f64 {
+        let traffic = &self.fleet.traffic[pair];
+        let hold_s = self.fleet.call_types[kind].hold_s;
+        let direct =
+            self.group_between(traffic.from, traffic.to).filter(|group| self.groups[*group].circuits > 0);
+        let blocked = direct.map_or(1.0, |group| self.groups[group].blocked[kind]);
+        let mut answered = 0.0;
+        if let Some(group) = direct {
+            round.direct_erlangs[group][kind] += sent * hold_s;
+            answered += sent * (1.0 - blocked);
+            self.add_set_up_work(traffic.to, sent * (1.0 - blocked), round);
         }
-        let over = sent * blocked;
-        if over < NOTHING {
-            return stands;
+        let overflow = sent * blocked;
+        if overflow < MIN_OVERFLOW_PER_S {
+            return answered;
         }
-        // Tandems with a group to both ends: which has room behind its first leg, and how much.
+        // Tandems with a group to both ends and room on their first leg, each with the probability that it takes a call and with
+        // its weight in the choice.
         let none = Vec::new();
-        let beside = self.neighbours.get(&of.from).unwrap_or(&none);
-        let legs = beside.iter().filter(|tandem| **tandem != of.to).filter_map(|tandem| {
-            let (one, two) = (self.place(of.from, *tandem)?, self.place(*tandem, of.to)?);
-            let open = (1.0 - self.groups[one].beyond[kind]) * self.taken_at(*tandem);
-            let room = f64::from(self.groups[one].circuits) - self.groups[one].taken;
-            (open > 0.0 && room > 0.0).then_some((*tandem, one, two, open, open * room))
+        let neighbours = self.neighbours.get(&traffic.from).unwrap_or(&none);
+        let tandems = neighbours.iter().filter(|tandem| **tandem != traffic.to).filter_map(|tandem| {
+            let first_leg = self.group_between(traffic.from, *tandem)?;
+            let second_leg = self.group_between(*tandem, traffic.to)?;
+            let open =
+                (1.0 - self.groups[first_leg].first_leg_blocked[kind]) * self.accepted_share_at(*tandem);
+            let room = f64::from(self.groups[first_leg].circuits) - self.groups[first_leg].mean_occupied;
+            (open > 0.0 && room > 0.0).then_some((*tandem, first_leg, second_leg, open, open * room))
         });
-        let legs: Vec<_> = legs.collect();
-        let all_shut: f64 = legs.iter().map(|(.., open, _)| 1.0 - open).product();
-        let weight: f64 = legs.iter().map(|(.., weight)| weight).sum();
-        for (tandem, one, two, _, of_this) in legs {
-            let goes = over * (1.0 - all_shut) * of_this / weight;
-            let through = 1.0 - self.groups[two].blocked[kind];
-            // What the second leg loses holds nothing on the first; what the first has let on is offered to the second. The
-            // first leg is offered what it would let on: its own blocking is in who chose it.
-            let open = (1.0 - self.groups[one].beyond[kind]).max(1e-6);
-            round.first[one][kind] += goes * through / open * hold;
-            round.direct[two][kind] += goes * hold;
-            self.arrives(tandem, goes, round);
-            self.arrives(of.to, goes * through, round);
-            stands += goes * through;
-            round.detoured += goes * through;
+        let tandems: Vec<_> = tandems.collect();
+        let all_closed: f64 = tandems.iter().map(|(.., open, _)| 1.0 - open).product();
+        let total_weight: f64 = tandems.iter().map(|(.., weight)| weight).sum();
+        for (tandem, first_leg, second_leg, _, weight) in tandems {
+            let to_tandem = overflow * (1.0 - all_closed) * weight / total_weight;
+            let second_leg_passes = 1.0 - self.groups[second_leg].blocked[kind];
+            // Calls that the second leg loses hold no circuit on the first leg; all calls that passed the first leg are offered to
+            // the second. `to_tandem` counts calls that passed the first leg, since the choice of the tandem includes its
+            // blocking: the division turns them back into offered calls.
+            let first_leg_passes = (1.0 - self.groups[first_leg].first_leg_blocked[kind]).max(1e-6);
+            round.first_leg_erlangs[first_leg][kind] +=
+                to_tandem * second_leg_passes / first_leg_passes * hold_s;
+            round.direct_erlangs[second_leg][kind] += to_tandem * hold_s;
+            self.add_set_up_work(tandem, to_tandem, round);
+            self.add_set_up_work(traffic.to, to_tandem * second_leg_passes, round);
+            answered += to_tandem * second_leg_passes;
+            round.detoured_per_s += to_tandem * second_leg_passes;
         }
-        stands
+        answered
     }
 
-    fn arrives(&self, exchange: u16, per_s: f64, round: &mut Round) {
+    /// Adds the work of `per_s` calls a second that arrive at a tandem or a destination.
+    fn add_set_up_work(&self, exchange: u16, per_s: f64, round: &mut Round) {
         let work = &self.fleet.work;
-        *round.work.entry(exchange).or_default() +=
+        *round.work_ms.entry(exchange).or_default() +=
             per_s * (work.set_up_ms + work.answer_ms + work.release_ms);
     }
 
-    /// Half of the way to the balance with what is offered; returns the largest move.
-    fn settle(&mut self, offered: &Round) -> f64 {
-        let mut moved: f64 = 0.0;
-        let mut step = |was: &mut f64, is: f64| {
-            moved = moved.max((is - *was).abs());
-            *was = was.midpoint(is);
+    /// Moves the losses of groups and processors half-way to their equilibrium with the traffic of a round; returns the largest
+    /// difference between an old and a new value.
+    fn update_losses(&mut self, round: &Round) -> f64 {
+        let mut largest_move: f64 = 0.0;
+        let mut move_half_way = |value: &mut f64, target: f64| {
+            largest_move = largest_move.max((target - *value).abs());
+            *value = value.midpoint(target);
         };
-        for (place, group) in self.groups.iter_mut().enumerate() {
-            let stream = |erlangs: f64, width: u16, leaves: u16| Stream { erlangs, width, leaves };
+        for (index, group) in self.groups.iter_mut().enumerate() {
+            let stream = |erlangs: f64, width: u16, reserved: u16| Stream { erlangs, width, reserved };
             let types = &self.fleet.call_types;
-            let direct =
-                types.iter().zip(&offered.direct[place]).map(|(of, load)| stream(*load, of.width, 0));
-            let first = types.iter().zip(&offered.first[place]);
-            let first = first.map(|(of, load)| stream(*load, of.width, self.fleet.reserved));
-            let streams: Vec<Stream> = direct.chain(first).collect();
-            let found = kaufman_roberts(group.circuits, &streams);
-            let (blocked, beyond) = found.blocked.split_at(types.len());
-            group.blocked.iter_mut().zip(blocked).for_each(|(was, is)| step(was, *is));
-            group.beyond.iter_mut().zip(beyond).for_each(|(was, is)| step(was, *is));
-            group.taken = group.taken.midpoint(found.taken);
+            let direct = types
+                .iter()
+                .zip(&round.direct_erlangs[index])
+                .map(|(call_type, erlangs)| stream(*erlangs, call_type.width, 0));
+            let first_legs = types.iter().zip(&round.first_leg_erlangs[index]);
+            let first_legs =
+                first_legs.map(|(call_type, erlangs)| stream(*erlangs, call_type.width, self.fleet.reserved));
+            let streams: Vec<Stream> = direct.chain(first_legs).collect();
+            let equilibrium = kaufman_roberts(group.circuits, &streams);
+            let (blocked, first_leg_blocked) = equilibrium.blocked.split_at(types.len());
+            group.blocked.iter_mut().zip(blocked).for_each(|(value, target)| move_half_way(value, *target));
+            let first_leg_values = group.first_leg_blocked.iter_mut().zip(first_leg_blocked);
+            first_leg_values.for_each(|(value, target)| move_half_way(value, *target));
+            group.mean_occupied = group.mean_occupied.midpoint(equilibrium.mean_occupied);
             group.offered = streams;
         }
-        for of in &self.fleet.exchanges {
-            let work = offered.work.get(&of.exchange).copied().unwrap_or(0.0) / 1e3;
-            // What is offered has been thinned by what it takes already: its whole load is what came before that.
-            let taking = self.taking.entry(of.exchange).or_insert(1.0);
-            let load = work / of.speed;
-            self.loads.insert(of.exchange, load / taking.max(1e-6));
-            let wanted = (*taking / load.max(1e-9)).min(1.0);
-            step(taking, wanted);
+        for exchange in &self.fleet.exchanges {
+            let work = round.work_ms.get(&exchange.exchange).copied().unwrap_or(0.0) / 1e3;
+            // The work of the round is already reduced by the accepted share: dividing by that share gives the whole load.
+            let accepted = self.accepted_share.entry(exchange.exchange).or_insert(1.0);
+            let load = work / exchange.speed;
+            self.processor_loads.insert(exchange.exchange, load / accepted.max(1e-6));
+            let target = (*accepted / load.max(1e-9)).min(1.0);
+            move_half_way(accepted, target);
         }
-        moved
+        largest_move
     }
 
-    fn solution(self, offered: &Round, rounds: Result<u32, f64>) -> Solution {
+    fn solution(self, round: &Round, convergence: Result<u32, f64>) -> Solution {
         let share = |part: f64, whole: f64| if whole > 0.0 { (part / whole).min(1.0) } else { 1.0 };
-        let processors = self.fleet.exchanges.iter().map(|of| ProcessorState {
-            exchange: of.exchange,
-            load: self.loads.get(&of.exchange).copied().unwrap_or(0.0),
+        let processors = self.fleet.exchanges.iter().map(|exchange| ProcessorState {
+            exchange: exchange.exchange,
+            load: self.processor_loads.get(&exchange.exchange).copied().unwrap_or(0.0),
         });
         Solution {
             processors: processors.collect(),
-            stood: share(offered.carried, offered.firsts),
-            stood_by_type: offered
-                .stood
+            answered_share: share(round.answered_per_s, round.first_tries_per_s),
+            answered_share_by_type: round
+                .answered_per_s_by_type
                 .iter()
-                .zip(&offered.wanted)
-                .map(|(stood, wanted)| share(*stood, *wanted))
+                .zip(&round.first_tries_per_s_by_type)
+                .map(|(answered, first_tries)| share(*answered, *first_tries))
                 .collect(),
-            tries: if offered.firsts > 0.0 { offered.tries / offered.firsts } else { 1.0 },
-            detours: if offered.carried > 0.0 { offered.detoured / offered.carried } else { 0.0 },
+            tries_per_first_try: if round.first_tries_per_s > 0.0 {
+                round.tries_per_s / round.first_tries_per_s
+            } else {
+                1.0
+            },
+            detour_share: if round.answered_per_s > 0.0 {
+                round.detoured_per_s / round.answered_per_s
+            } else {
+                0.0
+            },
             groups: self.groups,
-            rounds,
+            convergence,
         }
     }
 }
@@ -306,7 +332,7 @@
     use super::*;
     use crate::fleet::{CallType, Exchange, Group, Redials, Traffic, Work};
 
-    /// A full mesh with the same traffic on each pair, each way.
+    /// A full mesh with the same traffic in both directions of each pair; `erlangs` is the sum of both.
     pub(crate) fn mesh(exchanges: u16, circuits: u16, erlangs: f64) -> Fleet {
         let all = 1..=exchanges;
         let pairs = || all.clone().flat_map(move |a| (a + 1..=exchanges).map(move |b| (a, b)));
@@ -326,80 +352,90 @@
     }
 
     #[test]
-    fn one_group_alone_is_erlang_s_formula() {
+    fn one_group_alone_matches_erlangs_formula() {
         let solved = solve(&mesh(2, 31, 25.0));
         let erlang = crate::erlang::blocking(25.0, 31).unwrap();
         assert!((solved.low_blocking.groups[0].blocked[0] - erlang).abs() < 1e-6);
-        assert!((solved.low_blocking.stood - (1.0 - erlang)).abs() < 1e-6);
-        assert_eq!((solved.high_blocking, solved.low_blocking.detours), (None, 0.0));
+        assert!((solved.low_blocking.answered_share - (1.0 - erlang)).abs() < 1e-6);
+        assert_eq!((solved.high_blocking, solved.low_blocking.detour_share), (None, 0.0));
     }
 
     #[test]
-    fn tandems_carry_what_the_direct_group_does_not_while_there_is_room() {
+    fn tandems_carry_the_overflow_of_a_direct_group_while_they_have_room() {
         let mut fleet = mesh(5, 31, 15.0);
         fleet.traffic.iter_mut().filter(|of| (of.from, of.to) == (1, 2)).for_each(|of| of.per_s = 5.0);
         let solved = solve(&fleet);
         let direct = &solved.low_blocking.groups[0];
         assert!(direct.blocked[0] > 0.4, "{direct:?}");
         assert!(
-            solved.low_blocking.stood > 0.97 && solved.low_blocking.detours > 0.05,
+            solved.low_blocking.answered_share > 0.97 && solved.low_blocking.detour_share > 0.05,
             "{:?}",
             solved.low_blocking
         );
     }
 
     #[test]
-    fn a_pair_without_a_group_is_reached_over_others() {
+    fn a_pair_without_a_direct_group_is_connected_over_tandems() {
         let mut fleet = mesh(4, 31, 10.0);
         fleet.groups.remove(0);
         let solved = solve(&fleet);
         assert!(
-            solved.low_blocking.stood > 0.99 && solved.low_blocking.detours > 0.1,
+            solved.low_blocking.answered_share > 0.99 && solved.low_blocking.detour_share > 0.1,
             "{:?}",
             solved.low_blocking
         );
         fleet.groups.clear();
-        assert_eq!(solve(&fleet).low_blocking.stood, 0.0);
+        assert_eq!(solve(&fleet).low_blocking.answered_share, 0.0);
     }
 
     #[test]
-    fn redials_add_tries_and_help_some() {
-        let still = solve(&mesh(2, 31, 40.0)).low_blocking;
+    fn redials_raise_tries_answered_share_and_blocking() {
+        let without_redials = solve(&mesh(2, 31, 40.0)).low_blocking;
         let mut fleet = mesh(2, 31, 40.0);
         fleet.redials = Redials { share: 0.9, most: 2 };
-        let again = solve(&fleet).low_blocking;
+        let with_redials = solve(&fleet).low_blocking;
         assert!(
-            again.tries > 1.3 && again.stood > still.stood,
-            "{} tries, {} and {}",
-            again.tries,
-            again.stood,
-            still.stood
+            with_redials.tries_per_first_try > 1.3
+                && with_redials.answered_share > without_redials.answered_share,
+            "{} tries, answered {} with and {} without redials",
+            with_redials.tries_per_first_try,
+            with_redials.answered_share,
+            without_redials.answered_share
         );
-        assert!(again.groups[0].blocked[0] > still.groups[0].blocked[0]);
+        assert!(with_redials.groups[0].blocked[0] > without_redials.groups[0].blocked[0]);
     }
 
     #[test]
-    fn a_slow_processor_takes_its_share_and_says_how_far_it_is_over() {
+    fn an_overloaded_processor_accepts_a_share_and_reports_its_whole_load() {
         let mut fleet = mesh(3, 310, 60.0);
         fleet.work = Work { look_ms: 0.0, set_up_ms: 100.0, answer_ms: 0.0, release_ms: 0.0 };
-        // Each is offered 6 set-ups a second, 0.6 of its time; one is four times as slow, and takes 1 in 2.4.
+        // Each processor is offered 6 set-ups a second, a load of 0.6. One is four times as slow: its load is 2.4, and it accepts one
+        // in 2.4.
         fleet.exchanges[2].speed = 0.25;
         let solved = solve(&fleet).low_blocking;
         assert!((solved.processors[2].load - 2.4).abs() < 0.01, "{:?}", solved.processors);
-        // Its own callers wait for it likewise: the others are spared what it does not get to.
+        // The slow processor also sets up its own callers' calls: calls that it does not accept add no load to the others.
         assert!((solved.processors[0].load - (0.3 + 0.3 / 2.4)).abs() < 0.01, "{:?}", solved.processors);
-        assert!((solved.stood - (1.0 / 3.0 + 2.0 / 3.0 / 2.4)).abs() < 0.01, "{}", solved.stood);
+        assert!(
+            (solved.answered_share - (1.0 / 3.0 + 2.0 / 3.0 / 2.4)).abs() < 0.01,
+            "{}",
+            solved.answered_share
+        );
     }
 
     #[test]
-    fn overload_settles_and_wide_calls_lose_more() {
+    fn an_overloaded_fleet_converges_and_wide_calls_lose_more() {
         let mut fleet = mesh(8, 62, 75.0);
         fleet.call_types = vec![
             CallType { name: "call".into(), share: 0.95, width: 1, hold_s: 10.0 },
             CallType { name: "feed".into(), share: 0.05, width: 6, hold_s: 10.0 },
         ];
         let solved = solve(&fleet).low_blocking;
-        assert!(solved.rounds.is_ok(), "{:?}", solved.rounds);
-        assert!(solved.stood_by_type[1] < solved.stood_by_type[0] - 0.1, "{:?}", solved.stood_by_type);
+        assert!(solved.convergence.is_ok(), "{:?}", solved.convergence);
+        assert!(
+            solved.answered_share_by_type[1] < solved.answered_share_by_type[0] - 0.1,
+            "{:?}",
+            solved.answered_share_by_type
+        );
     }
 }
