--- a/crates/planner/src/call_log.rs
+++ b/crates/planner/src/call_log.rs
@@ -1,27 +1,30 @@
-//! What a controller saw, as lines of a file: one text of JSON each, the first a header with its version.
+//! The call log of a controller: a file with one JSON text a line, of which the first is a header with the version.
 //!
-//! A file may end in the middle of a line (its process was killed), and a controller may have left lines out when they came too
-//! fast: both are said, and only the time that was looked at counts. A file of a newer version is not read.
+//! A file may end in the middle of a line, if the process was killed. A controller may also have dropped records because they came
+//! faster than they could be written. Both can be seen in the log, so that an estimate counts only the time that was observed. A
+//! file of a newer version is rejected.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The version written, and the newest that is read.
+/// The version that is written, and the newest one that is read.
 pub const VERSION: u32 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
     pub mintstall_capture: u32,
     pub exchange: u16,
-    /// Milliseconds since 1970.
+    /// Start of the file, milliseconds since 1970.
     pub begun_ms: u64,
 }
 
-/// One thing seen; `t`: milliseconds since the file was begun. Short names: there are some for each call.
+/// One line of a call log. `t` is in milliseconds since the start of the file, `call` is the call's number at this exchange. The names
+/// are short because every call takes several lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "k", rename_all = "snake_case")]
 pub enum Record {
-    /// A caller's try: its number here, where to, its type; whether it is a redial, or comes again after a cut.
+    /// A try of a caller: a call of type `kind` to exchange `dest`. `redial`: the caller dials again after a failed try. `cut`: the call
+    /// was cut while it stood, and the caller sets it up again.
     Offer {
         t: u64,
         call: u64,
@@ -32,37 +35,26 @@
         #[serde(default)]
         cut: bool,
     },
-    Stands {
-        t: u64,
-        call: u64,
-    },
-    /// It did not come to stand.
-    Not {
-        t: u64,
-        call: u64,
-    },
+    /// The call was answered.
+    Stands { t: u64, call: u64 },
+    /// The call was not answered.
+    #[serde(rename = "not")]
+    NotAnswered { t: u64, call: u64 },
     /// A standing call ended.
-    Ended {
-        t: u64,
-        call: u64,
-    },
-    /// Nothing was written since then.
-    Gap {
-        t: u64,
-        since: u64,
-    },
-    /// Everything until now is written: the last line of a file that was closed.
-    Closed {
-        t: u64,
-    },
+    Ended { t: u64, call: u64 },
+    /// No records were written from `since` to `t`.
+    Gap { t: u64, since: u64 },
+    /// The file was closed in order; always its last line.
+    Closed { t: u64 },
 }
 
 impl Record {
-    pub fn at(&self) -> u64 {
+    /// Milliseconds since the start of the file.
+    pub fn time_ms(&self) -> u64 {
         match self {
             Self::Offer { t, .. }
             | Self::Stands { t, .. }
-            | Self::Not { t, .. }
+            | Self::NotAnswered { t, .. }
             | Self::Ended { t, .. }
             | Self::Gap { t, .. }
             | Self::Closed { t } => *t,
@@ -72,24 +64,24 @@
 
 #[derive(Debug, Error)]
 pub enum CallLogError {
-    #[error("line 1: is no header of a capture: {0}")]
+    #[error("line 1: not the header of a call log: {0}")]
     Header(String),
-    #[error("line 1: version {0} is newer than {VERSION}, the newest read here")]
-    Newer(u32),
+    #[error("line 1: version {0} is newer than {VERSION}, the newest supported one")]
+    NewerVersion(u32),
     #[error("line {line}: {why}")]
     Line { line: usize, why: String },
 }
 
-/// A file that was read.
+/// A call log that was read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallLog {
     pub header: Header,
     pub records: Vec<Record>,
-    /// Whether it ends with its last line; otherwise its process was killed, and what it saw last is missing.
+    /// Whether the file was closed in order. Otherwise the process was killed, and its last records are missing.
     pub complete: bool,
 }
 
-/// Reads a file's text. `parse` and the errors name lines from 1.
+/// Reads the text of a file. `header` is its parsed first line, `parse` parses each further line. Errors count lines from 1.
 pub fn read(
     text: &str,
     parse: impl Fn(&str) -> Result<Record, String>,
@@ -97,26 +89,26 @@
 ) -> Result<CallLog, CallLogError> {
     let header = header.map_err(CallLogError::Header)?;
     if header.mintstall_capture > VERSION {
-        return Err(CallLogError::Newer(header.mintstall_capture));
+        return Err(CallLogError::NewerVersion(header.mintstall_capture));
     }
-    let ends = text.ends_with('\n');
+    let ends_with_newline = text.ends_with('\n');
     let lines: Vec<&str> = text.lines().collect();
-    let (mut records, mut last) = (Vec::new(), 0);
-    for (at, line) in lines.iter().enumerate().skip(1) {
+    let (mut records, mut last_ms) = (Vec::new(), 0);
+    for (index, line) in lines.iter().enumerate().skip(1) {
         match parse(line) {
-            Ok(one) if one.at() < last => {
+            Ok(record) if record.time_ms() < last_ms => {
                 return Err(CallLogError::Line {
-                    line: at + 1,
-                    why: "its time is before that of the line above".into(),
+                    line: index + 1,
+                    why: "its time is before that of the previous line".into(),
                 });
             }
-            Ok(one) => {
-                last = one.at();
-                records.push(one);
+            Ok(record) => {
+                last_ms = record.time_ms();
+                records.push(record);
             }
-            // Cut in the middle by the end of its process.
-            Err(_) if at + 1 == lines.len() && !ends => {}
-            Err(why) => return Err(CallLogError::Line { line: at + 1, why }),
+            // The process was killed in the middle of this line.
+            Err(_) if index + 1 == lines.len() && !ends_with_newline => {}
+            Err(why) => return Err(CallLogError::Line { line: index + 1, why }),
         }
     }
     let complete = matches!(records.last(), Some(Record::Closed { .. }));
@@ -129,7 +121,7 @@
 
     const HEADER: Header = Header { mintstall_capture: 1, exchange: 3, begun_ms: 5 };
 
-    /// A plain form of the lines, for the tests of this file: kind and time.
+    /// A simple form of the lines for these tests: kind and time.
     fn parse(line: &str) -> Result<Record, String> {
         let (kind, t) = line.split_once(' ').ok_or("no space")?;
         let t = t.parse().map_err(|error| format!("{error}"))?;
@@ -141,22 +133,22 @@
     }
 
     #[test]
-    fn a_file_cut_in_the_middle_is_read_up_to_there_and_said() {
-        let whole = read("header\nstands 4\nclosed 9\n", parse, Ok(HEADER)).unwrap();
-        assert_eq!((whole.records.len(), whole.complete), (2, true));
-        let cut = read("header\nstands 4\nsta", parse, Ok(HEADER)).unwrap();
-        assert_eq!((cut.records.len(), cut.complete), (1, false));
+    fn a_truncated_file_is_read_up_to_its_last_whole_line_and_marked_incomplete() {
+        let complete = read("header\nstands 4\nclosed 9\n", parse, Ok(HEADER)).unwrap();
+        assert_eq!((complete.records.len(), complete.complete), (2, true));
+        let truncated = read("header\nstands 4\nsta", parse, Ok(HEADER)).unwrap();
+        assert_eq!((truncated.records.len(), truncated.complete), (1, false));
     }
 
     #[test]
-    fn what_makes_no_sense_is_named_by_its_line() {
+    fn an_invalid_line_is_named_by_its_number() {
         let error = |text: &str| read(text, parse, Ok(HEADER)).unwrap_err().to_string();
         assert_eq!(error("header\nnonsense 3\nclosed 9\n"), "line 2: no kind nonsense");
         assert_eq!(
             error("header\nstands 4\nstands 3\n"),
-            "line 3: its time is before that of the line above"
+            "line 3: its time is before that of the previous line"
         );
         let newer = Header { mintstall_capture: 2, ..HEADER };
-        assert!(matches!(read("header\n", parse, Ok(newer)), Err(CallLogError::Newer(2))));
+        assert!(matches!(read("header\n", parse, Ok(newer)), Err(CallLogError::NewerVersion(2))));
     }
 }
--- a/crates/planner/src/traffic_matrix.rs
+++ b/crates/planner/src/traffic_matrix.rs
@@ -1,74 +1,77 @@
-//! A traffic matrix from what controllers saw: first tries a second by pair and call type, holding times, each with how sure it is.
+//! A traffic matrix estimated from call logs: first tries a second by pair and call type, and holding times, each with a confidence
+//! interval.
 //!
-//! Tries are counted, not calls that stood: what was lost is in them. Redials, and calls that come again after a cut, are folded into
-//! the first try they belong to, by their flags. Arrivals are taken as Poisson and holding times as exponential; a call that still
-//! stands at the end counts with the time that it has stood (the usual estimator where observation is cut short).
+//! Tries are counted rather than answered calls, so that lost calls are included. Redials, and calls that are set up again after
+//! they were cut, carry flags and are not counted as first tries. Arrivals are taken as Poisson and holding times as exponential. A
+//! call that still stands at the end counts with the time for which it has stood (the usual estimator for censored observations).
 
 use std::collections::BTreeMap;
 
 use crate::call_log::{CallLog, Record};
 
-/// A rate or time, and the range in which it lies with a probability of 0.95.
+/// A rate or time with its confidence interval at a level of 0.95.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     pub value: f64,
     pub low: f64,
     pub high: f64,
-    /// On how many it rests.
+    /// Number of events on which the estimate is based.
     pub count: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TrafficMatrix {
-    /// First tries a second, by where from, where to, call type.
-    pub first_tries: BTreeMap<(u16, u16, u8), Estimate>,
-    /// Seconds, by call type.
-    pub holding: BTreeMap<u8, Estimate>,
-    /// Redials over tries that did not stand, at each exchange.
-    pub redials: BTreeMap<u16, f64>,
-    /// Seconds looked at, by exchange.
-    pub looked: BTreeMap<u16, f64>,
-    /// What the figures do not rest on: gaps, files cut short, exchanges without one.
-    pub missing: Vec<String>,
+    /// By origin, destination and call type.
+    pub first_tries_per_s: BTreeMap<(u16, u16, u8), Estimate>,
+    /// Mean holding time by call type.
+    pub hold_s: BTreeMap<u8, Estimate>,
+    /// Redials over tries that were not answered, by exchange.
+    pub redial_share: BTreeMap<u16, f64>,
+    /// Time covered by the logs, by exchange.
+    pub observed_s: BTreeMap<u16, f64>,
+    /// Data that are missing from the estimate: gaps, truncated files, exchanges without a file.
+    pub missing_data: Vec<String>,
 }
 
-/// Quantile of the normal distribution for 0.975.
-const SURE: f64 = 1.959_964;
+/// The 0.975 quantile of the normal distribution.
+const NORMAL_QUANTILE: f64 = 1.959_964;
 
-/// The range of a Poisson mean after `count` events: by the Wilson-Hilferty cube-root form of the chi-squared quantiles that give
-/// Garwood's exact range (1936); within a hundredth of it from one event on.
-fn poisson(count: u64) -> (f64, f64) {
-    let of = |k: f64, z: f64| {
+/// The confidence interval of a Poisson mean after `count` events. Garwood's exact interval (1936) is given by chi-squared quantiles;
+/// this uses their Wilson-Hilferty cube-root approximation, which differs by less than a hundredth from one event on.
+fn poisson_interval(count: u64) -> (f64, f64) {
+    let bound = |k: f64, z: f64| {
         if k <= 0.0 { 0.0 } else { k * (1.0 - 1.0 / (9.0 * k) + z / (3.0 * k.sqrt())).powi(3) }
     };
     let count = count as f64;
-    (of(count, -SURE).max(0.0), of(count + 1.0, SURE))
+    (bound(count, -NORMAL_QUANTILE).max(0.0), bound(count + 1.0, NORMAL_QUANTILE))
 }
 
 fn rate(count: u64, seconds: f64) -> Estimate {
-    let (low, high) = poisson(count);
-    let over = |value: f64| if seconds > 0.0 { value / seconds } else { 0.0 };
-    Estimate { value: over(count as f64), low: over(low), high: over(high), count }
+    let (low, high) = poisson_interval(count);
+    let per_second = |value: f64| if seconds > 0.0 { value / seconds } else { 0.0 };
+    Estimate { value: per_second(count as f64), low: per_second(low), high: per_second(high), count }
 }
 
+/// Observed holding times of one call type.
 #[derive(Default)]
 struct Holding {
-    stood_s: f64,
-    ends: u64,
+    total_s: f64,
+    ended: u64,
 }
 
-/// `wanted`: exchanges that should have a file.
-pub fn estimate(logs: &[CallLog], wanted: &[u16]) -> TrafficMatrix {
+/// `expected`: exchanges that should have a log.
+pub fn estimate(logs: &[CallLog], expected: &[u16]) -> TrafficMatrix {
     let mut matrix = TrafficMatrix::default();
     let mut counts: BTreeMap<(u16, u16, u8), u64> = BTreeMap::new();
     let mut holding: BTreeMap<u8, Holding> = BTreeMap::new();
-    let mut again: BTreeMap<u16, (u64, u64)> = BTreeMap::new();
+    // Redials and tries that were not answered, by exchange.
+    let mut redials_and_lost: BTreeMap<u16, (u64, u64)> = BTreeMap::new();
     for log in logs {
         let from = log.header.exchange;
-        let mut looked_ms = log.records.last().map_or(0, Record::at);
-        // Type of each call, and when it began to stand. Emptied as calls end.
+        let mut observed_ms = log.records.last().map_or(0, Record::time_ms);
+        // Type and time of the answer of each call that has not ended.
         let mut calls: BTreeMap<u64, (u8, Option<u64>)> = BTreeMap::new();
-        let (redials, lost) = again.entry(from).or_default();
+        let (redials, lost) = redials_and_lost.entry(from).or_default();
         for record in &log.records {
             match *record {
                 Record::Offer { call, dest, kind, redial, cut, .. } => {
@@ -79,27 +82,27 @@
                     }
                 }
                 Record::Stands { t, call } => {
-                    if let Some((_, stands)) = calls.get_mut(&call) {
-                        *stands = Some(t);
+                    if let Some((_, answered_ms)) = calls.get_mut(&call) {
+                        *answered_ms = Some(t);
                     }
                 }
-                Record::Not { call, .. } => {
+                Record::NotAnswered { call, .. } => {
                     calls.remove(&call);
                     *lost += 1;
                 }
                 Record::Ended { t, call } => {
                     if let Some((kind, Some(since))) = calls.remove(&call) {
                         let holding = holding.entry(kind).or_default();
-                        holding.stood_s += t.saturating_sub(since) as f64 / 1e3;
-                        holding.ends += 1;
+                        holding.total_s += t.saturating_sub(since) as f64 / 1e3;
+                        holding.ended += 1;
                     }
                 }
                 Record::Gap { t, since } => {
-                    // What happened to calls meanwhile is not known: none of them tells of its holding time.
+                    // Calls may have ended during the gap: their holding times are not known.
                     calls.clear();
-                    looked_ms = looked_ms.saturating_sub(t.saturating_sub(since));
-                    matrix.missing.push(format!(
-                        "exchange {from}: nothing written from {:.1} to {:.1} s",
+                    observed_ms = observed_ms.saturating_sub(t.saturating_sub(since));
+                    matrix.missing_data.push(format!(
+                        "exchange {from}: no records from {:.1} to {:.1} s",
                         since as f64 / 1e3,
                         t as f64 / 1e3
                     ));
@@ -107,38 +110,40 @@
                 Record::Closed { .. } => {}
             }
         }
-        let end = log.records.last().map_or(0, Record::at);
-        for (kind, stands) in calls.into_values() {
-            if let Some(since) = stands {
-                holding.entry(kind).or_default().stood_s += end.saturating_sub(since) as f64 / 1e3;
+        let end_ms = log.records.last().map_or(0, Record::time_ms);
+        for (kind, answered_ms) in calls.into_values() {
+            if let Some(since) = answered_ms {
+                holding.entry(kind).or_default().total_s += end_ms.saturating_sub(since) as f64 / 1e3;
             }
         }
         if !log.complete {
-            matrix.missing.push(format!(
-                "exchange {from}: its file ends at {:.1} s without being closed",
-                end as f64 / 1e3
+            matrix.missing_data.push(format!(
+                "exchange {from}: file was not closed and ends at {:.1} s",
+                end_ms as f64 / 1e3
             ));
         }
-        *matrix.looked.entry(from).or_default() += looked_ms as f64 / 1e3;
+        *matrix.observed_s.entry(from).or_default() += observed_ms as f64 / 1e3;
     }
-    for no in wanted.iter().filter(|no| !matrix.looked.contains_key(no)) {
-        matrix.missing.push(format!("exchange {no}: no file; what it offers is not known"));
+    for exchange in expected.iter().filter(|exchange| !matrix.observed_s.contains_key(exchange)) {
+        matrix.missing_data.push(format!("exchange {exchange}: no file; its offered traffic is not known"));
     }
     for ((from, to, kind), count) in counts {
-        let seconds = matrix.looked.get(&from).copied().unwrap_or(0.0);
-        matrix.first_tries.insert((from, to, kind), rate(count, seconds));
+        let seconds = matrix.observed_s.get(&from).copied().unwrap_or(0.0);
+        matrix.first_tries_per_s.insert((from, to, kind), rate(count, seconds));
     }
-    for (kind, Holding { stood_s, ends }) in holding {
-        // The mean is time over ends; its range is that of the ends in that time, turned over.
-        let (low, high) = poisson(ends);
-        let over = |ends: f64| if ends > 0.0 { stood_s / ends } else { f64::INFINITY };
-        let estimate = Estimate { value: over(ends as f64), low: over(high), high: over(low), count: ends };
-        matrix.holding.insert(kind, estimate);
+    for (kind, Holding { total_s, ended }) in holding {
+        // The mean is the total time over the number of ended calls, so its upper bound follows from the lower bound of that number
+        // and the other way round.
+        let (low, high) = poisson_interval(ended);
+        let mean_s = |ended: f64| if ended > 0.0 { total_s / ended } else { f64::INFINITY };
+        let estimate =
+            Estimate { value: mean_s(ended as f64), low: mean_s(high), high: mean_s(low), count: ended };
+        matrix.hold_s.insert(kind, estimate);
     }
     let share = |(from, (redials, lost)): (u16, (u64, u64))| {
         Some((from, redials as f64 / lost as f64)).filter(|_| lost > 0)
     };
-    matrix.redials = again.into_iter().filter_map(share).collect();
+    matrix.redial_share = redials_and_lost.into_iter().filter_map(share).collect();
     matrix
 }
 
@@ -157,29 +162,29 @@
     }
 
     #[test]
-    fn redials_are_folded_into_first_tries_and_lost_calls_are_in() {
+    fn lost_first_tries_count_and_redials_do_not() {
         let mut records = Vec::new();
-        for no in 0..100 {
-            // Each is lost at first, and dialled again half of the time.
-            records.push(offer(no * 100, 2 * no, false));
-            records.push(Record::Not { t: no * 100 + 10, call: 2 * no });
-            if no % 2 == 0 {
-                records.push(offer(no * 100 + 50, 2 * no + 1, true));
-                records.push(Record::Stands { t: no * 100 + 60, call: 2 * no + 1 });
+        for number in 0..100 {
+            // Each first try is lost; half of the callers redial.
+            records.push(offer(number * 100, 2 * number, false));
+            records.push(Record::NotAnswered { t: number * 100 + 10, call: 2 * number });
+            if number % 2 == 0 {
+                records.push(offer(number * 100 + 50, 2 * number + 1, true));
+                records.push(Record::Stands { t: number * 100 + 60, call: 2 * number + 1 });
             }
         }
         records.push(Record::Closed { t: 10_000 });
         let matrix = estimate(&[log(1, records)], &[1]);
-        let rate = matrix.first_tries[&(1, 2, 0)];
+        let rate = matrix.first_tries_per_s[&(1, 2, 0)];
         assert_eq!((rate.value, rate.count), (10.0, 100));
-        // Garwood's exact range for 100 events: 81.36 to 121.63.
+        // Garwood's exact interval for 100 events: 81.36 to 121.63.
         assert!((rate.low - 8.136).abs() < 0.01 && (rate.high - 12.163).abs() < 0.01, "{rate:?}");
-        assert_eq!((matrix.redials[&1], matrix.missing), (0.5, vec![]));
+        assert_eq!((matrix.redial_share[&1], matrix.missing_data), (0.5, vec![]));
     }
 
     #[test]
-    fn calls_that_still_stand_count_with_what_they_have_stood() {
-        // Two ended after 4 s each; two stand since 16 s: 40 s of standing, two ends.
+    fn calls_that_still_stand_count_with_their_time_so_far() {
+        // Two calls ended after 4 s each, two still stand after 16 s: 40 s in total and two ended calls.
         let mut records = Vec::new();
         (0..4).for_each(|call| records.push(offer(0, call, false)));
         (0..4).for_each(|call| records.push(Record::Stands { t: 0, call }));
@@ -188,13 +193,13 @@
             Record::Ended { t: 4000, call: 1 },
             Record::Closed { t: 16_000 },
         ]);
-        let holding = estimate(&[log(1, records)], &[]).holding[&0];
-        assert_eq!((holding.value, holding.count), (20.0, 2));
-        assert!(holding.low < 8.0 && holding.high > 80.0, "{holding:?}");
+        let hold_s = estimate(&[log(1, records)], &[]).hold_s[&0];
+        assert_eq!((hold_s.value, hold_s.count), (20.0, 2));
+        assert!(hold_s.low < 8.0 && hold_s.high > 80.0, "{hold_s:?}");
     }
 
     #[test]
-    fn gaps_cut_files_and_missing_exchanges_are_said_and_not_guessed_over() {
+    fn gaps_truncated_files_and_missing_exchanges_are_reported() {
         let records = vec![
             offer(0, 1, false),
             Record::Gap { t: 9_000, since: 1_000 },
@@ -202,16 +207,16 @@
             offer(10_000, 3, false),
         ];
         let matrix = estimate(&[log(1, records)], &[1, 2]);
-        assert_eq!(matrix.looked[&1], 2.0);
-        assert_eq!(matrix.first_tries[&(1, 2, 0)].value, 1.5);
-        assert_eq!(matrix.missing.len(), 3, "{:?}", matrix.missing);
-        assert!(matrix.missing[2].contains("exchange 2: no file"));
+        assert_eq!(matrix.observed_s[&1], 2.0);
+        assert_eq!(matrix.first_tries_per_s[&(1, 2, 0)].value, 1.5);
+        assert_eq!(matrix.missing_data.len(), 3, "{:?}", matrix.missing_data);
+        assert!(matrix.missing_data[2].contains("exchange 2: no file"));
     }
 
     #[test]
-    fn nothing_seen_still_has_a_range() {
-        let (low, high) = poisson(0);
-        // Exact: 0 to 3.689.
+    fn zero_events_still_give_an_interval() {
+        let (low, high) = poisson_interval(0);
+        // Garwood's exact interval: 0 to 3.689.
         assert!(low == 0.0 && (high - 3.689).abs() < 0.06, "{high}");
     }
 }
