--- a/crates/planner/src/analysis.rs
+++ b/crates/planner/src/analysis.rs
@@ -1,5 +1,5 @@
-//! The order in which groups and processors saturate as traffic grows, the sizes that a goal needs, what a loss of exchanges does to
-//! the rest, and a comparison of two fleets. Each question is answered by solving the `model`, often many times.
+//! The order in which groups and processors saturate as traffic grows, the sizes that a goal needs, what a loss of exchanges does
+//! to the rest, and a comparison of two fleets. Each question is answered by solving the `model`, often many times.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,8 +21,8 @@
     pub growth: f64,
 }
 
-/// The saturated bottlenecks: groups that block a larger share than `max_blocking` of any call type, and processors that are offered
-/// more work than they can do.
+/// The saturated bottlenecks: groups that block a larger share than `max_blocking` of any call type, and processors that are
+/// offered more work than they can do.
 fn saturated(solution: &Solution, max_blocking: f64) -> BTreeSet<Bottleneck> {
     let full_groups =
         solution.groups.iter().filter(|group| group.blocked.iter().any(|blocked| *blocked > max_blocking));
@@ -32,8 +32,8 @@
     groups.chain(processors).collect()
 }
 
-/// Bottlenecks in the order in which growth of the traffic saturates them, from `min_growth` to `max_growth` in steps of at most `step`
-/// (at least 0.001, and at most 10,000 steps).
+/// Bottlenecks in the order in which growth of the traffic saturates them, from `min_growth` to `max_growth` in steps of at most
+/// `step` (at least 0.001, and at most 10,000 steps).
 ///
 /// `on_progress` is called after each step with the share of the work done, from 0 to 1.
 pub fn saturation_points(
@@ -72,8 +72,8 @@
     pub newly_saturated: Vec<Bottleneck>,
 }
 
-/// Works out the loss of the exchanges `lost`. `redial_factor` multiplies the callers' redials after the loss (1: as before), as when
-/// all callers redial early.
+/// Works out the loss of the exchanges `lost`. `redial_factor` multiplies the callers' redials after the loss (1: as before), as
+/// when all callers redial early.
 pub fn loss_effect(fleet: &Fleet, lost: &BTreeSet<u16>, redial_factor: f64, max_blocking: f64) -> LossEffect {
     let mut rest = fleet.without(lost);
     let traffic_per_s = |fleet: &Fleet| fleet.traffic.iter().map(|pair| pair.per_s).sum::<f64>();
@@ -107,8 +107,8 @@
 /// Rounds of sizing all groups and solving again. Each round changes what groups overflow to each other.
 const MAX_SIZING_ROUNDS: u32 = 20;
 
-/// The fewest circuits of each group at which no call type is blocked more than `max_blocking`. No group gets fewer circuits than it
-/// has. The second value says whether the sizes settled.
+/// The fewest circuits of each group at which no call type is blocked more than `max_blocking`. No group gets fewer circuits than
+/// it has. The second value says whether the sizes settled.
 pub fn size_groups(fleet: &Fleet, max_blocking: f64) -> (Vec<GroupSize>, bool) {
     let mut sized = fleet.clone();
     let types = fleet.call_types.len();
@@ -150,8 +150,8 @@
 
 const MAX_CIRCUITS_PER_GROUP: u16 = 3968;
 
-/// The factor on the speed of all processors with which the share `goal` of first tries is answered. `None`: even a factor of 64 does
-/// not suffice, the groups are too small.
+/// The factor on the speed of all processors with which the share `goal` of first tries is answered. `None`: even a factor of 64
+/// does not suffice, the groups are too small.
 pub fn size_processors(fleet: &Fleet, goal: f64) -> Option<f64> {
     let answered_share = |factor: f64| {
         let mut faster = fleet.clone();
--- a/crates/planner/src/call_log.rs
+++ b/crates/planner/src/call_log.rs
@@ -1,8 +1,8 @@
 //! The call log of a controller: a file with one JSON text a line, of which the first is a header with the version.
 //!
-//! A file may end in the middle of a line, if the process was killed. A controller may also have dropped records because they came
-//! faster than they could be written. Both can be seen in the log, so that an estimate counts only the time that was observed. A
-//! file of a newer version is rejected.
+//! A file may end in the middle of a line, if the process was killed. A controller may also have dropped records because they
+//! came faster than they could be written. Both can be seen in the log, so that an estimate counts only the time that was
+//! observed. A file of a newer version is rejected.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -18,13 +18,13 @@
     pub begun_ms: u64,
 }
 
-/// One line of a call log. `t` is in milliseconds since the start of the file, `call` is the call's number at this exchange. The names
-/// are short because every call takes several lines.
+/// One line of a call log. `t` is in milliseconds since the start of the file, `call` is the call's number at this exchange. The
+/// names are short because every call takes several lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "k", rename_all = "snake_case")]
 pub enum Record {
-    /// A try of a caller: a call of type `kind` to exchange `dest`. `redial`: the caller dials again after a failed try. `cut`: the call
-    /// was cut while it stood, and the caller sets it up again.
+    /// A try of a caller: a call of type `kind` to exchange `dest`. `redial`: the caller dials again after a failed try. `cut`:
+    /// the call was cut while it stood, and the caller sets it up again.
     Offer {
         t: u64,
         call: u64,
--- a/crates/planner/src/call_log_writer.rs
+++ b/crates/planner/src/call_log_writer.rs
@@ -1,9 +1,9 @@
 //! The records to be written to call logs, and the change to the next file when one is full, without I/O: the owner performs the
 //! writes and reports failures.
 //!
-//! The number of queued actions, the octets of a file and the number of files are bounded. Records that arrive while the queue is full
-//! are dropped, and a gap record with the time of the first one is written in their place, so that an estimate doesn't mistake
-//! dropped records for a time without calls.
+//! The number of queued actions, the octets of a file and the number of files are bounded. Records that arrive while the queue is
+//! full are dropped, and a gap record with the time of the first one is written in their place, so that an estimate doesn't
+//! mistake dropped records for a time without calls.
 
 use std::collections::VecDeque;
 
@@ -73,8 +73,8 @@
         self.dropped
     }
 
-    /// Queues a record at `now_ms` on the owner's clock, which is `wall_ms` since 1970. `record` gets the milliseconds since the start
-    /// of the file.
+    /// Queues a record at `now_ms` on the owner's clock, which is `wall_ms` since 1970. `record` gets the milliseconds since the
+    /// start of the file.
     pub fn record(&mut self, now_ms: u64, wall_ms: u64, record: impl FnOnce(u64) -> Record) {
         if self.queue.len() >= self.limits.max_queued {
             self.gap_since_ms.get_or_insert(now_ms);
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,5 +1,5 @@
-//! Capacity planning without I/O: the traffic that a fleet carries, and which groups and processors saturate first as traffic grows
-//! or exchanges are lost.
+//! Capacity planning without I/O: the traffic that a fleet carries, and which groups and processors saturate first as traffic
+//! grows or exchanges are lost.
 //!
 //! | file | holds |
 //! | --- | --- |
--- a/crates/planner/src/model.rs
+++ b/crates/planner/src/model.rs
@@ -1,14 +1,14 @@
 //! Loads and losses of all groups and processors of a fleet together, by fixed-point iteration.
 //!
-//! Each group is in equilibrium with the traffic offered to it (`multirate`), reduced by what the other groups and processors on the
-//! route lose (the reduced-load approximation; Kelly, 1986). A call goes direct, else over a tandem whose first leg has more free
-//! circuits than the reserved ones; the tandem is drawn by the number of free circuits there. Callers whose call is not answered
-//! redial. A processor that is offered more work than it can do accepts a share of it. In each round every loss moves half-way to its
-//! new value, until no loss moves any more. Alternative routing can have two equilibria, one with low and one with high blocking
-//! (Akinpelu, 1984): the iteration starts from an empty and from a full fleet, and both results are reported.
+//! Each group is in equilibrium with the traffic offered to it (`multirate`), reduced by what the other groups and processors on
+//! the route lose (the reduced-load approximation; Kelly, 1986). A call goes direct, else over a tandem whose first leg has more
+//! free circuits than the reserved ones; the tandem is drawn by the number of free circuits there. Callers whose call is not
+//! answered redial. A processor that is offered more work than it can do accepts a share of it. In each round every loss moves
+//! half-way to its new value, until no loss moves any more. Alternative routing can have two equilibria, one with low and one
+//! with high blocking (Akinpelu, 1984): the iteration starts from an empty and from a full fleet, and both results are reported.
 //!
-//! The model leaves out further attempts after a failed seizure (slightly more calls are answered in practice), free circuits that
-//! are scattered so that a wide call finds no room, and the time of day.
+//! The model leaves out further attempts after a failed seizure (slightly more calls are answered in practice), free circuits
+//! that are scattered so that a wide call finds no room, and the time of day.
 
 use std::collections::BTreeMap;
 
@@ -235,8 +235,8 @@
         for (tandem, first_leg, second_leg, _, weight) in tandems {
             let to_tandem = overflow * (1.0 - all_closed) * weight / total_weight;
             let second_leg_passes = 1.0 - self.groups[second_leg].blocked[kind];
-            // Calls that the second leg loses hold no circuit on the first leg; all calls that passed the first leg are offered to
-            // the second. `to_tandem` counts calls that passed the first leg, since the choice of the tandem includes its
+            // Calls that the second leg loses hold no circuit on the first leg; all calls that passed the first leg are offered
+            // to the second. `to_tandem` counts calls that passed the first leg, since the choice of the tandem includes its
             // blocking: the division turns them back into offered calls.
             let first_leg_passes = (1.0 - self.groups[first_leg].first_leg_blocked[kind]).max(1e-6);
             round.first_leg_erlangs[first_leg][kind] +=
@@ -409,8 +409,8 @@
     fn an_overloaded_processor_accepts_a_share_and_reports_its_whole_load() {
         let mut fleet = mesh(3, 310, 60.0);
         fleet.work = Work { look_ms: 0.0, set_up_ms: 100.0, answer_ms: 0.0, release_ms: 0.0 };
-        // Each processor is offered 6 set-ups a second, a load of 0.6. One is four times as slow: its load is 2.4, and it accepts one
-        // in 2.4.
+        // Each processor is offered 6 set-ups a second, a load of 0.6. One is four times as slow: its load is 2.4, and it accepts
+        // one in 2.4.
         fleet.exchanges[2].speed = 0.25;
         let solved = solve(&fleet).low_blocking;
         assert!((solved.processors[2].load - 2.4).abs() < 0.01, "{:?}", solved.processors);
--- a/crates/planner/src/traffic_matrix.rs
+++ b/crates/planner/src/traffic_matrix.rs
@@ -1,9 +1,10 @@
-//! A traffic matrix estimated from call logs: first tries a second by pair and call type, and holding times, each with a confidence
-//! interval.
+//! A traffic matrix estimated from call logs: first tries a second by pair and call type, and holding times, each with a
+//! confidence interval.
 //!
 //! Tries are counted rather than answered calls, so that lost calls are included. Redials, and calls that are set up again after
-//! they were cut, carry flags and are not counted as first tries. Arrivals are taken as Poisson and holding times as exponential. A
-//! call that still stands at the end counts with the time for which it has stood (the usual estimator for censored observations).
+//! they were cut, carry flags and are not counted as first tries. Arrivals are taken as Poisson and holding times as exponential.
+//! A call that still stands at the end counts with the time for which it has stood (the usual estimator for censored
+//! observations).
 
 use std::collections::BTreeMap;
 
@@ -36,8 +37,8 @@
 /// The 0.975 quantile of the normal distribution.
 const NORMAL_QUANTILE: f64 = 1.959_964;
 
-/// The confidence interval of a Poisson mean after `count` events. Garwood's exact interval (1936) is given by chi-squared quantiles;
-/// this uses their Wilson-Hilferty cube-root approximation, which differs by less than a hundredth from one event on.
+/// The confidence interval of a Poisson mean after `count` events. Garwood's exact interval (1936) is given by chi-squared
+/// quantiles; this uses their Wilson-Hilferty cube-root approximation, which differs by less than a hundredth from one event on.
 fn poisson_interval(count: u64) -> (f64, f64) {
     let bound = |k: f64, z: f64| {
         if k <= 0.0 { 0.0 } else { k * (1.0 - 1.0 / (9.0 * k) + z / (3.0 * k.sqrt())).powi(3) }
@@ -132,8 +133,8 @@
         matrix.first_tries_per_s.insert((from, to, kind), rate(count, seconds));
     }
     for (kind, Holding { total_s, ended }) in holding {
-        // The mean is the total time over the number of ended calls, so its upper bound follows from the lower bound of that number
-        // and the other way round.
+        // The mean is the total time over the number of ended calls, so its upper bound follows from the lower bound of that
+        // number and the other way round.
         let (low, high) = poisson_interval(ended);
         let mean_s = |ended: f64| if ended > 0.0 { total_s / ended } else { f64::INFINITY };
         let estimate =
