--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! `mintstall load` and `mintstall far`: many sessions on one controller, and an exchange for its calls to reach.
+//! `mintstall load` and `mintstall far`: many client sessions on controllers, and a simulated exchange as destination of calls.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,32 +16,32 @@
 
 #[derive(Args)]
 pub struct LoadArgs {
-    /// The script, JSON; `--schema` tells its form.
+    /// The load script, JSON; `--schema` prints its schema.
     #[arg(required_unless_present = "schema")]
     file: Option<PathBuf>,
-    /// Where calls are asked for: `calls` of what `mintstall run` writes. More than one share the sessions.
+    /// Addresses for callers: `calls` in the first line that `mintstall run` writes. Several addresses share the sessions.
     #[arg(required_unless_present = "schema")]
     servers: Vec<SocketAddr>,
-    /// The whole report as JSON.
+    /// Prints the whole report as JSON.
     #[arg(long)]
     json: bool,
-    /// Writes the JSON Schema of scripts to standard output.
+    /// Writes the JSON Schema of load scripts to standard output.
     #[arg(long)]
     schema: bool,
 }
 
 pub fn load(args: &LoadArgs) -> ExitCode {
     let Some(file) = args.file.as_deref().filter(|_| !args.schema) else {
-        return crate::schema::<LoadPlan>();
+        return crate::print_schema::<LoadPlan>();
     };
     let plan: LoadPlan = match read_json(file) {
         Ok(plan) => plan,
         Err(error) => return bad_input(error),
     };
-    let faults = plan.validation_errors();
-    if !faults.is_empty() {
-        let faults: Vec<_> = faults.iter().map(|fault| format!("{}: {fault}", file.display())).collect();
-        return bad_input(faults.join("\n"));
+    let errors = plan.validation_errors();
+    if !errors.is_empty() {
+        let errors: Vec<_> = errors.iter().map(|error| format!("{}: {error}", file.display())).collect();
+        return bad_input(errors.join("\n"));
     }
     match load::run(&plan, &args.servers) {
         Ok(report) => {
@@ -57,35 +57,37 @@
 
 #[derive(Args)]
 pub struct FarArgs {
-    /// Where controllers connect to: `connect` of their link to it.
+    /// Address for controllers: `connect` of their link to this exchange.
     listen: SocketAddr,
-    /// What it does with set-ups, JSON; `--schema` tells its form.
+    /// How the exchange treats set-ups, JSON; `--schema` prints its schema.
     file: Option<PathBuf>,
-    /// How long it runs, seconds.
+    /// Running time, seconds.
     #[arg(long, default_value_t = 3600.0)]
     for_s: f64,
-    /// Writes the JSON Schema of plans to standard output.
+    /// Writes the JSON Schema of the file to standard output.
     #[arg(long)]
     schema: bool,
 }
 
 pub fn far(args: &FarArgs) -> ExitCode {
     if args.schema {
-        return crate::schema::<FarPlan>();
+        return crate::print_schema::<FarPlan>();
     }
     let plan = match args.file.as_deref().map_or(Ok(FarPlan::default()), read_json) {
         Ok(plan) => plan,
         Err(error) => return bad_input(error),
     };
-    let faults = plan.validation_errors();
-    if !faults.is_empty() {
-        return bad_input(faults.join("\n"));
+    let errors = plan.validation_errors();
+    if !errors.is_empty() {
+        return bad_input(errors.join("\n"));
     }
-    let Ok(span) = Duration::try_from_secs_f64(args.for_s) else { return bad_input("--for-s: is no time") };
+    let Ok(running_time) = Duration::try_from_secs_f64(args.for_s) else {
+        return bad_input("--for-s: not a valid duration");
+    };
     match FarServer::start(args.listen, plan) {
         Ok(server) => {
             println!("{}", json!({ "signalling": server.addr() }));
-            std::thread::sleep(span);
+            std::thread::sleep(running_time);
             println!("{}", json!(server.tally()));
             ExitCode::SUCCESS
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! The command `mintstall`. Exit codes: 0 done, 1 a rule was broken or something failed, 2 bad input.
+//! The command `mintstall`: its arguments, and the sub-commands that have no module of their own. Exit codes: 0 success, 1 a rule
+//! was broken or something failed, 2 invalid input.
 
 mod day;
 mod load;
@@ -22,10 +23,10 @@
     max_term_width = 100
 )]
 struct Cli {
-    /// What to log: a level, or targets with levels (`info,mintstall::mode=debug`).
+    /// Log filter: a level, or targets with levels (`info,mintstall::mode=debug`).
     #[arg(long, global = true, env = "MINTSTALL_LOG", default_value = "warn", value_name = "FILTER")]
     log: String,
-    /// How to write the log, which goes to standard error.
+    /// Format of the log, which is written to standard error.
     #[arg(long, global = true, value_enum, default_value = "text")]
     log_format: LogFormat,
     #[command(subcommand)]
@@ -40,71 +41,72 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a controller until it is told to stop (SIGTERM, SIGINT).
+    /// Runs a controller until SIGTERM or SIGINT.
     ///
-    /// Once it takes calls it writes one line of JSON with its addresses to standard output.
+    /// Once it accepts calls it writes one line of JSON with its addresses to standard output.
     Run {
-        /// Its configuration, JSON.
+        /// Configuration file, JSON.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Runs a controller on the operators' platform: SIP for callers, its binary messages for exchanges.
+    /// Runs a controller on the operators' platform: callers use SIP, exchanges the platform's binary messages.
     ///
-    /// Configured by LB_CONFIG, LB_LISTEN and LB_NAME; SIGHUP has the configuration read again, SIGTERM ends it once all
-    /// that was taken is answered.
+    /// Configured by LB_CONFIG, LB_LISTEN and LB_NAME. SIGHUP reloads the configuration. SIGTERM stops the controller once
+    /// every accepted call is answered.
     Node(node::NodeArgs),
-    /// Checks configurations.
+    /// Checks configurations, or writes their schema.
     Config {
         #[command(subcommand)]
         command: ConfigCommand,
     },
-    /// Plays a day and judges the rules: over sockets with real processes, or in virtual time.
+    /// Runs a day and checks the rules: over sockets with real processes, or in virtual time.
     Day(day::DayArgs),
-    /// Opens many sessions on a controller and offers calls by a script.
+    /// Opens many sessions on a controller and offers calls according to a script.
     Load(load::LoadArgs),
-    /// Plays one exchange for controllers to reach: simulated, for loads and trials.
+    /// Simulates one exchange that controllers connect to, for load tests.
     Far(load::FarArgs),
-    /// Asks a running controller what it holds.
+    /// Shows the status of a running controller.
     Status {
-        /// Its admin address, as `admin.listen` says.
+        /// The controller's admin address (`admin.listen`).
         admin: SocketAddr,
-        /// The whole status as JSON.
+        /// Prints the whole status as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Asks a running controller what became of one of its last calls, step by step.
+    /// Shows the steps of one of the last calls of a running controller.
     Trace {
-        /// Its admin address, as `admin.listen` says.
+        /// The controller's admin address (`admin.listen`).
         admin: SocketAddr,
-        /// The call's number at the exchange that took it: `exchange_call` of its answer.
+        /// The call's number at the exchange that accepted it: `exchange_call` of its answer.
         call: u64,
-        /// The exchange that took it, if another: tandems and destinations know it by that.
+        /// The exchange that accepted the call, if it is another one: tandems and destinations identify the call by it.
         #[arg(long)]
         origin: Option<u16>,
+        /// Prints the traces as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Works out what a fleet carries, and what breaks first.
+    /// Works out what traffic a fleet carries, and what saturates first.
     Plan {
         #[command(subcommand)]
         command: plan::PlanCommand,
     },
-    /// What clients speak.
+    /// Documents the call API of clients.
     Api {
         #[command(subcommand)]
         command: ApiCommand,
     },
-    /// Writes what a token file holds of a token, which is read from standard input.
+    /// Reads a token from standard input and writes its digest for a token file.
     TokenDigest,
-    /// Writes completions for a shell to standard output.
+    /// Writes shell completions to standard output.
     Completions { shell: clap_complete::Shell },
-    /// Tells the version.
+    /// Prints the version.
     Version,
 }
 
 #[derive(Subcommand)]
 enum ConfigCommand {
-    /// Finds every fault, each with its place.
+    /// Checks a configuration and reports every error with its place.
     Check { file: PathBuf },
     /// Writes the JSON Schema of configurations to standard output.
     Schema,
@@ -116,13 +118,13 @@
     Schema,
 }
 
-/// Bad input: told on standard error, exit code 2.
+/// Reports invalid input on standard error; exit code 2.
 pub fn bad_input(error: impl std::fmt::Display) -> ExitCode {
     eprintln!("{error}");
     ExitCode::from(2)
 }
 
-/// Something failed that the input is not to blame for.
+/// Reports a failure that is not the fault of the input on standard error; exit code 1.
 pub fn failed(error: impl std::fmt::Display) -> ExitCode {
     eprintln!("{error}");
     ExitCode::FAILURE
@@ -146,7 +148,7 @@
         Command::Config { command: ConfigCommand::Check { file } } => match Config::read(&file) {
             Ok(config) => {
                 println!(
-                    "{}: exchange {}, {} links, in order",
+                    "{}: exchange {}, {} links, valid",
                     file.display(),
                     config.exchange,
                     config.signalling.links.len()
@@ -155,12 +157,12 @@
             }
             Err(error) => bad_input(error),
         },
-        Command::Config { command: ConfigCommand::Schema } => schema::<Config>(),
+        Command::Config { command: ConfigCommand::Schema } => print_schema::<Config>(),
         Command::Day(args) => day::day(&args),
         Command::Load(args) => load::load(&args),
         Command::Far(args) => load::far(&args),
-        Command::Status { admin, json } => status(admin, json),
-        Command::Trace { admin, call, origin, json } => trace(admin, call, origin, json),
+        Command::Status { admin, json } => print_status(admin, json),
+        Command::Trace { admin, call, origin, json } => print_trace(admin, call, origin, json),
         Command::Plan { command } => plan::plan(&command),
         Command::Api { command: ApiCommand::Schema } => {
             println!("{}", serde_json::to_string_pretty(&mintstall_callapi::schema()).unwrap_or_default());
@@ -185,8 +187,8 @@
     }
 }
 
-/// Writes a type's JSON Schema.
-pub fn schema<T: schemars::JsonSchema>() -> ExitCode {
+/// Writes the JSON Schema of a type to standard output.
+pub fn print_schema<T: schemars::JsonSchema>() -> ExitCode {
     match serde_json::to_string_pretty(&schemars::schema_for!(T)) {
         Ok(text) => {
             println!("{text}");
@@ -207,31 +209,32 @@
         Err(error) => return failed(error),
     };
     println!("{}", json!(server.addresses()));
-    tracing::info!(exchange = config.exchange, "takes calls");
+    tracing::info!(exchange = config.exchange, "accepting calls");
     match server.run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => failed(error),
     }
 }
 
-/// The token for admin ports: from the environment, so that it stands in no list of processes.
-fn token() -> Option<String> {
+/// The token for admin ports. It is read from the environment, since command lines can be read in process lists.
+fn admin_token() -> Option<String> {
     std::env::var("MINTSTALL_TOKEN").ok()
 }
 
-fn trace(admin: SocketAddr, call: u64, origin: Option<u16>, whole: bool) -> ExitCode {
+fn print_trace(admin: SocketAddr, call: u64, origin: Option<u16>, as_json: bool) -> ExitCode {
     let params = json!({ "call": call, "origin": origin });
-    let traces = match mintstall_lab::loopback::admin_request(admin, "trace", &params, token().as_deref()) {
-        Ok(traces) => traces,
-        Err(error) => return failed(format!("{admin}: {error}")),
-    };
-    if whole {
+    let traces =
+        match mintstall_lab::loopback::admin_request(admin, "trace", &params, admin_token().as_deref()) {
+            Ok(traces) => traces,
+            Err(error) => return failed(format!("{admin}: {error}")),
+        };
+    if as_json {
         println!("{}", serde_json::to_string_pretty(&traces).unwrap_or_default());
         return ExitCode::SUCCESS;
     }
     let traces = traces.as_array().cloned().unwrap_or_default();
     if traces.is_empty() {
-        return failed(format!("call {call} is not among the last calls there"));
+        return failed(format!("call {call} is not among the last calls of the controller at {admin}"));
     }
     for trace in &traces {
         println!(
@@ -239,46 +242,46 @@
             trace["origin_call"], trace["origin"], trace["number"], trace["dest"]
         );
         for step in trace["steps"].as_array().into_iter().flatten() {
-            let more = step
+            let details = step
                 .as_object()
                 .into_iter()
                 .flatten()
                 .filter(|(name, _)| !["step", "at_ms"].contains(&name.as_str()));
-            let more: Vec<String> = more.map(|(name, value)| format!("{name} {value}")).collect();
+            let details: Vec<String> = details.map(|(name, value)| format!("{name} {value}")).collect();
             println!(
                 "{:>12.3} ms  {:<18} {}",
                 step["at_ms"].as_f64().unwrap_or(0.0),
                 step["step"].as_str().unwrap_or(""),
-                more.join(", ")
+                details.join(", ")
             );
         }
     }
     ExitCode::SUCCESS
 }
 
-fn status(admin: SocketAddr, whole: bool) -> ExitCode {
+fn print_status(admin: SocketAddr, as_json: bool) -> ExitCode {
     let status = match mintstall_lab::loopback::admin_request(
         admin,
         "status",
         &serde_json::Value::Null,
-        token().as_deref(),
+        admin_token().as_deref(),
     ) {
         Ok(status) => status,
         Err(error) => return failed(format!("{admin}: {error}")),
     };
-    if whole {
+    if as_json {
         println!("{}", serde_json::to_string_pretty(&status).unwrap_or_default());
         return ExitCode::SUCCESS;
     }
-    let secs = status["up_ms"].as_u64().unwrap_or(0) / 1000;
+    let up_s = status["up_ms"].as_u64().unwrap_or(0) / 1000;
     println!(
-        "exchange {}, up {secs} s, {} calls in hand, {} to be answered",
+        "exchange {}, up {up_s} s, {} calls, {} pending answers",
         status["exchange"], status["calls"], status["owed"]
     );
-    let roster = &status["roster"];
+    let membership = &status["roster"];
     println!(
-        "roster version {}, {} exchanges, {} versions turned down",
-        roster["version"], roster["entries"], roster["turned_down"]
+        "membership version {}, {} exchanges, {} versions rejected",
+        membership["version"], membership["entries"], membership["turned_down"]
     );
     for (name, count) in status["counts"].as_object().into_iter().flatten() {
         println!("  {name:<18} {count}");
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -11,13 +11,13 @@
 
 #[derive(Args)]
 pub struct NodeArgs {
-    /// What the platform hands the controller, JSON; read again at a SIGHUP.
+    /// Configuration file of the platform, JSON; read again on SIGHUP.
     #[arg(long, env = "LB_CONFIG", value_name = "FILE")]
     config: PathBuf,
-    /// Where callers connect; the configuration's `listen` otherwise.
+    /// Address for callers; default: `listen` of the configuration.
     #[arg(long, env = "LB_LISTEN", value_name = "ADDRESS")]
     listen: Option<SocketAddr>,
-    /// Its name, for the log; the configuration's `name` otherwise.
+    /// Name of the controller in the log; default: `name` of the configuration.
     #[arg(long, env = "LB_NAME", value_name = "NAME")]
     name: Option<String>,
 }
@@ -36,7 +36,7 @@
         println!("{}", json!({ "callers": addr }));
     }
     let name = args.name.unwrap_or(config.name);
-    tracing::info!(name, %listen, sockets = config.sockets, "takes calls");
+    tracing::info!(name, %listen, sockets = config.sockets, "accepting calls");
     match node.run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => crate::failed(error),
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -121,7 +121,7 @@
 pub fn plan(command: &PlanCommand) -> ExitCode {
     match command {
         PlanCommand::Erlang(args) => print_erlang(args),
-        PlanCommand::Schema => crate::schema::<Fleet>(),
+        PlanCommand::Schema => crate::print_schema::<Fleet>(),
         PlanCommand::Check { file } => with_fleet(file, |fleet| {
             let (exchanges, groups) = (fleet.exchanges.len(), fleet.groups.len());
             println!("{}: {exchanges} exchanges, {groups} groups, valid", file.display());
