--- a/crates/cli/tests/calls.rs
+++ b/crates/cli/tests/calls.rs
@@ -15,7 +15,7 @@
 };
 use serde_json::{Value, json};
 
-use common::{CIRCUITS, Controller, LONG};
+use common::{CIRCUITS, Controller, TIMEOUT};
 
 /// A controller with its far exchange, the link up.
 struct Site {
@@ -43,7 +43,7 @@
     }
 
     fn until(&self, what: &str, holds: impl Fn(&Value) -> bool) -> Value {
-        self.controller.until(what, holds)
+        self.controller.wait_until(what, holds)
     }
 
     /// All circuits are back, and no call is in hand.
@@ -53,7 +53,7 @@
     }
 
     fn client(&self) -> Client {
-        Client::connect(vec![self.calls()], SessionConfig::named("test"), LONG).unwrap()
+        Client::connect(vec![self.calls()], SessionConfig::named("test"), TIMEOUT).unwrap()
     }
 
     /// The far exchange saw no call with two seizures out, none sent again too soon, and the controller stops in order.
@@ -73,7 +73,7 @@
 impl Ws {
     fn open(to: SocketAddr) -> Self {
         let mut stream = TcpStream::connect(to).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let (mut dialled, request) = ClientHandshake::new(to, 1 << 20).unwrap();
         stream.write_all(&request).unwrap();
         let mut buffer = [0; 4096];
@@ -210,7 +210,7 @@
     assert_eq!(gone.hear().unwrap()["result"]["answer"], "stands");
     // Another answers pings, being read, and stays.
     let mut lives = site.client();
-    assert!(matches!(lives.call(offer(2, 5_551_000, LONG)).unwrap(), CallOutcome::Stands { .. }));
+    assert!(matches!(lives.call(offer(2, 5_551_000, TIMEOUT)).unwrap(), CallOutcome::Stands { .. }));
     // Nothing is read from the first any more, so that no ping is answered.
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
@@ -229,20 +229,20 @@
         "limits": { "requests_per_s": 1e9, "requests_at_once": 1e9 } });
     let site = Site::start("never-reads.json", FarPlan::default(), limits);
     let mut good = site.client();
-    let CallOutcome::Stands { exchange_call } = good.call(offer(2, 5_551_000, LONG)).unwrap() else {
+    let CallOutcome::Stands { exchange_call } = good.call(offer(2, 5_551_000, TIMEOUT)).unwrap() else {
         panic!()
     };
     let mut bad = Ws::open(site.calls());
-    bad.stream.set_write_timeout(Some(LONG)).unwrap();
+    bad.stream.set_write_timeout(Some(TIMEOUT)).unwrap();
     let get = json!({ "jsonrpc": "2.0", "id": 1, "method": "trace.get", "params": { "exchange_call": exchange_call } });
     // The machine's own buffers take some megabytes before any wait here; what comes once it is closed is not wanted.
     let _ = (0..50_000).try_for_each(|_| bad.say(&get));
     site.until("one line", |status| status["lines"] == 1);
     let start = Instant::now();
     while bad.say(&get).is_ok() {
-        assert!(start.elapsed() < LONG, "it may go on for ever");
+        assert!(start.elapsed() < TIMEOUT, "it may go on for ever");
     }
-    assert!(matches!(good.call(offer(2, 5_551_001, LONG)).unwrap(), CallOutcome::Stands { .. }));
+    assert!(matches!(good.call(offer(2, 5_551_001, TIMEOUT)).unwrap(), CallOutcome::Stands { .. }));
     good.close();
     site.at_rest();
     site.over();
@@ -316,11 +316,11 @@
         .map(|_| {
             let to = site.calls();
             std::thread::spawn(move || {
-                Client::connect(vec![to], SessionConfig::named("storm"), LONG).map(Client::close).is_ok()
+                Client::connect(vec![to], SessionConfig::named("storm"), TIMEOUT).map(Client::close).is_ok()
             })
         })
         .collect();
-    assert!(matches!(early.call(offer(2, 5_551_000, LONG)).unwrap(), CallOutcome::Stands { .. }));
+    assert!(matches!(early.call(offer(2, 5_551_000, TIMEOUT)).unwrap(), CallOutcome::Stands { .. }));
     assert!(clients.into_iter().all(|client| client.join().unwrap()));
     early.close();
     site.at_rest();
@@ -334,7 +334,7 @@
     let request = String::from_utf8(request).unwrap();
     let knock = |request: &str| {
         let mut stream = TcpStream::connect(site.calls()).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.write_all(request.as_bytes()).unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
@@ -359,11 +359,11 @@
     let mut site = Site::start("killed.json", FarPlan::default(), json!({}));
     let nobody = site.calls();
     let mut client = site.client();
-    let call = client.start(offer(2, 5_551_000, LONG)).unwrap();
+    let call = client.start(offer(2, 5_551_000, TIMEOUT)).unwrap();
     assert!(matches!(client.outcome(call).unwrap(), CallOutcome::Stands { .. }));
     site.controller.kill("-KILL");
     site.controller.wait();
-    assert!(matches!(client.next_event(LONG), Some(Event::Disconnected { .. })));
+    assert!(matches!(client.next_event(TIMEOUT), Some(Event::Disconnected { .. })));
     // Nothing is there to dial: the offer is kept for its caller's time, then said to be lost.
     let call = client.start(offer(2, 5_551_001, Duration::from_millis(600))).unwrap();
     assert_eq!(client.outcome(call).unwrap(), CallOutcome::Lost, "{nobody}");
@@ -377,14 +377,14 @@
                                            "revenue": 1, "mean_hold_ms": 10_000 }] });
     let mut site = Site::start("patient.json", silent(), patient);
     let mut client = Ws::open(site.calls());
-    client.stream.set_read_timeout(Some(4 * LONG)).unwrap();
+    client.stream.set_read_timeout(Some(4 * TIMEOUT)).unwrap();
     client.offer(1, 500_000);
     site.until("the seizure", |status| status["groups"][0]["seized"] == 1);
     site.controller.kill("-TERM");
     let asked = Instant::now();
     assert_eq!(client.hear().unwrap()["result"]["answer"], "fails");
     assert_eq!(client.hear().unwrap_err().code, 1001);
-    assert!(asked.elapsed() < 3 * LONG, "the stop's own bound, not the caller's time");
+    assert!(asked.elapsed() < 3 * TIMEOUT, "the stop's own bound, not the caller's time");
     assert_eq!(site.controller.wait(), Some(0));
     assert_eq!(site.far.tally().in_use, 0, "its seizure is released before the process ends");
 }
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as its users run it: exit codes, a short day over sockets, an orderly stop.
+//! The command `mintstall` as a process: exit codes, schemas, a load, a short day over sockets, tokens and an orderly stop.
 
 mod common;
 
@@ -8,28 +8,32 @@
 
 use serde_json::{Value, json};
 
-use common::{CIRCUITS, Controller, ask, file, hear, mintstall, says};
+use common::{CIRCUITS, Controller, mintstall, output_text, read_message, request, temp_file};
 
 #[test]
-fn bad_input_is_named_with_its_place_and_exits_with_two() {
-    let day = file("bad.json", "{\n  \"exchanges\": 4,\n  \"faults\": [{\"at_s\": \"soon\"}]\n}");
+fn invalid_input_is_reported_with_its_place_and_exit_code_two() {
+    let day = temp_file("bad.json", "{\n  \"exchanges\": 4,\n  \"faults\": [{\"at_s\": \"soon\"}]\n}");
     let output = mintstall(&["day", day.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(says(&output).contains(":3:") && says(&output).contains("faults[0].at_s"), "{}", says(&output));
-    let day = file("wrong.json", "{\"exchanges\": 1, \"length_s\": -3}");
+    assert!(
+        output_text(&output).contains(":3:") && output_text(&output).contains("faults[0].at_s"),
+        "{}",
+        output_text(&output)
+    );
+    let day = temp_file("wrong.json", "{\"exchanges\": 1, \"length_s\": -3}");
     let output = mintstall(&["day", "--virtual", day.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        says(&output).contains("exchanges: ") && says(&output).contains("length_s: "),
+        output_text(&output).contains("exchanges: ") && output_text(&output).contains("length_s: "),
         "{}",
-        says(&output)
+        output_text(&output)
     );
     let output = mintstall(&["config", "check", "no-such-file.json"]);
     assert_eq!(output.status.code(), Some(2));
 }
 
 #[test]
-fn schemas_are_json_and_name_what_the_files_hold() {
+fn schemas_are_json_and_name_the_fields_of_the_files() {
     for (args, field) in [(&["config", "schema"][..], "call_types"), (&["day", "--schema"][..], "faults")] {
         let schema: Value = serde_json::from_slice(&mintstall(args).stdout).unwrap();
         assert!(schema["properties"][field].is_object(), "{field}");
@@ -37,14 +41,18 @@
 }
 
 #[test]
-fn the_schema_that_other_clients_are_written_from_is_what_the_program_speaks() {
-    let said: Value = serde_json::from_slice(&mintstall(&["api", "schema"]).stdout).unwrap();
-    let kept: Value = serde_json::from_str(include_str!("../../../clients/typescript/schema.json")).unwrap();
-    assert_eq!(said, kept, "mintstall api schema > clients/typescript/schema.json; npm run types");
+fn the_stored_client_schema_matches_the_schema_of_the_program() {
+    let printed: Value = serde_json::from_slice(&mintstall(&["api", "schema"]).stdout).unwrap();
+    let stored: Value =
+        serde_json::from_str(include_str!("../../../clients/typescript/schema.json")).unwrap();
+    assert_eq!(
+        printed, stored,
+        "update with: mintstall api schema > clients/typescript/schema.json; npm run types"
+    );
 }
 
 #[test]
-fn a_load_with_cuts_leaves_no_call_without_an_outcome() {
+fn a_load_with_cut_sessions_gives_every_call_an_outcome() {
     let far = mintstall_lab::far::FarServer::start(
         "127.0.0.1:0".parse().unwrap(),
         mintstall_emulator::FarPlan {
@@ -66,10 +74,10 @@
         "stages": [{ "name": "one", "for_s": 1 }, { "name": "two", "for_s": 1, "times": 2 }],
         "time_left_ms": 1500, "hold_ms": 100,
     });
-    let script = file("load-script.json", &script.to_string());
+    let script = temp_file("load-script.json", &script.to_string());
     let output =
         mintstall(&["load", script.to_str().unwrap(), controller.ready["calls"].as_str().unwrap(), "--json"]);
-    assert_eq!(output.status.code(), Some(0), "{}", says(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     let report: Value = serde_json::from_slice(&output.stdout).unwrap();
     let sum = |field: &str| {
         let parts = report["parts"].as_array().unwrap().iter();
@@ -79,11 +87,11 @@
     assert_eq!(sum("offered"), outcomes.iter().sum::<u64>(), "{report}");
     assert!(sum("offered") > 200 && outcomes[0] > 100 && report["cuts"].as_u64() > Some(10), "{report}");
     assert!(report["taken_up"].as_u64() > Some(5), "{report}");
-    // What it held is given back.
+    // All circuits become free again.
     let mut admin = controller.connect("admin");
     let at_rest = (0..400).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
-        let status = ask(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#)["result"].clone();
+        let status = request(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#)["result"].clone();
         status["calls"] == 0 && status["lines"] == 0 && status["groups"][0]["free"] == CIRCUITS
     });
     let tally = far.tally();
@@ -93,8 +101,8 @@
 }
 
 #[test]
-fn a_short_day_over_sockets_with_a_controller_killed_keeps_the_rules() {
-    let day = file(
+fn a_short_day_over_sockets_with_a_killed_controller_breaks_no_rule() {
+    let day = temp_file(
         "short.json",
         r#"{ "name": "short", "length_s": 6, "exchanges": 4, "regions": ["a", "b"],
              "traffic": { "calls_per_s": 60, "load": 0.8 }, "messages": true, "advice": true,
@@ -116,8 +124,8 @@
     ];
     let output = mintstall(&args);
     let report: Value =
-        serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{}", says(&output)));
-    assert_eq!((&report["kept"], output.status.code()), (&json!(true), Some(0)), "{}", says(&output));
+        serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{}", output_text(&output)));
+    assert_eq!((&report["kept"], output.status.code()), (&json!(true), Some(0)), "{}", output_text(&output));
     let judged = &report["verdict"]["judged"];
     assert!(judged["calls"].as_u64() > Some(150) && judged["seizures"].as_u64() > Some(100), "{judged}");
     assert_eq!((&report["crashes"], &report["stuck_circuits"]), (&json!(0), &json!(0)));
@@ -126,34 +134,35 @@
 }
 
 #[test]
-fn a_controller_answers_bad_texts_and_calls_without_a_link_and_stops_in_order() {
-    // Nobody listens there: the link never opens.
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let controller = Controller::start("alone.json", nobody);
+fn a_controller_without_a_link_answers_invalid_texts_and_calls_and_stops_in_order() {
+    // The port is closed, so the link never opens.
+    let closed_port = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let controller = Controller::start("alone.json", closed_port);
     let mut line = controller.connect("subscribers");
-    assert_eq!(ask(&mut line, "{")["error"]["code"], -32700);
+    assert_eq!(request(&mut line, "{")["error"]["code"], -32700);
     assert_eq!(
-        ask(&mut line, r#"{"jsonrpc":"2.0","id":1,"method":"call.hangup","params":{"call":9}}"#)["error"]["code"],
+        request(&mut line, r#"{"jsonrpc":"2.0","id":1,"method":"call.hangup","params":{"call":9}}"#)["error"]
+            ["code"],
         -32001
     );
     let offer = r#"{"jsonrpc":"2.0","id":5,"method":"call.offer","params":{"call":1,"dest":2,"number":7,"time_left_ms":2000}}"#;
-    let answer = ask(&mut line, offer);
+    let answer = request(&mut line, offer);
     assert_eq!((&answer["id"], &answer["result"]["answer"]), (&json!(5), &json!("refused")), "{answer}");
     let mut admin = controller.connect("admin");
-    let status = ask(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#);
+    let status = request(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#);
     assert_eq!((&status["result"]["counts"]["offered"], &status["result"]["owed"]), (&json!(1), &json!(0)));
     assert_eq!(status["result"]["groups"][0]["link"], "down");
     let shown = mintstall(&["status", controller.ready["admin"].as_str().unwrap()]);
-    assert!(says(&shown).contains("exchange 1") && shown.status.success(), "{}", says(&shown));
+    assert!(output_text(&shown).contains("exchange 1") && shown.status.success(), "{}", output_text(&shown));
     assert_eq!(controller.stop(), Some(0));
 }
 
 #[test]
-fn a_stop_answers_every_call_that_was_taken_before_the_process_ends() {
+fn a_stopped_controller_answers_every_accepted_call_before_it_exits() {
     use mintstall_isup::{Deframer, Frame};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut controller = Controller::start("stop.json", listener.local_addr().unwrap());
-    // An exchange that opens the link, resets its circuits when asked, and answers no set-up.
+    // An exchange that opens the link, acknowledges circuit group resets, and answers no set-up.
     let far = std::thread::spawn(move || {
         use std::io::Read;
         let (mut stream, _) = listener.accept().unwrap();
@@ -181,9 +190,9 @@
                                 let body = mintstall_isup::Body::Gra(status);
                                 let mut user = Vec::new();
                                 mintstall_isup::Message::new(message.cic, body).write(&mut user);
-                                let back =
+                                let reply =
                                     mintstall_isup::ProtocolData { opc: 2, dpc: 1, user: &user, ..data };
-                                Frame::Data(back).write(&mut out);
+                                Frame::Data(reply).write(&mut out);
                             }
                             mintstall_isup::Body::Iam(_) => set_ups += 1,
                             _ => {}
@@ -195,10 +204,10 @@
             }
         }
     });
-    // Until the group is there.
+    // Wait until the group is in service.
     let mut admin = controller.connect("admin");
     for _ in 0..400 {
-        let status = ask(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#);
+        let status = request(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#);
         if status["result"]["groups"][0]["free"] == CIRCUITS && status["result"]["groups"][0]["link"] == "up"
         {
             break;
@@ -211,18 +220,18 @@
             "params": { "call": call, "dest": 2, "number": call, "time_left_ms": 900 } });
         line.get_mut().write_all(format!("{offer}\n").as_bytes()).unwrap();
     }
-    // Asked on the same line, and so read after the offers.
-    assert_eq!(ask(&mut line, "{")["error"]["code"], -32700);
+    // A request on the same line: its error shows that the offers have been read.
+    assert_eq!(request(&mut line, "{")["error"]["code"], -32700);
     controller.kill("-TERM");
-    let answers: Vec<Value> = (0..3).map(|_| hear(&mut line)).collect();
+    let answers: Vec<Value> = (0..3).map(|_| read_message(&mut line)).collect();
     assert!(answers.iter().all(|answer| answer["result"]["answer"] != "stands"), "{answers:?}");
     assert_eq!(controller.wait(), Some(0));
-    assert!(far.join().unwrap() > 0, "the calls were on their way");
+    assert!(far.join().unwrap() > 0, "no set-up reached the exchange before the stop");
 }
 
 #[test]
-fn a_token_is_asked_for_scoped_and_withdrawn_in_mid_session() {
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+fn tokens_are_required_limited_by_scope_and_withdrawn_during_a_session() {
+    let closed_port = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let digest = |token: &str| {
         let mut child = Command::new(env!("CARGO_BIN_EXE_mintstall"))
             .arg("token-digest")
@@ -235,8 +244,8 @@
     };
     let apps = json!({ "name": "apps", "sha256": digest("secret-a"), "scopes": ["offer"], "customers": [0] });
     let staff = json!({ "name": "staff", "sha256": digest("secret-s"), "scopes": ["admin"] });
-    let tokens = file("tokens.json", &json!({ "tokens": [apps, staff] }).to_string());
-    let controller = Controller::start_with("tokens-config.json", nobody, json!({ "tokens": tokens }));
+    let tokens = temp_file("tokens.json", &json!({ "tokens": [apps, staff] }).to_string());
+    let controller = Controller::start_with("tokens-config.json", closed_port, json!({ "tokens": tokens }));
     let mut line = controller.connect("subscribers");
     let offer = |call: u64, customer: u16| {
         json!({ "jsonrpc": "2.0", "id": call, "method": "call.offer", "params": { "call": call, "customer": customer,
@@ -247,29 +256,29 @@
         json!({ "jsonrpc": "2.0", "id": 0, "method": "session.hello", "params": { "client": "test", "token": token } })
             .to_string()
     };
-    assert_eq!(ask(&mut line, &offer(1, 0))["error"]["code"], -32004);
-    assert_eq!(ask(&mut line, &hello("secret"))["error"]["code"], -32004);
-    assert_eq!(ask(&mut line, &hello("secret-a"))["result"]["token"], "apps");
-    assert_eq!(ask(&mut line, &offer(2, 0))["result"]["answer"], "refused");
-    assert_eq!(ask(&mut line, &offer(3, 1))["error"]["code"], -32004, "another customer");
-    // The admin port wants a token of its own.
+    assert_eq!(request(&mut line, &offer(1, 0))["error"]["code"], -32004);
+    assert_eq!(request(&mut line, &hello("secret"))["error"]["code"], -32004);
+    assert_eq!(request(&mut line, &hello("secret-a"))["result"]["token"], "apps");
+    assert_eq!(request(&mut line, &offer(2, 0))["result"]["answer"], "refused");
+    assert_eq!(request(&mut line, &offer(3, 1))["error"]["code"], -32004, "another customer");
+    // The admin port requires a token with the scope `admin`.
     let mut admin = controller.connect("admin");
-    assert_eq!(ask(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#)["error"]["code"], -32004);
+    assert_eq!(request(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#)["error"]["code"], -32004);
     let status =
         |token: &str| json!({ "jsonrpc": "2.0", "id": 1, "method": "status", "token": token }).to_string();
-    assert_eq!(ask(&mut admin, &status("secret-a"))["error"]["code"], -32004);
-    assert_eq!(ask(&mut admin, &status("secret-s"))["result"]["exchange"], 1);
-    // A file that makes no sense changes nothing; one without the token ends the session's rights.
-    let hang_up = || controller.kill("-HUP");
+    assert_eq!(request(&mut admin, &status("secret-a"))["error"]["code"], -32004);
+    assert_eq!(request(&mut admin, &status("secret-s"))["result"]["exchange"], 1);
+    // An invalid token file changes nothing; a file without the token ends the session's rights.
+    let reload = || controller.kill("-HUP");
     std::fs::write(&tokens, "{").unwrap();
-    hang_up();
-    assert_eq!(ask(&mut line, &offer(4, 0))["result"]["answer"], "refused");
+    reload();
+    assert_eq!(request(&mut line, &offer(4, 0))["result"]["answer"], "refused");
     std::fs::write(&tokens, json!({ "tokens": [staff] }).to_string()).unwrap();
-    hang_up();
-    // The signal is acted on between two turns of the loop; the first answers may still come from before it.
+    reload();
+    // The signal is handled between two rounds of the event loop, so the first offers may still be answered as before.
     let denied = (5..200).any(|call| {
         std::thread::sleep(Duration::from_millis(20));
-        ask(&mut line, &offer(call, 0))["error"]["message"] == "the token was withdrawn"
+        request(&mut line, &offer(call, 0))["error"]["message"] == "the token was withdrawn"
     });
     assert!(denied);
     assert_eq!(controller.stop(), Some(0));
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The command, and controllers of its, as tests run them.
+//! Helpers of the tests: they run the command `mintstall`, and controllers as processes.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Write};
@@ -13,25 +13,28 @@
     Command::new(env!("CARGO_BIN_EXE_mintstall")).args(args).output().unwrap()
 }
 
-pub fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a temporary file; the process id keeps concurrent test runs apart.
+pub fn temp_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("mintstall-command-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-pub fn says(output: &Output) -> String {
+/// Standard output and standard error.
+pub fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).to_string() + &String::from_utf8_lossy(&output.stderr)
 }
 
-/// What must come within this, comes.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Timeout of everything that a test waits for.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Of the group to that exchange.
+/// Circuits of the group to the far exchange.
 pub const CIRCUITS: u16 = 310;
 
-/// A controller on its own, linked to an exchange that this test plays.
+/// A controller in a process of its own, linked to an exchange that the test provides.
 pub struct Controller {
     pub child: Child,
+    /// The line that the controller writes once it accepts calls: its addresses.
     pub ready: Value,
 }
 
@@ -40,7 +43,8 @@
         Self::start_with(name, link, json!({}))
     }
 
-    pub fn start_with(name: &str, link: SocketAddr, more: Value) -> Self {
+    /// `extra` replaces or adds fields of the configuration.
+    pub fn start_with(name: &str, link: SocketAddr, extra: Value) -> Self {
         let mut config = json!({
             "exchange": 1,
             "signalling": { "listen": "127.0.0.1:0",
@@ -51,8 +55,8 @@
             "call_types": [{ "name": "call", "setup_target_ms": 2000, "guard_time_ms": 9000, "revenue": 1,
                              "mean_hold_ms": 10000 }],
         });
-        more.as_object().unwrap().iter().for_each(|(field, value)| config[field] = value.clone());
-        let path = file(name, &config.to_string());
+        extra.as_object().unwrap().iter().for_each(|(field, value)| config[field] = value.clone());
+        let path = temp_file(name, &config.to_string());
         let mut child = Command::new(env!("CARGO_BIN_EXE_mintstall"))
             .args(["run", "--config", path.to_str().unwrap()])
             .stdout(Stdio::piped())
@@ -63,27 +67,27 @@
         Self { child, ready: serde_json::from_str(&line).unwrap() }
     }
 
-    pub fn connect(&self, what: &str) -> BufReader<TcpStream> {
-        let addr: SocketAddr = self.ready[what].as_str().unwrap().parse().unwrap();
+    pub fn connect(&self, port: &str) -> BufReader<TcpStream> {
+        let addr: SocketAddr = self.ready[port].as_str().unwrap().parse().unwrap();
         let stream = TcpStream::connect(addr).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
     pub fn status(&self) -> Value {
         let mut admin = self.connect("admin");
-        ask(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#)["result"].clone()
+        request(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#)["result"].clone()
     }
 
-    /// Waits for what must come.
-    pub fn until(&self, what: &str, holds: impl Fn(&Value) -> bool) -> Value {
+    /// Polls the status until the condition `reached` holds; `description` names it if that times out.
+    pub fn wait_until(&self, description: &str, reached: impl Fn(&Value) -> bool) -> Value {
         let start = Instant::now();
         loop {
             let status = self.status();
-            if holds(&status) {
+            if reached(&status) {
                 return status;
             }
-            assert!(start.elapsed() < LONG, "{what} does not come: {status}");
+            assert!(start.elapsed() < TIMEOUT, "timed out waiting for: {description}; status {status}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -103,7 +107,7 @@
     }
 }
 
-/// A test that fails leaves no process behind.
+/// Kills the process when a test fails.
 impl Drop for Controller {
     fn drop(&mut self) {
         let _ = self.child.kill();
@@ -111,13 +115,13 @@
     }
 }
 
-pub fn ask(line: &mut BufReader<TcpStream>, text: &str) -> Value {
+pub fn request(line: &mut BufReader<TcpStream>, text: &str) -> Value {
     line.get_mut().write_all(text.as_bytes()).unwrap();
     line.get_mut().write_all(b"\n").unwrap();
-    hear(line)
+    read_message(line)
 }
 
-pub fn hear(line: &mut BufReader<TcpStream>) -> Value {
+pub fn read_message(line: &mut BufReader<TcpStream>) -> Value {
     let mut text = String::new();
     line.read_line(&mut text).unwrap();
     serde_json::from_str(&text).unwrap()
--- a/crates/cli/tests/neighbours.rs
+++ b/crates/cli/tests/neighbours.rs
@@ -1,5 +1,5 @@
-//! Three controllers as processes, linked to each other: what one that is killed or stopped leaves on the trunks of the
-//! others, until both ends of each circuit are idle.
+//! Three controllers as processes, linked to each other. When one of them is killed or stopped, the circuits of the others must
+//! become idle at both ends.
 
 mod common;
 
@@ -9,12 +9,12 @@
 use mintstall_client::{CallOutcome, Client, Event, SessionConfig, offer};
 use serde_json::{Value, json};
 
-use common::{Controller, LONG};
+use common::{Controller, TIMEOUT};
 
-/// Of each group.
+/// Circuits of each group.
 const CIRCUITS: u64 = 3;
 
-/// Exchange `own`; it dials those whose address is given.
+/// Starts exchange `own`, which connects to those exchanges whose address is given.
 fn start(name: &str, own: u16, links: &[(u16, Option<SocketAddr>)]) -> Controller {
     let link = |(to, connect): &(u16, Option<SocketAddr>)| match connect {
         Some(addr) => json!({ "to": to, "circuits": CIRCUITS, "connect": addr }),
@@ -26,8 +26,8 @@
     Controller::start_with(name, nowhere, json!({ "exchange": own, "signalling": signalling }))
 }
 
-fn addr(controller: &Controller, what: &str) -> SocketAddr {
-    controller.ready[what].as_str().unwrap().parse().unwrap()
+fn addr(controller: &Controller, port: &str) -> SocketAddr {
+    controller.ready[port].as_str().unwrap().parse().unwrap()
 }
 
 fn group(status: &Value, to: u16) -> Value {
@@ -35,15 +35,15 @@
     groups.iter().find(|group| group["to"] == to).unwrap().clone()
 }
 
-fn idle(controller: &Controller, to: u16) {
-    controller.until("an idle group", |status| {
+fn wait_until_idle(controller: &Controller, to: u16) {
+    controller.wait_until("an idle group", |status| {
         let group = group(status, to);
         group["link"] == "up" && group["free"] == CIRCUITS
     });
 }
 
 #[test]
-fn a_tandem_that_is_killed_or_stopped_leaves_no_circuit_taken_at_its_neighbours() {
+fn neighbours_of_a_killed_or_stopped_tandem_free_all_circuits() {
     let one = start("one.json", 1, &[(2, None), (3, None)]);
     let first = addr(&one, "signalling");
     let two = start("two.json", 2, &[(1, Some(first)), (3, None)]);
@@ -53,35 +53,36 @@
     let all_idle = |three: &Controller| {
         [(&one, 3), (&two, 3), (three, 1), (three, 2)]
             .iter()
-            .for_each(|(controller, to)| idle(controller, *to));
+            .for_each(|(controller, to)| wait_until_idle(controller, *to));
     };
     all_idle(&three);
-    idle(&one, 2);
-    let mut client = Client::connect(vec![addr(&one, "calls")], SessionConfig::named("test"), LONG).unwrap();
+    wait_until_idle(&one, 2);
+    let mut client =
+        Client::connect(vec![addr(&one, "calls")], SessionConfig::named("test"), TIMEOUT).unwrap();
     let mut calls: Vec<u64> = Vec::new();
-    // The direct group first, then over the tandem.
+    // Calls fill the direct group first, then go over the tandem.
     let mut fill = |client: &mut Client, count: u64| {
-        for no in 0..count {
-            let call = client.start(offer(2, 5_551_000 + no, Duration::from_secs(5))).unwrap();
-            assert!(matches!(client.outcome(call).unwrap(), CallOutcome::Stands { .. }), "call {no}");
+        for number in 0..count {
+            let call = client.start(offer(2, 5_551_000 + number, Duration::from_secs(5))).unwrap();
+            assert!(matches!(client.outcome(call).unwrap(), CallOutcome::Stands { .. }), "call {number}");
             calls.push(call);
         }
     };
     fill(&mut client, CIRCUITS + 1);
-    assert_eq!(group(&two.status(), 3)["standing"], 1, "one stands over the tandem");
+    assert_eq!(group(&two.status(), 3)["standing"], 1, "one call goes over the tandem");
     three.kill("-KILL");
     three.wait();
-    let killed = Instant::now();
+    let killed_at = Instant::now();
     let three = tandem();
-    // Its next life resets what the last one held; both ends of each circuit are idle.
+    // The restarted tandem resets the circuits of the killed one; both ends of each circuit become idle.
     all_idle(&three);
-    assert!(killed.elapsed() < Duration::from_secs(12), "longer than a link's grace");
-    let cut = client.next_event(LONG);
-    assert!(matches!(cut, Some(Event::Ended { .. })), "{cut:?}");
+    assert!(killed_at.elapsed() < Duration::from_secs(12), "took longer than the link grace period");
+    let event = client.next_event(TIMEOUT);
+    assert!(matches!(event, Some(Event::Ended { .. })), "{event:?}");
 
     fill(&mut client, 1);
     assert_eq!(group(&two.status(), 3)["standing"], 1);
-    // Told to stop it lets go of what stands, and is gone only when both neighbours have completed that.
+    // A stopped tandem releases its standing calls, and exits only when both neighbours have completed the releases.
     assert_eq!(three.stop(), Some(0));
     for (controller, to) in [(&one, 3), (&two, 3)] {
         let group = group(&controller.status(), to);
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,4 @@
-//! `mintstall node` as a process, with callers, exchanges and an event bus of our own on loopback.
+//! `mintstall node` as a process, with callers, exchanges and an event bus that the test provides on loopback.
 
 mod common;
 
@@ -10,28 +10,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{LONG, file, says};
+use common::{TIMEOUT, output_text, temp_file};
 use mintstall_platform::exchange_protocol::{self, MessageType, parameter};
 use mintstall_sip as sip;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
 
-/// An exchange that answers every set-up; it tells what it was sent.
-fn exchange() -> (SocketAddr, Receiver<(MessageType, u64)>) {
+/// Starts an exchange that answers every set-up, and reports the messages that it receives.
+fn start_exchange() -> (SocketAddr, Receiver<(MessageType, u64)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let (tell, told) = channel();
+    let (sender, receiver) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let tell = tell.clone();
-            thread::spawn(move || link(stream, &tell));
+            let sender = sender.clone();
+            thread::spawn(move || serve_link(stream, &sender));
         }
     });
-    (addr, told)
+    (addr, receiver)
 }
 
-fn link(mut stream: TcpStream, tell: &Sender<(MessageType, u64)>) {
+fn serve_link(mut stream: TcpStream, sender: &Sender<(MessageType, u64)>) {
     let mut out = Vec::new();
     exchange_protocol::encode(
         &mut out,
@@ -41,7 +41,7 @@
     );
     let (mut decoder, mut buffer) = (exchange_protocol::Decoder::default(), [0; 4096]);
     loop {
-        // The other end may be gone, with the test.
+        // The test may have ended and closed the other end.
         if stream.write_all(&out).is_err() {
             return;
         }
@@ -49,7 +49,7 @@
         let Ok(count @ 1..) = stream.read(&mut buffer) else { return };
         decoder.push(&buffer[..count]);
         while let Some(message) = decoder.next_message().unwrap() {
-            let _ = tell.send((message.kind, message.call.0));
+            let _ = sender.send((message.kind, message.call.0));
             if message.kind == MessageType::SetUp {
                 let description = message.description.unwrap().to_ascii_uppercase();
                 exchange_protocol::encode(
@@ -63,16 +63,16 @@
     }
 }
 
-/// An event bus: tells the line with which each connection asks, and keeps it open with a pulse.
-fn bus() -> (SocketAddr, Receiver<String>) {
+/// Starts an event bus. It reports the request line of each connection, and keeps the connection open with a line each 500 ms.
+fn start_bus() -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let (tell, told) = channel();
+    let (sender, receiver) = channel();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let mut line = String::new();
             let _ = BufReader::new(stream.try_clone().unwrap()).read_line(&mut line);
-            let _ = tell.send(line);
+            let _ = sender.send(line);
             thread::spawn(move || {
                 while stream.write_all(b"1\n").is_ok() {
                     thread::sleep(Duration::from_millis(500));
@@ -80,7 +80,7 @@
             });
         }
     });
-    (addr, told)
+    (addr, receiver)
 }
 
 fn config(exchange: SocketAddr, bus: SocketAddr) -> Value {
@@ -99,15 +99,16 @@
     })
 }
 
-struct Running {
+/// A `mintstall node` process.
+struct Node {
     child: Child,
     callers: SocketAddr,
-    path: PathBuf,
+    config_path: PathBuf,
 }
 
-impl Running {
+impl Node {
     fn start(name: &str, config: &Value) -> Self {
-        let path = file(name, &config.to_string());
+        let path = temp_file(name, &config.to_string());
         let mut child = Command::new(env!("CARGO_BIN_EXE_mintstall"))
             .arg("node")
             .env("LB_CONFIG", &path)
@@ -120,7 +121,7 @@
         BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
         let ready: Value = serde_json::from_str(&line).unwrap();
         let callers = ready["callers"].as_str().unwrap().parse().unwrap();
-        Self { child, callers, path }
+        Self { child, callers, config_path: path }
     }
 
     fn signal(&self, signal: Signal) {
@@ -129,17 +130,17 @@
 
     fn connect(&self) -> Caller {
         let stream = TcpStream::connect(self.callers).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Caller { stream, decoder: sip::Decoder::default() }
     }
 }
 
-impl Drop for Running {
+impl Drop for Node {
     fn drop(&mut self) {
-        // Mostly it has ended by itself.
+        // Usually the process has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.path);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
@@ -149,19 +150,19 @@
 }
 
 impl Caller {
-    fn says(&mut self, text: &str) {
+    fn send(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next message: what it is, and its body. None: closed.
-    fn hears(&mut self) -> Option<(String, String)> {
+    /// The status or method of the next message, and its body. `None`: the connection was closed.
+    fn next_message(&mut self) -> Option<(String, String)> {
         loop {
             if let Some(message) = self.decoder.next_message().unwrap() {
-                let what = match message.start {
+                let start = match message.start {
                     sip::StartLine::Response { status } => status.to_string(),
                     sip::StartLine::Request { method, .. } => method.to_string(),
                 };
-                return Some((what, String::from_utf8_lossy(message.body).to_string()));
+                return Some((start, String::from_utf8_lossy(message.body).to_string()));
             }
             let mut buffer = [0; 4096];
             match self.stream.read(&mut buffer) {
@@ -173,8 +174,8 @@
         }
     }
 
-    fn status(&mut self) -> String {
-        self.hears().map_or("closed".to_string(), |(what, _)| what)
+    fn next_status(&mut self) -> String {
+        self.next_message().map_or("closed".to_string(), |(status, _)| status)
     }
 }
 
@@ -192,49 +193,50 @@
 }
 
 #[test]
-fn a_controller_serves_beside_bad_callers_moves_its_bus_and_stops_when_it_owes_nothing() {
-    let ((exchange, sent), (first, asked), (second, asked_next)) = (exchange(), bus(), bus());
-    let mut node = Running::start("node.json", &config(exchange, first));
-    assert_eq!(asked.recv_timeout(LONG).unwrap(), "from 1\n");
+fn a_controller_serves_calls_despite_bad_callers_changes_its_bus_and_stops_after_the_last_answer() {
+    let (exchange, received) = start_exchange();
+    let ((first_bus, first_requests), (second_bus, second_requests)) = (start_bus(), start_bus());
+    let mut node = Node::start("node.json", &config(exchange, first_bus));
+    assert_eq!(first_requests.recv_timeout(TIMEOUT).unwrap(), "from 1\n");
 
     let mut caller = node.connect();
-    caller.says(&request("OPTIONS", 0));
-    assert_eq!(caller.status(), "200");
-    caller.says(&invite(7, "1"));
-    assert_eq!(caller.hears().unwrap(), ("200".to_string(), "HELLO".to_string()));
-    assert_eq!(sent.recv_timeout(LONG).unwrap(), (MessageType::SetUp, 7));
+    caller.send(&request("OPTIONS", 0));
+    assert_eq!(caller.next_status(), "200");
+    caller.send(&invite(7, "1"));
+    assert_eq!(caller.next_message().unwrap(), ("200".to_string(), "HELLO".to_string()));
+    assert_eq!(received.recv_timeout(TIMEOUT).unwrap(), (MessageType::SetUp, 7));
 
     let mut bad = node.connect();
-    bad.says(&invite(8, "nowhere"));
-    assert_eq!(bad.status(), "400");
-    bad.says("INVITE sip:a@net SIP/2.0\r\nContent-Length: 60000000\r\n\r\n");
-    // What is sent on is read away, so that the words of the refusal are not lost.
+    bad.send(&invite(8, "nowhere"));
+    assert_eq!(bad.next_status(), "400");
+    bad.send("INVITE sip:a@net SIP/2.0\r\nContent-Length: 60000000\r\n\r\n");
+    // The controller reads and discards what is sent after the error: a reset connection would lose the error response.
     let _ = bad.stream.write_all(&vec![b'x'; 1 << 20]);
-    assert_eq!((bad.status(), bad.status()), ("513".to_string(), "closed".to_string()));
+    assert_eq!((bad.next_status(), bad.next_status()), ("513".to_string(), "closed".to_string()));
     let mut silent: Vec<_> = (0..300).map(|_| node.connect()).collect();
-    assert_eq!(silent[0].status(), "closed", "more than may be open, and it said nothing");
+    assert_eq!(silent[0].next_status(), "closed", "idle, with more connections open than allowed");
     drop(silent);
 
-    std::fs::write(&node.path, "{").unwrap();
+    std::fs::write(&node.config_path, "{").unwrap();
     node.signal(Signal::SIGHUP);
-    caller.says(&request("OPTIONS", 1));
-    assert_eq!(caller.status(), "200", "a bad file changes nothing");
-    std::fs::write(&node.path, config(exchange, second).to_string()).unwrap();
+    caller.send(&request("OPTIONS", 1));
+    assert_eq!(caller.next_status(), "200", "an invalid file changes nothing");
+    std::fs::write(&node.config_path, config(exchange, second_bus).to_string()).unwrap();
     node.signal(Signal::SIGHUP);
-    assert_eq!(asked_next.recv_timeout(LONG).unwrap(), "from 1\n");
+    assert_eq!(second_requests.recv_timeout(TIMEOUT).unwrap(), "from 1\n");
 
     node.signal(Signal::SIGTERM);
-    caller.says(&invite(9, "1"));
-    assert_eq!(caller.status(), "200", "calls keep coming for a while");
-    caller.says(&request("BYE", 7));
-    assert_eq!(caller.status(), "200");
-    assert_eq!(sent.recv_timeout(LONG).unwrap(), (MessageType::SetUp, 9));
-    assert_eq!(sent.recv_timeout(LONG).unwrap(), (MessageType::Release, 7));
+    caller.send(&invite(9, "1"));
+    assert_eq!(caller.next_status(), "200", "new calls are still accepted for a while");
+    caller.send(&request("BYE", 7));
+    assert_eq!(caller.next_status(), "200");
+    assert_eq!(received.recv_timeout(TIMEOUT).unwrap(), (MessageType::SetUp, 9));
+    assert_eq!(received.recv_timeout(TIMEOUT).unwrap(), (MessageType::Release, 7));
     let started = Instant::now();
     let ended = loop {
         match node.child.try_wait().unwrap() {
             Some(status) => break status,
-            None if started.elapsed() > LONG => panic!("does not stop"),
+            None if started.elapsed() > TIMEOUT => panic!("the controller does not stop"),
             None => thread::sleep(Duration::from_millis(20)),
         }
     };
@@ -242,14 +244,14 @@
 }
 
 #[test]
-fn a_bad_configuration_is_told_with_place_and_cause() {
-    let nowhere = "127.0.0.1:1".parse().unwrap();
-    let mut wrong = config(nowhere, nowhere);
-    wrong["settings"]["lanes"][0]["aim_s"] = json!("soon");
-    let path = file("wrong-node.json", &wrong.to_string());
+fn a_configuration_error_names_its_place_and_value() {
+    let unused = "127.0.0.1:1".parse().unwrap();
+    let mut invalid = config(unused, unused);
+    invalid["settings"]["lanes"][0]["aim_s"] = json!("soon");
+    let path = temp_file("wrong-node.json", &invalid.to_string());
     let output =
         Command::new(env!("CARGO_BIN_EXE_mintstall")).arg("node").env("LB_CONFIG", &path).output().unwrap();
     std::fs::remove_file(&path).unwrap();
     assert_eq!(output.status.code(), Some(2));
-    assert!(says(&output).contains("lanes.0.aim_s=soon"), "{}", says(&output));
+    assert!(output_text(&output).contains("lanes.0.aim_s=soon"), "{}", output_text(&output));
 }
