--- a/crates/cli/tests/calls.rs
+++ b/crates/cli/tests/calls.rs
@@ -1,5 +1,5 @@
-//! Clients over WebSocket against a controller of its own process, with a stand-in exchange at the far end of its link: what goes
-//! wrong on release nights, one at a time.
+//! Clients over WebSocket against a controller in a process of its own, with a simulated exchange at the far end of its link.
+//! Each test covers one failure that is typical of the night of a release.
 
 mod common;
 
@@ -17,24 +17,24 @@
 
 use common::{CIRCUITS, Controller, TIMEOUT};
 
-/// A controller with its far exchange, the link up.
+/// A controller and its far exchange, with the link up.
 struct Site {
     controller: Controller,
     far: FarServer,
 }
 
 impl Site {
-    fn start(name: &str, far: FarPlan, more: Value) -> Self {
+    fn start(name: &str, far: FarPlan, extra: Value) -> Self {
         let far = FarServer::start("127.0.0.1:0".parse().unwrap(), far).unwrap();
-        let controller = Controller::start_with(name, far.addr(), more);
+        let controller = Controller::start_with(name, far.addr(), extra);
         let site = Self { controller, far };
-        site.until("the link is up", |status| {
+        site.wait_until("the link is up", |status| {
             status["groups"][0]["free"] == CIRCUITS && status["groups"][0]["link"] == "up"
         });
         site
     }
 
-    fn calls(&self) -> SocketAddr {
+    fn calls_addr(&self) -> SocketAddr {
         self.controller.ready["calls"].as_str().unwrap().parse().unwrap()
     }
 
@@ -42,189 +42,195 @@
         self.controller.status()
     }
 
-    fn until(&self, what: &str, holds: impl Fn(&Value) -> bool) -> Value {
-        self.controller.wait_until(what, holds)
+    fn wait_until(&self, description: &str, reached: impl Fn(&Value) -> bool) -> Value {
+        self.controller.wait_until(description, reached)
     }
 
-    /// All circuits are back, and no call is in hand.
-    fn at_rest(&self) {
-        self.until("rest", |status| status["calls"] == 0 && status["groups"][0]["free"] == CIRCUITS);
+    /// Waits until all circuits are free and the controller has no calls.
+    fn wait_until_idle(&self) {
+        self.wait_until("no calls and all circuits free", |status| {
+            status["calls"] == 0 && status["groups"][0]["free"] == CIRCUITS
+        });
         assert_eq!(self.far.tally().in_use, 0);
     }
 
     fn client(&self) -> Client {
-        Client::connect(vec![self.calls()], SessionConfig::named("test"), TIMEOUT).unwrap()
+        Client::connect(vec![self.calls_addr()], SessionConfig::named("test"), TIMEOUT).unwrap()
     }
 
-    /// The far exchange saw no call with two seizures out, none sent again too soon, and the controller stops in order.
-    fn over(self) {
-        let tally = self.far.tally();
-        assert_eq!((tally.second_out, tally.too_soon), (0, 0), "{tally:?}");
+    /// Checks that the far exchange saw no call with two seizures at a time and none that was sent again too soon, and that the
+    /// controller stops in order.
+    fn finish(self) {
+        let counters = self.far.tally();
+        assert_eq!((counters.second_out, counters.too_soon), (0, 0), "{counters:?}");
         assert_eq!(self.controller.stop(), Some(0));
     }
 }
 
-/// A connection by hand: it reads only when asked to, and is cut by being dropped.
-struct Ws {
+/// A WebSocket connection under control of the test: it reads only on request, and dropping it cuts the connection.
+struct RawClient {
     stream: TcpStream,
-    end: Box<WebSocketConnection>,
+    connection: Box<WebSocketConnection>,
 }
 
-impl Ws {
-    fn open(to: SocketAddr) -> Self {
-        let mut stream = TcpStream::connect(to).unwrap();
+impl RawClient {
+    fn open(addr: SocketAddr) -> Self {
+        let mut stream = TcpStream::connect(addr).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
-        let (mut dialled, request) = ClientHandshake::new(to, 1 << 20).unwrap();
+        let (mut handshake, request) = ClientHandshake::new(addr, 1 << 20).unwrap();
         stream.write_all(&request).unwrap();
         let mut buffer = [0; 4096];
         loop {
             let count = stream.read(&mut buffer).unwrap();
-            match dialled.push(&buffer[..count]) {
-                ClientHandshakeState::Open(end) => return Self { stream, end },
+            match handshake.push(&buffer[..count]) {
+                ClientHandshakeState::Open(connection) => return Self { stream, connection },
                 ClientHandshakeState::Incomplete => {}
                 ClientHandshakeState::Rejected(why) => panic!("{why}"),
             }
         }
     }
 
-    fn say(&mut self, text: &Value) -> std::io::Result<()> {
-        self.end.send_text(&text.to_string());
-        self.stream.write_all(&std::mem::take(self.end.output()))
+    fn send(&mut self, text: &Value) -> std::io::Result<()> {
+        self.connection.send_text(&text.to_string());
+        self.stream.write_all(&std::mem::take(self.connection.output()))
     }
 
-    /// The next text, or how the connection ended.
-    fn hear(&mut self) -> Result<Value, CloseInfo> {
+    /// The next text, or the close information of the connection.
+    fn receive(&mut self) -> Result<Value, CloseInfo> {
         let mut buffer = [0; 1];
         let mut texts = Vec::new();
         while texts.is_empty() {
-            // One octet at a time: no text that follows is taken with it.
+            // One octet at a time, so that no part of the following text is read.
             match self.stream.read(&mut buffer) {
                 Ok(1) => {}
-                other => panic!("{other:?}, {:?}", self.end.close_info()),
+                other => panic!("{other:?}, {:?}", self.connection.close_info()),
             }
-            self.end.on_octets(&buffer, &mut |event| match event {
+            self.connection.on_octets(&buffer, &mut |event| match event {
                 WebSocketEvent::Text(text) => texts.push(text),
                 WebSocketEvent::PingOrPong => {}
             });
-            if let Some(ended) = self.end.close_info() {
-                return Err(ended.clone());
+            if let Some(close_info) = self.connection.close_info() {
+                return Err(close_info.clone());
             }
         }
         Ok(serde_json::from_str(&texts[0]).unwrap())
     }
 
-    fn ask(&mut self, method: &str, params: Value) -> Value {
-        self.say(&json!({ "jsonrpc": "2.0", "id": "a", "method": method, "params": params })).unwrap();
-        self.hear().unwrap()
+    fn request(&mut self, method: &str, params: Value) -> Value {
+        self.send(&json!({ "jsonrpc": "2.0", "id": "a", "method": method, "params": params })).unwrap();
+        self.receive().unwrap()
     }
 
     fn hello(&mut self, resume: Option<&Value>) -> Value {
         let mut hello = json!({ "client": "test", "resumable": true });
         resume.iter().for_each(|key| hello["resume"] = (*key).clone());
-        self.ask("session.hello", hello)["result"].clone()
+        self.request("session.hello", hello)["result"].clone()
     }
 
-    fn offer(&mut self, call: u64, left_ms: u64) {
-        let params = json!({ "call": call, "dest": 2, "number": 5_550_000 + call, "time_left_ms": left_ms });
-        self.say(&json!({ "jsonrpc": "2.0", "id": call, "method": "call.offer", "params": params })).unwrap();
+    fn offer(&mut self, call: u64, time_left_ms: u64) {
+        let params =
+            json!({ "call": call, "dest": 2, "number": 5_550_000 + call, "time_left_ms": time_left_ms });
+        self.send(&json!({ "jsonrpc": "2.0", "id": call, "method": "call.offer", "params": params }))
+            .unwrap();
     }
 }
 
+/// An exchange that answers no set-up.
 fn silent() -> FarPlan {
     FarPlan { silent: 1.0, ..FarPlan::default() }
 }
 
 #[test]
-fn a_client_that_vanishes_with_a_seizure_out_leaves_no_circuit_taken() {
+fn a_client_that_disappears_during_a_seizure_leaves_no_circuit_occupied() {
     let site = Site::start("vanish.json", silent(), json!({}));
-    let mut client = Ws::open(site.calls());
+    let mut client = RawClient::open(site.calls_addr());
     client.offer(1, 8000);
-    site.until("the seizure", |status| status["groups"][0]["seized"] == 1);
+    site.wait_until("the seizure", |status| status["groups"][0]["seized"] == 1);
     drop(client);
-    site.at_rest();
+    site.wait_until_idle();
     assert_eq!(site.far.tally().given_up, 1);
-    site.over();
+    site.finish();
 }
 
 #[test]
-fn an_exchange_that_answers_after_the_caller_gave_up_is_not_told_to_the_caller() {
+fn an_answer_after_the_caller_cancelled_is_not_reported_to_the_caller() {
     let site =
         Site::start("late.json", FarPlan { answer_ms: [700.0, 700.0], ..FarPlan::default() }, json!({}));
     let mut client = site.client();
     let call = client.start(offer(2, 5_551_000, Duration::from_secs(5))).unwrap();
-    site.until("the seizure", |status| status["groups"][0]["seized"] == 1);
-    let asked = Instant::now();
+    site.wait_until("the seizure", |status| status["groups"][0]["seized"] == 1);
+    let cancelled_at = Instant::now();
     client.cancel(call);
     assert_eq!(client.outcome(call).unwrap(), CallOutcome::Fails);
-    assert!(asked.elapsed() < Duration::from_millis(600), "answered at once, not when the exchange would");
+    assert!(cancelled_at.elapsed() < Duration::from_millis(600), "the answer must not wait for the exchange");
     assert_eq!(client.next_event(Duration::from_millis(900)), None);
-    site.at_rest();
-    site.over();
+    site.wait_until_idle();
+    site.finish();
 }
 
 #[test]
-fn an_offer_sent_twice_is_one_call_on_one_session_and_two_on_two() {
+fn a_repeated_offer_is_one_call_on_the_same_session_and_another_call_on_another() {
     let site =
         Site::start("twice.json", FarPlan { answer_ms: [300.0, 300.0], ..FarPlan::default() }, json!({}));
-    let (mut one, mut two) = (Ws::open(site.calls()), Ws::open(site.calls()));
+    let (mut one, mut two) = (RawClient::open(site.calls_addr()), RawClient::open(site.calls_addr()));
     (0..2).for_each(|_| one.offer(7, 5000));
     two.offer(7, 5000);
-    assert_eq!(one.hear().unwrap()["error"]["code"], -32002, "in hand");
-    let answer = one.hear().unwrap();
+    assert_eq!(one.receive().unwrap()["error"]["code"], -32002, "the call is in progress");
+    let answer = one.receive().unwrap();
     assert_eq!(answer["result"]["answer"], "stands");
     one.offer(7, 5000);
-    assert_eq!(one.hear().unwrap(), answer, "the same again");
-    assert_eq!(two.hear().unwrap()["result"]["answer"], "stands");
+    assert_eq!(one.receive().unwrap(), answer, "the same answer");
+    assert_eq!(two.receive().unwrap()["result"]["answer"], "stands");
     let status = site.status();
     assert_eq!((&status["counts"]["offered"], &status["calls"]), (&json!(2), &json!(2)));
     drop((one, two));
-    site.at_rest();
-    site.over();
+    site.wait_until_idle();
+    site.finish();
 }
 
 #[test]
-fn a_session_taken_up_after_a_cut_hears_the_answer_that_was_due() {
+fn a_session_resumed_after_a_cut_receives_the_pending_answer() {
     let site =
         Site::start("resume.json", FarPlan { answer_ms: [400.0, 400.0], ..FarPlan::default() }, json!({}));
-    let mut before = Ws::open(site.calls());
-    let welcome = before.hello(None);
+    let mut before = RawClient::open(site.calls_addr());
+    let hello = before.hello(None);
     before.offer(1, 5000);
-    site.until("the seizure", |status| status["groups"][0]["seized"] == 1);
+    site.wait_until("the seizure", |status| status["groups"][0]["seized"] == 1);
     drop(before);
-    site.until("the answer", |status| status["counts"]["stood"] == 1);
-    let mut after = Ws::open(site.calls());
-    let welcome = after.hello(Some(&welcome["session"]));
-    assert_eq!((&welcome["calls"][0]["state"], &welcome["owed"]), (&json!("stands"), &json!(1)));
-    assert_eq!(after.hear().unwrap()["result"]["answer"], "stands");
-    assert_eq!(after.ask("call.hangup", json!({ "call": 1 }))["result"]["call"], 1);
-    site.at_rest();
-    site.over();
+    site.wait_until("the answer", |status| status["counts"]["stood"] == 1);
+    let mut after = RawClient::open(site.calls_addr());
+    let hello = after.hello(Some(&hello["session"]));
+    assert_eq!((&hello["calls"][0]["state"], &hello["owed"]), (&json!("stands"), &json!(1)));
+    assert_eq!(after.receive().unwrap()["result"]["answer"], "stands");
+    assert_eq!(after.request("call.hangup", json!({ "call": 1 }))["result"]["call"], 1);
+    site.wait_until_idle();
+    site.finish();
 }
 
 #[test]
-fn a_client_that_gives_no_sign_of_life_is_dropped_and_its_calls_hung_up() {
-    let quick = json!({ "calls": { "listen": "127.0.0.1:0", "quiet_ms": 300, "answer_ms": 300 } });
-    let site = Site::start("half-open.json", FarPlan::default(), quick);
-    let mut gone = Ws::open(site.calls());
-    gone.offer(1, 5000);
-    assert_eq!(gone.hear().unwrap()["result"]["answer"], "stands");
-    // Another answers pings, being read, and stays.
-    let mut lives = site.client();
-    assert!(matches!(lives.call(offer(2, 5_551_000, TIMEOUT)).unwrap(), CallOutcome::Stands { .. }));
-    // Nothing is read from the first any more, so that no ping is answered.
+fn a_client_that_answers_no_ping_is_disconnected_and_its_calls_are_hung_up() {
+    let short_timeouts = json!({ "calls": { "listen": "127.0.0.1:0", "quiet_ms": 300, "answer_ms": 300 } });
+    let site = Site::start("half-open.json", FarPlan::default(), short_timeouts);
+    let mut unresponsive = RawClient::open(site.calls_addr());
+    unresponsive.offer(1, 5000);
+    assert_eq!(unresponsive.receive().unwrap()["result"]["answer"], "stands");
+    // The second client reads, so it answers pings and stays connected.
+    let mut responsive = site.client();
+    assert!(matches!(responsive.call(offer(2, 5_551_000, TIMEOUT)).unwrap(), CallOutcome::Stands { .. }));
+    // The first client reads no more, so it answers no ping.
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
-        assert_eq!(lives.next_event(Duration::from_millis(100)), None);
+        assert_eq!(responsive.next_event(Duration::from_millis(100)), None);
     }
     let status = site.status();
     assert_eq!((&status["lines"], &status["calls"]), (&json!(1), &json!(1)), "{status}");
-    lives.close();
-    site.at_rest();
-    site.over();
+    responsive.close();
+    site.wait_until_idle();
+    site.finish();
 }
 
 #[test]
-fn a_client_that_never_reads_is_closed_and_costs_the_others_nothing() {
+fn a_client_that_never_reads_is_disconnected_without_affecting_others() {
     let limits = json!({ "calls": { "listen": "127.0.0.1:0", "most_unread": 65_536 },
         "limits": { "requests_per_s": 1e9, "requests_at_once": 1e9 } });
     let site = Site::start("never-reads.json", FarPlan::default(), limits);
@@ -232,108 +238,109 @@
     let CallOutcome::Stands { exchange_call } = good.call(offer(2, 5_551_000, TIMEOUT)).unwrap() else {
         panic!()
     };
-    let mut bad = Ws::open(site.calls());
+    let mut bad = RawClient::open(site.calls_addr());
     bad.stream.set_write_timeout(Some(TIMEOUT)).unwrap();
     let get = json!({ "jsonrpc": "2.0", "id": 1, "method": "trace.get", "params": { "exchange_call": exchange_call } });
-    // The machine's own buffers take some megabytes before any wait here; what comes once it is closed is not wanted.
-    let _ = (0..50_000).try_for_each(|_| bad.say(&get));
-    site.until("one line", |status| status["lines"] == 1);
+    // The socket buffers of the system hold some megabytes before a write blocks. The controller may close the connection on the
+    // way: write errors are ignored.
+    let _ = (0..50_000).try_for_each(|_| bad.send(&get));
+    site.wait_until("one line", |status| status["lines"] == 1);
     let start = Instant::now();
-    while bad.say(&get).is_ok() {
-        assert!(start.elapsed() < TIMEOUT, "it may go on for ever");
+    while bad.send(&get).is_ok() {
+        assert!(start.elapsed() < TIMEOUT, "the connection is not closed");
     }
     assert!(matches!(good.call(offer(2, 5_551_001, TIMEOUT)).unwrap(), CallOutcome::Stands { .. }));
     good.close();
-    site.at_rest();
-    site.over();
+    site.wait_until_idle();
+    site.finish();
 }
 
 #[test]
-fn quiet_sessions_are_served_beside_one_that_offers_ten_times_as_much() {
+fn a_session_within_its_share_is_served_beside_one_that_offers_ten_times_as_much() {
     let far = FarPlan { per_s: 100.0, ..FarPlan::default() };
     let shares = json!({ "limits": { "unanswered": 4, "waiting": 100 },
         "customers": [{ "name": "quiet", "share": 1 }, { "name": "greedy", "share": 1 }] });
     let site = Site::start("greedy.json", far, shares);
-    let mut greedy = Ws::open(site.calls());
+    let mut greedy = RawClient::open(site.calls_addr());
     for call in 1..=150 {
         let params = json!({ "call": call, "customer": 1, "dest": 2, "number": call, "time_left_ms": 2000 });
         greedy
-            .say(&json!({ "jsonrpc": "2.0", "id": call, "method": "call.offer", "params": params }))
+            .send(&json!({ "jsonrpc": "2.0", "id": call, "method": "call.offer", "params": params }))
             .unwrap();
     }
     let mut quiet = site.client();
-    for no in 0..15 {
-        let outcome = quiet.call(offer(2, 5_551_000 + no, Duration::from_secs(10))).unwrap();
-        assert!(matches!(outcome, CallOutcome::Stands { .. }), "quiet call {no}: {outcome:?}");
-        quiet.hang_up(no + 1);
+    for number in 0..15 {
+        let outcome = quiet.call(offer(2, 5_551_000 + number, Duration::from_secs(10))).unwrap();
+        assert!(matches!(outcome, CallOutcome::Stands { .. }), "quiet call {number}: {outcome:?}");
+        quiet.hang_up(number + 1);
     }
-    let answers: Vec<Value> = (0..150).map(|_| greedy.hear().unwrap()["result"].clone()).collect();
+    let answers: Vec<Value> = (0..150).map(|_| greedy.receive().unwrap()["result"].clone()).collect();
     let refused = answers.iter().filter(|answer| answer["answer"] == "refused").collect::<Vec<_>>();
     assert!(refused.len() > 20 && refused.iter().all(|answer| answer["come_back_ms"].as_u64() >= Some(500)));
     drop(greedy);
     quiet.close();
-    site.at_rest();
-    site.over();
+    site.wait_until_idle();
+    site.finish();
 }
 
 #[test]
-fn a_stop_with_calls_in_progress_answers_them_and_says_good_bye() {
+fn a_stopped_controller_answers_and_ends_its_calls_then_closes_the_connection() {
     let mut site = Site::start(
         "stop-calls.json",
         FarPlan { answer_ms: [500.0, 500.0], ..FarPlan::default() },
         json!({}),
     );
-    let mut client = Ws::open(site.calls());
+    let mut client = RawClient::open(site.calls_addr());
     client.offer(1, 5000);
-    assert_eq!(client.hear().unwrap()["result"]["answer"], "stands");
+    assert_eq!(client.receive().unwrap()["result"]["answer"], "stands");
     client.offer(2, 5000);
-    site.until("the second seizure", |status| status["groups"][0]["seized"] == 1);
+    site.wait_until("the second seizure", |status| status["groups"][0]["seized"] == 1);
     site.controller.kill("-TERM");
-    // Offered after that it is refused; what was out is answered, and what stands is ended, each once.
-    let mut heard = Vec::new();
-    let ended = loop {
-        match client.hear() {
-            Ok(text) => heard.push(text),
-            Err(ended) => break ended,
+    // A call offered after the stop is refused. The outstanding call is answered and each standing call is ended, each once.
+    let mut received = Vec::new();
+    let close_info = loop {
+        match client.receive() {
+            Ok(text) => received.push(text),
+            Err(close_info) => break close_info,
         }
     };
-    assert_eq!(heard[0]["result"]["call"], 2);
-    let over: Vec<_> = heard[1..].iter().map(|text| (&text["method"], &text["params"]["call"])).collect();
-    let note = json!("call.ended");
-    let standing = usize::from(heard[0]["result"]["answer"] == "stands");
-    assert_eq!(over.len(), 1 + standing, "{heard:?}");
-    assert!(over.iter().all(|(method, _)| **method == note));
-    assert_eq!((ended.code, ended.by_far_end), (1001, true));
+    assert_eq!(received[0]["result"]["call"], 2);
+    let ended: Vec<_> = received[1..].iter().map(|text| (&text["method"], &text["params"]["call"])).collect();
+    let call_ended = json!("call.ended");
+    let standing = usize::from(received[0]["result"]["answer"] == "stands");
+    assert_eq!(ended.len(), 1 + standing, "{received:?}");
+    assert!(ended.iter().all(|(method, _)| **method == call_ended));
+    assert_eq!((close_info.code, close_info.by_far_end), (1001, true));
     assert_eq!(site.controller.wait(), Some(0));
 }
 
 #[test]
-fn an_accept_storm_is_paced_and_everybody_gets_in() {
+fn a_burst_of_connections_is_paced_and_all_are_accepted() {
     let limits = json!({ "limits": { "opens_per_s": 100, "opens_at_once": 20 } });
     let site = Site::start("storm.json", FarPlan::default(), limits);
-    let mut early = site.client();
+    let mut first = site.client();
     let clients: Vec<_> = (0..40)
         .map(|_| {
-            let to = site.calls();
+            let addr = site.calls_addr();
             std::thread::spawn(move || {
-                Client::connect(vec![to], SessionConfig::named("storm"), TIMEOUT).map(Client::close).is_ok()
+                Client::connect(vec![addr], SessionConfig::named("storm"), TIMEOUT).map(Client::close).is_ok()
             })
         })
         .collect();
-    assert!(matches!(early.call(offer(2, 5_551_000, TIMEOUT)).unwrap(), CallOutcome::Stands { .. }));
+    assert!(matches!(first.call(offer(2, 5_551_000, TIMEOUT)).unwrap(), CallOutcome::Stands { .. }));
     assert!(clients.into_iter().all(|client| client.join().unwrap()));
-    early.close();
-    site.at_rest();
-    site.over();
+    first.close();
+    site.wait_until_idle();
+    site.finish();
 }
 
 #[test]
-fn what_a_browser_page_or_a_broken_client_sends_has_its_stated_answer() {
+fn browser_pages_and_broken_clients_get_the_documented_errors() {
     let site = Site::start("broken.json", FarPlan::default(), json!({}));
-    let (_, request) = ClientHandshake::new(site.calls(), 100).unwrap();
+    let (_, request) = ClientHandshake::new(site.calls_addr(), 100).unwrap();
     let request = String::from_utf8(request).unwrap();
-    let knock = |request: &str| {
-        let mut stream = TcpStream::connect(site.calls()).unwrap();
+    let status_line = |request: &str| {
+        let mut stream = TcpStream::connect(site.calls_addr()).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.write_all(request.as_bytes()).unwrap();
         let mut answer = String::new();
@@ -341,50 +348,50 @@
         answer.lines().next().unwrap_or_default().to_string()
     };
     assert_eq!(
-        knock(&request.replace("Host:", "Origin: https://elsewhere\r\nHost:")),
+        status_line(&request.replace("Host:", "Origin: https://elsewhere\r\nHost:")),
         "HTTP/1.1 403 Forbidden"
     );
-    assert_eq!(knock(&request.replace("calls.v1", "calls.v9")), "HTTP/1.1 400 Bad Request");
-    assert_eq!(knock("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), "HTTP/1.1 404 Not Found");
+    assert_eq!(status_line(&request.replace("calls.v1", "calls.v9")), "HTTP/1.1 400 Bad Request");
+    assert_eq!(status_line("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), "HTTP/1.1 404 Not Found");
     for (octets, code) in [(&[0x82, 0x80, 0, 0, 0, 0][..], 1003), (&[0x81, 0x81, 0, 0, 0, 0, 0xff], 1007)] {
-        let mut client = Ws::open(site.calls());
+        let mut client = RawClient::open(site.calls_addr());
         client.stream.write_all(octets).unwrap();
-        assert_eq!(client.hear().unwrap_err().code, code);
+        assert_eq!(client.receive().unwrap_err().code, code);
     }
-    site.over();
+    site.finish();
 }
 
 #[test]
-fn the_blocking_client_survives_a_controller_that_is_killed() {
+fn the_blocking_client_survives_a_killed_controller() {
     let mut site = Site::start("killed.json", FarPlan::default(), json!({}));
-    let nobody = site.calls();
+    let addr = site.calls_addr();
     let mut client = site.client();
     let call = client.start(offer(2, 5_551_000, TIMEOUT)).unwrap();
     assert!(matches!(client.outcome(call).unwrap(), CallOutcome::Stands { .. }));
     site.controller.kill("-KILL");
     site.controller.wait();
     assert!(matches!(client.next_event(TIMEOUT), Some(Event::Disconnected { .. })));
-    // Nothing is there to dial: the offer is kept for its caller's time, then said to be lost.
+    // No controller can be reached: the offer is kept until the caller's time is over, then reported as lost.
     let call = client.start(offer(2, 5_551_001, Duration::from_millis(600))).unwrap();
-    assert_eq!(client.outcome(call).unwrap(), CallOutcome::Lost, "{nobody}");
+    assert_eq!(client.outcome(call).unwrap(), CallOutcome::Lost, "{addr}");
 }
 
 #[test]
-fn a_stop_does_not_wait_for_a_caller_whose_time_is_longer_than_its_own() {
-    // It answers no pings while it waits.
-    let patient = json!({ "calls": { "listen": "127.0.0.1:0", "quiet_ms": 300_000 },
+fn a_stop_does_not_wait_for_a_caller_longer_than_its_own_time_limit() {
+    // The client answers no pings while it waits for its answer.
+    let long_times = json!({ "calls": { "listen": "127.0.0.1:0", "quiet_ms": 300_000 },
                           "call_types": [{ "name": "call", "setup_target_ms": 600_000, "guard_time_ms": 600_000,
                                            "revenue": 1, "mean_hold_ms": 10_000 }] });
-    let mut site = Site::start("patient.json", silent(), patient);
-    let mut client = Ws::open(site.calls());
+    let mut site = Site::start("patient.json", silent(), long_times);
+    let mut client = RawClient::open(site.calls_addr());
     client.stream.set_read_timeout(Some(4 * TIMEOUT)).unwrap();
     client.offer(1, 500_000);
-    site.until("the seizure", |status| status["groups"][0]["seized"] == 1);
+    site.wait_until("the seizure", |status| status["groups"][0]["seized"] == 1);
     site.controller.kill("-TERM");
-    let asked = Instant::now();
-    assert_eq!(client.hear().unwrap()["result"]["answer"], "fails");
-    assert_eq!(client.hear().unwrap_err().code, 1001);
-    assert!(asked.elapsed() < 3 * TIMEOUT, "the stop's own bound, not the caller's time");
+    let stopped_at = Instant::now();
+    assert_eq!(client.receive().unwrap()["result"]["answer"], "fails");
+    assert_eq!(client.receive().unwrap_err().code, 1001);
+    assert!(stopped_at.elapsed() < 3 * TIMEOUT, "the stop waited for the caller's time");
     assert_eq!(site.controller.wait(), Some(0));
-    assert_eq!(site.far.tally().in_use, 0, "its seizure is released before the process ends");
+    assert_eq!(site.far.tally().in_use, 0, "the seizure was not released before the process ended");
 }
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -89,14 +89,14 @@
     assert!(report["taken_up"].as_u64() > Some(5), "{report}");
     // All circuits become free again.
     let mut admin = controller.connect("admin");
-    let at_rest = (0..400).any(|_| {
+    let idle = (0..400).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
         let status = request(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#)["result"].clone();
         status["calls"] == 0 && status["lines"] == 0 && status["groups"][0]["free"] == CIRCUITS
     });
-    let tally = far.tally();
-    assert!(at_rest, "{tally:?}");
-    assert_eq!((tally.second_out, tally.too_soon), (0, 0), "{tally:?}");
+    let counters = far.tally();
+    assert!(idle, "{counters:?}");
+    assert_eq!((counters.second_out, counters.too_soon), (0, 0), "{counters:?}");
     assert_eq!(controller.stop(), Some(0));
 }
 
