--- a/crates/planner/src/analysis.rs
+++ b/crates/planner/src/analysis.rs
@@ -32,8 +32,8 @@
     groups.chain(processors).collect()
 }
 
-/// Bottlenecks in the order in which growth of the traffic saturates them, from `min_growth` to `max_growth` in steps of at most
-/// `step` (at least 0.001, and at most 10,000 steps).
+/// Bottlenecks in the order in which growth of the traffic saturates them, from `min_growth` to `max_growth` in equal steps of at
+/// most `step`. A `step` below 0.001 counts as 0.001, and there are at most 10,000 steps.
 ///
 /// `on_progress` is called after each step with the share of the work done, from 0 to 1.
 pub fn saturation_points(
