--- a/crates/callapi/src/lib.rs
+++ b/crates/callapi/src/lib.rs
@@ -1,8 +1,9 @@
-//! Call-control messages: JSON-RPC 2.0 texts to types and back, without I/O.
+//! Call-control messages: parses JSON-RPC 2.0 texts to types and writes them, without I/O.
 //!
-//! A subscriber line carries one text a line ([`LineDecoder`]), a WebSocket connection one a message. A call is named by its
-//! client's own number, unique in its session; answers also tell the number that the exchange gave it. The reference for
-//! those who write clients is `docs/call-control.md`; its examples are read by the tests here.
+//! A subscriber line carries one message per line of text ([`LineDecoder`]), a WebSocket connection one per WebSocket
+//! message. The client names a call by its own number, which is unique in the session; answers also carry the number that
+//! the exchange gave the call. The reference for authors of clients is `docs/call-control.md`; the tests of this crate
+//! check its examples.
 
 mod line_decoder;
 mod schema;
@@ -18,79 +19,81 @@
 pub use line_decoder::{LineDecoder, LineTooLong};
 pub use schema::schema;
 
-/// `call.offer`: asks for a call. Its result is the call's one final answer.
+/// `call.offer`: requests a call. The result is the call's only final answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Offer {
-    /// The client's own number for it, not in use on this line.
+    /// The client's own number for the call. No other call of the session may be using it.
     pub call: u64,
-    /// Position in the configuration's list of call types.
+    /// Index in the configuration's list of call types.
     #[serde(rename = "type", default)]
     pub call_type: u8,
-    /// Which customer's subscriber calls.
+    /// The customer to which the calling subscriber belongs.
     #[serde(default)]
     pub customer: u16,
     /// The number of the destination exchange.
     pub dest: u16,
-    /// The number dialled there.
+    /// The number dialled at the destination exchange.
     pub number: u64,
-    /// How long the caller waits for the final answer, milliseconds.
+    /// How long the caller waits for the final answer, in milliseconds.
     pub time_left_ms: u32,
-    /// The tandem that a centre advises.
+    /// The tandem exchange that a routing centre advises.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advised: Option<u16>,
-    /// It stood, was cut, and comes again.
+    /// The call was standing, was cut, and is offered again.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub cut: bool,
-    /// Its caller dials again.
+    /// The caller redials.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub redial: bool,
 }
 
-/// `call.hangup`: the caller gives up, or ends a call that stands.
+/// `call.hangup`: the caller gives up an unanswered call, or ends a standing one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Hangup {
     pub call: u64,
 }
 
-/// `call.cancel`: gives up a call that has no answer yet; it gets its answer, `fails`, at once.
+/// `call.cancel`: gives up an unanswered call; its final answer is `fails` and is sent at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Cancel {
     pub call: u64,
 }
 
-/// `call.get`: asks where a call is.
+/// `call.get`: requests the state of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Get {
     pub call: u64,
 }
 
-/// `trace.get`: asks what became of a call, step by step.
+/// `trace.get`: requests the recorded steps of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TraceGet {
-    /// The number that the exchange which took it gave it.
+    /// The number given to the call by the exchange to which it was offered.
     pub exchange_call: u64,
-    /// That exchange, if another.
+    /// The number of that exchange, if it is not this one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<u16>,
 }
 
-/// The result of `trace.get`: what became of the call here, oldest step first.
+/// The result of `trace.get`: the steps of the call at this exchange, oldest first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct Traced {
+#[schemars(rename = "Traced")]
+#[serde(expecting = "struct Traced")]
+pub struct TraceResult {
     pub traces: Vec<CallTrace>,
 }
 
-/// A call's way through one exchange.
+/// The trace of a call through one exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct CallTrace {
-    /// The number of the call here.
+    /// The number of the call at this exchange.
     pub call: u64,
-    /// The exchange that took it, and the number it gave it.
+    /// The exchange to which the call was offered; `origin_call` is the number that it gave the call.
     pub origin: u16,
     pub origin_call: u64,
     #[serde(rename = "type")]
@@ -98,50 +101,50 @@
     pub customer: u16,
     pub dest: u16,
     pub number: u64,
-    /// Steps that there was no room for.
+    /// How many steps were not recorded for lack of room.
     pub left_out: u32,
-    /// Each has `step`, its name, `at_ms`, milliseconds since the first, and what belongs to it.
+    /// Each step has its name in `step`, the milliseconds since the first step in `at_ms`, and fields of its own.
     pub steps: Vec<Value>,
 }
 
-/// The result of `call.get`, and what `session.hello` tells of each call taken up.
+/// The result of `call.get`; `session.hello` also lists one for each call resumed with the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct CallState {
     pub call: u64,
-    /// The number that the exchange gave it; 0 while it waits for its turn.
+    /// The number that the exchange gave the call; 0 while the call is queued for admission.
     pub exchange_call: u64,
     #[serde(flatten)]
     pub state: CallStatus,
 }
 
-/// Where a call is.
+/// The state of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "state", rename_all = "snake_case")]
 #[schemars(rename = "State")]
 pub enum CallStatus {
-    /// For its turn.
+    /// Queued for admission.
     Waits,
-    /// A route is looked for, or tried.
+    /// A route is being chosen or tried.
     Offered,
     Stands,
-    /// It is not in hand any more; its final answer was this.
+    /// No longer in hand. `answer` was its final answer.
     Over {
         answer: FinalAnswer,
     },
 }
 
-/// `session.hello`: says who asks, where the controller wants to know.
+/// `session.hello`: identifies the client, where the controller requires it, and sets up or resumes a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Hello {
-    /// What the client calls itself, for the log.
+    /// The client's name for the log.
     pub client: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token: Option<String>,
-    /// Keep the session for a while after a cut: the result tells its key.
+    /// Asks that the session be kept for some time after a lost connection. The result carries the session's key.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub resumable: bool,
-    /// The key of a session that was cut, to be taken up here; nothing may have been asked for before.
+    /// The key of a session to resume here after a lost connection. Must come before any other request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume: Option<String>,
 }
@@ -153,39 +156,44 @@
     pub server: String,
     pub version: String,
     pub exchange: u16,
-    /// The token's name, where one was presented.
+    /// The name of the token, if the client presented one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token: Option<String>,
     pub limits: SessionLimits,
-    /// The session's key, where it is resumable.
+    /// The session's key, if the session is resumable.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub session: Option<String>,
-    /// Calls in hand that were taken up with the session.
+    /// Calls in hand that were resumed with the session.
     pub calls: Vec<CallState>,
-    /// Texts that were to be said while it was cut: so many follow this one.
-    pub owed: usize,
+    /// How many messages became due while the connection was lost. They follow this result.
+    #[serde(rename = "owed")]
+    pub pending_messages: usize,
 }
 
-/// What a session may do here; beyond it, errors and refusals say so.
+/// The limits of a session at this exchange. Requests beyond them are answered by errors or by refused calls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct SessionLimits {
-    /// Calls in hand in one session, and of one customer.
+    /// Calls in hand per session.
     pub calls_a_session: usize,
+    /// Calls in hand per customer.
     pub calls_a_customer: usize,
-    /// Offers, and requests of any kind, a second.
+    /// Offers per second.
     pub offers_per_s: f64,
+    /// Requests of any kind per second, offers included.
     pub requests_per_s: f64,
-    /// Octets of the longest text.
+    /// The maximum length of a message in octets.
     pub text_octets: usize,
-    /// How long a resumable session is kept after a cut, milliseconds.
+    /// How long a resumable session is kept after its connection is lost, in milliseconds.
     pub kept_ms: u64,
-    /// How long an answer is remembered for an offer that comes again under its number, milliseconds.
+    /// How long a final answer is kept for an offer that is repeated under the same number, in milliseconds.
     pub repeat_ms: u64,
 }
 
-/// The result of `calls.subscribe`: the number of the first event that will be told.
+/// The result of `calls.subscribe`: the number of the first event that will be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct Subscribed {
+#[schemars(rename = "Subscribed")]
+#[serde(expecting = "struct Subscribed")]
+pub struct SubscribeResult {
     pub cursor: u64,
 }
 
@@ -196,16 +204,16 @@
     pub call: u64,
 }
 
-/// `calls.subscribe`: what happens to calls is told as `call.news` from now on, or from a cursor.
+/// `calls.subscribe`: subscribes to the events of calls, sent as `call.news`, from now on or from a cursor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Subscribe {
-    /// The number of the first event wanted: one more than the last that was heard.
+    /// The number of the first event wanted: one more than that of the last event received.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cursor: Option<u64>,
 }
 
-/// What a client asks.
+/// A client's request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "method", content = "params")]
 pub enum Request {
@@ -225,7 +233,7 @@
     TraceGet(TraceGet),
 }
 
-/// A request and the id by which its reply names it; without one no reply is given.
+/// A request with its JSON-RPC id, which the reply repeats. A request without an id gets no reply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestMessage {
     pub id: Option<Value>,
@@ -238,7 +246,7 @@
 #[schemars(rename = "Final")]
 pub enum FinalAnswer {
     Stands,
-    /// Nothing was carried out. The caller is asked to stay away for so long, milliseconds (0: no word).
+    /// Nothing was done for the call. `come_back_ms`: wait before a redial, in milliseconds (0: not stated).
     Refused {
         come_back_ms: u32,
     },
@@ -256,7 +264,7 @@
     pub answer: FinalAnswer,
 }
 
-/// What `call.news` tells of a call.
+/// An event of a call, as sent in `call.news`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct CallEvent {
     pub exchange_call: u64,
@@ -270,12 +278,12 @@
 #[schemars(rename = "NewsNote")]
 #[serde(expecting = "struct NewsNote")]
 pub struct CallNewsNotification {
-    /// One more than that of the event before, whether or not this session may see that one.
+    /// One more than the number of the previous event, even if this session may not see that event.
     pub number: u64,
     pub event: CallEvent,
 }
 
-/// Notification `call.news.missed`: so many events were more than are kept for a slow reader.
+/// Notification `call.news.missed`: `count` events were dropped because the client read too slowly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "MissedNote")]
 #[serde(expecting = "struct MissedNote")]
@@ -316,11 +324,11 @@
 pub struct RpcError {
     pub code: i32,
     pub text: String,
-    /// When it may be asked again, milliseconds from now.
-    pub come_back_ms: Option<u64>,
+    /// The wait until the request may be repeated, in milliseconds. Sent as `data.come_back_ms`.
+    pub retry_after_ms: Option<u64>,
 }
 
-/// Error codes: those of JSON-RPC 2.0 clause 5.1, and ours from -32000 down.
+/// Error codes: those of JSON-RPC 2.0 clause 5.1, and those of this protocol below -32000.
 pub mod code {
     pub const PARSE: i32 = -32700;
     pub const INVALID_REQUEST: i32 = -32600;
@@ -328,18 +336,18 @@
     pub const INVALID_PARAMS: i32 = -32602;
     /// No such call is in hand.
     pub const UNKNOWN_CALL: i32 = -32001;
-    /// The client's number for the call is in use on this line.
+    /// Another call of the session uses the client's number.
     pub const NUMBER_IN_USE: i32 = -32002;
-    /// Too many calls on this line wait for an answer.
-    pub const TOO_MANY: i32 = -32003;
-    /// The session's token does not allow it, or there is none.
+    /// Too many calls are in hand, or too many connections are open.
+    pub const LIMIT_EXCEEDED: i32 = -32003;
+    /// The session's token does not allow the request, or the session has no token.
     pub const DENIED: i32 = -32004;
-    /// Requests come too fast; `data.come_back_ms` says when the next is read.
-    pub const TOO_FAST: i32 = -32005;
-    /// The call stands: it is hung up, not cancelled.
-    pub const STANDS: i32 = -32006;
+    /// The request rate is too high. `data.come_back_ms` is the wait until the next request is accepted.
+    pub const RATE_LIMITED: i32 = -32005;
+    /// The call stands, so it can be hung up but not cancelled.
+    pub const CALL_STANDS: i32 = -32006;
 
-    /// Each with what it means, for the schema and the reference.
+    /// All codes with their meanings, for the schema and the reference.
     pub const ALL: [(i32, &str); 10] = [
         (PARSE, "the text is not JSON"),
         (INVALID_REQUEST, "the text is no request of JSON-RPC 2.0; batches are not taken"),
@@ -350,25 +358,27 @@
         ),
         (UNKNOWN_CALL, "no such call is known"),
         (NUMBER_IN_USE, "the number is in use by another call of the session"),
-        (TOO_MANY, "too many calls are in hand, or too many connections are open"),
+        (LIMIT_EXCEEDED, "too many calls are in hand, or too many connections are open"),
         (DENIED, "the token does not allow it, or there is none"),
-        (TOO_FAST, "requests come too fast; data.come_back_ms says when the next is read"),
-        (STANDS, "the call stands: it is hung up, not cancelled"),
+        (RATE_LIMITED, "requests come too fast; data.come_back_ms says when the next is read"),
+        (CALL_STANDS, "the call stands: it is hung up, not cancelled"),
     ];
 }
 
 impl RpcError {
     pub fn new(code: i32, text: impl Into<String>) -> Self {
-        Self { code, text: text.into(), come_back_ms: None }
+        Self { code, text: text.into(), retry_after_ms: None }
     }
 }
 
 impl RequestMessage {
-    /// Reads one text; a fault comes with the id to reply to, null where it can't be known.
+    /// Parses one message. An error comes with the id for the reply: null if the message has none that can be used.
     pub fn read(text: &[u8]) -> Result<Self, (Value, RpcError)> {
-        let raw: RawAsked = match serde_json::from_slice(text) {
+        let raw: RawRequest = match serde_json::from_slice(text) {
             Ok(raw) => raw,
-            Err(error) => return Err((Value::Null, RpcError::new(shape(text), error.to_string()))),
+            Err(error) => {
+                return Err((Value::Null, RpcError::new(syntax_error_code(text), error.to_string())));
+            }
         };
         let id = raw.id.map(|id| serde_json::from_str::<Value>(id.get()).unwrap_or(Value::Null));
         let fail = |code, text: &str| (id.clone().unwrap_or(Value::Null), RpcError::new(code, text));
@@ -409,9 +419,10 @@
     }
 }
 
-/// A request as its text has it, its parts not read yet.
+/// The parts of a request before they are checked.
 #[derive(Deserialize)]
-struct RawAsked<'a> {
+#[serde(expecting = "struct RawAsked")]
+struct RawRequest<'a> {
     #[serde(borrow, default)]
     jsonrpc: Option<Cow<'a, str>>,
     #[serde(borrow, default)]
@@ -422,17 +433,17 @@
     params: Option<&'a RawValue>,
 }
 
-/// Whether a text that is no request is JSON at all.
-fn shape(text: &[u8]) -> i32 {
+/// The error code for a text that is not a request: it depends on whether the text is JSON at all.
+fn syntax_error_code(text: &[u8]) -> i32 {
     match serde_json::from_slice::<IgnoredAny>(text) {
         Ok(_) => code::INVALID_REQUEST,
         Err(_) => code::PARSE,
     }
 }
 
-/// Our own types always have a text.
-fn text(of: &impl Serialize) -> String {
-    serde_json::to_string(of).unwrap_or_default()
+/// The types of this crate always serialize, so the fallback is never used.
+fn text(message: &impl Serialize) -> String {
+    serde_json::to_string(message).unwrap_or_default()
 }
 
 pub fn result_text(id: &Value, result: impl Serialize) -> String {
@@ -445,15 +456,14 @@
     text(&Text { jsonrpc: "2.0", id, result })
 }
 
-pub fn error_text(id: &Value, fault: &RpcError) -> String {
-    let mut error = json!({ "code": fault.code, "message": fault.text });
-    if let Some(wait) = fault.come_back_ms {
-        error["data"] = json!({ "come_back_ms": wait });
+pub fn error_text(id: &Value, error: &RpcError) -> String {
+    let mut object = json!({ "code": error.code, "message": error.text });
+    if let Some(wait) = error.retry_after_ms {
+        object["data"] = json!({ "come_back_ms": wait });
     }
-    text(&json!({ "jsonrpc": "2.0", "id": id, "error": error }))
+    text(&json!({ "jsonrpc": "2.0", "id": id, "error": object }))
 }
 
-/// Any notification.
 pub fn notification_text(method: &str, params: impl Serialize) -> String {
     #[derive(Serialize)]
     struct Text<'a, P> {
@@ -464,29 +474,29 @@
     text(&Text { jsonrpc: "2.0", method, params })
 }
 
-pub fn ended_text(note: &CallEndedNotification) -> String {
-    notification_text("call.ended", note)
+pub fn ended_text(notification: &CallEndedNotification) -> String {
+    notification_text("call.ended", notification)
 }
 
-/// What comes back: a result, a fault, or a notification.
+/// A message from the server: a result, an error or a notification.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerMessage {
     Answered(OfferResult),
-    /// A result that is no answer of a call: the request's id and what it says.
+    /// The result of a request other than `call.offer`.
     Result {
         id: Value,
         result: Value,
     },
-    Fault {
+    Error {
         id: Value,
         code: i64,
         message: String,
-        come_back_ms: Option<u64>,
+        retry_after_ms: Option<u64>,
     },
     Ended(CallEndedNotification),
     News(CallNewsNotification),
     Missed(NewsMissedNotification),
-    /// A notification that this version does not know: passed over.
+    /// A notification that this version does not know; it is ignored.
     Other(String),
 }
 
@@ -522,12 +532,12 @@
             Some(other) => return Ok(Self::Other(other.to_string())),
         }
         if let Some(Error { code, message, data }) = raw.error {
-            let come_back_ms = data["come_back_ms"].as_u64();
-            return Ok(Self::Fault { id: raw.id, code, message, come_back_ms });
+            let retry_after_ms = data["come_back_ms"].as_u64();
+            return Ok(Self::Error { id: raw.id, code, message, retry_after_ms });
         }
         let result = raw.result.map_or("null", RawValue::get);
         match serde_json::from_str(result) {
-            Ok(answered) => Ok(Self::Answered(answered)),
+            Ok(answer) => Ok(Self::Answered(answer)),
             _ => Ok(Self::Result { id: raw.id, result: serde_json::from_str(result)? }),
         }
     }
@@ -538,17 +548,17 @@
     use super::*;
 
     #[test]
-    fn an_offer_is_read_and_written_the_same() {
+    fn an_offer_survives_parsing_and_writing() {
         let text = br#"{"jsonrpc":"2.0","id":7,"method":"call.offer","params":{"call":1,"dest":4,"number":55,"time_left_ms":3000}}"#;
-        let asked = RequestMessage::read(text).unwrap();
-        assert!(matches!(&asked.request, Request::Offer(offer) if offer.dest == 4 && offer.call_type == 0));
-        assert_eq!(RequestMessage::read(asked.text().as_bytes()).unwrap(), asked);
+        let message = RequestMessage::read(text).unwrap();
+        assert!(matches!(&message.request, Request::Offer(offer) if offer.dest == 4 && offer.call_type == 0));
+        assert_eq!(RequestMessage::read(message.text().as_bytes()).unwrap(), message);
     }
 
     #[test]
-    fn each_kind_of_bad_text_has_its_code_and_the_id_to_reply_to() {
+    fn each_kind_of_invalid_request_has_its_error_code_and_reply_id() {
         let code = |text: &str| {
-            RequestMessage::read(text.as_bytes()).map_err(|(id, fault)| (id, fault.code)).unwrap_err()
+            RequestMessage::read(text.as_bytes()).map_err(|(id, error)| (id, error.code)).unwrap_err()
         };
         assert_eq!(code("{"), (Value::Null, code::PARSE));
         assert_eq!(code("[]"), (Value::Null, code::INVALID_REQUEST));
@@ -559,35 +569,38 @@
     }
 
     #[test]
-    fn answers_and_ends_are_heard_as_said() {
+    fn answers_and_call_ends_survive_writing_and_parsing() {
         let answer =
             OfferResult { call: 3, exchange_call: 9, answer: FinalAnswer::Refused { come_back_ms: 500 } };
         assert_eq!(
             ServerMessage::read(result_text(&json!(3), answer).as_bytes()).unwrap(),
             ServerMessage::Answered(answer)
         );
-        let note = CallEndedNotification { call: 3, how: EndReason::Cut };
-        assert_eq!(ServerMessage::read(ended_text(&note).as_bytes()).unwrap(), ServerMessage::Ended(note));
+        let notification = CallEndedNotification { call: 3, how: EndReason::Cut };
+        assert_eq!(
+            ServerMessage::read(ended_text(&notification).as_bytes()).unwrap(),
+            ServerMessage::Ended(notification)
+        );
     }
 
-    /// The reference's examples, by direction.
+    /// The examples in the reference for one direction: `--> ` to the server, `<-- ` from it.
     fn examples(direction: &str) -> Vec<&'static str> {
         let page = include_str!("../../../docs/call-control.md");
         page.lines().filter_map(|line| line.strip_prefix("    ")?.strip_prefix(direction)).collect()
     }
 
     #[test]
-    fn each_method_of_the_reference_is_read_as_it_stands_there_and_none_is_left_out() {
+    fn the_reference_shows_every_method_and_its_requests_are_parsed() {
         let mut methods = std::collections::BTreeSet::new();
         for text in examples("--> ") {
-            let asked = RequestMessage::read(text.as_bytes())
-                .unwrap_or_else(|(_, fault)| panic!("{text}: {fault:?}"));
-            // Written back it says the same.
-            let (was, is): (Value, Value) =
-                (serde_json::from_str(text).unwrap(), serde_json::from_str(&asked.text()).unwrap());
-            methods.insert(was["method"].as_str().unwrap().to_string());
-            for (name, value) in was["params"].as_object().unwrap() {
-                assert_eq!(&is["params"][name], value, "{text}");
+            let message = RequestMessage::read(text.as_bytes())
+                .unwrap_or_else(|(_, error)| panic!("{text}: {error:?}"));
+            // The parsed request is written with the same parameters.
+            let (shown, written): (Value, Value) =
+                (serde_json::from_str(text).unwrap(), serde_json::from_str(&message.text()).unwrap());
+            methods.insert(shown["method"].as_str().unwrap().to_string());
+            for (name, value) in shown["params"].as_object().unwrap() {
+                assert_eq!(&written["params"][name], value, "{text}");
             }
         }
         let schema = schema();
@@ -597,13 +610,14 @@
     }
 
     #[test]
-    fn each_thing_that_is_heard_in_the_reference_has_every_field_it_shows() {
-        fn same<T: Serialize + serde::de::DeserializeOwned>(shown: &Value) {
+    fn server_messages_in_the_reference_have_the_fields_of_their_types() {
+        fn assert_round_trip<T: Serialize + serde::de::DeserializeOwned>(shown: &Value) {
             let read: T =
                 serde_json::from_value(shown.clone()).unwrap_or_else(|error| panic!("{shown}: {error}"));
             assert_eq!(&serde_json::to_value(read).unwrap(), shown);
         }
-        let (mut codes, mut notices) = (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
+        let (mut codes, mut notifications) =
+            (std::collections::BTreeSet::new(), std::collections::BTreeSet::new());
         for text in examples("<-- ") {
             let shown: Value = serde_json::from_str(text).unwrap();
             ServerMessage::read(text.as_bytes()).unwrap();
@@ -611,31 +625,34 @@
                 codes.insert(code as i32);
             }
             if let Some(method) = shown["method"].as_str() {
-                notices.insert(method.to_string());
+                notifications.insert(method.to_string());
                 match method {
-                    "call.ended" => same::<CallEndedNotification>(&shown["params"]),
-                    "call.news" => same::<CallNewsNotification>(&shown["params"]),
-                    _ => same::<NewsMissedNotification>(&shown["params"]),
+                    "call.ended" => assert_round_trip::<CallEndedNotification>(&shown["params"]),
+                    "call.news" => assert_round_trip::<CallNewsNotification>(&shown["params"]),
+                    _ => assert_round_trip::<NewsMissedNotification>(&shown["params"]),
                 }
             }
             let Some(result) = shown.get("result") else { continue };
             match result.as_object().unwrap() {
-                of if of.contains_key("server") => same::<HelloResult>(result),
-                of if of.contains_key("state") => same::<CallState>(result),
-                of if of.contains_key("answer") => same::<OfferResult>(result),
-                of if of.contains_key("cursor") => same::<Subscribed>(result),
-                of if of.contains_key("traces") => same::<Traced>(result),
-                _ => same::<CallAck>(result),
+                fields if fields.contains_key("server") => assert_round_trip::<HelloResult>(result),
+                fields if fields.contains_key("state") => assert_round_trip::<CallState>(result),
+                fields if fields.contains_key("answer") => assert_round_trip::<OfferResult>(result),
+                fields if fields.contains_key("cursor") => assert_round_trip::<SubscribeResult>(result),
+                fields if fields.contains_key("traces") => assert_round_trip::<TraceResult>(result),
+                _ => assert_round_trip::<CallAck>(result),
             }
         }
         assert_eq!(codes, code::ALL.iter().map(|(code, _)| *code).collect());
         let schema = schema();
         let known: std::collections::BTreeSet<_> =
             schema["notifications"].as_object().unwrap().keys().cloned().collect();
-        assert_eq!(notices, known);
+        assert_eq!(notifications, known);
         let page = include_str!("../../../docs/call-control.md");
         for (code, meaning) in code::ALL {
-            assert!(page.contains(&format!("| {code} | {meaning} |")), "{code} is not in the table as it is");
+            assert!(
+                page.contains(&format!("| {code} | {meaning} |")),
+                "{code} is missing from the table, or its meaning differs"
+            );
         }
     }
 }
--- a/crates/callapi/src/line_decoder.rs
+++ b/crates/callapi/src/line_decoder.rs
@@ -1,4 +1,4 @@
-//! Lines of text cut from a stream of bytes, each of bounded length.
+//! Splits a stream of octets into lines of bounded length.
 
 use thiserror::Error;
 
@@ -6,41 +6,47 @@
 #[error("a line of more than {0} octets")]
 pub struct LineTooLong(pub usize);
 
-/// Holds at most what was pushed last and one unfinished line.
+/// Buffers at most the octets of the last push and one incomplete line.
 #[derive(Debug)]
 pub struct LineDecoder {
-    held: Vec<u8>,
-    used: usize,
-    most: usize,
+    buffer: Vec<u8>,
+    /// Octets at the start of `buffer` that have been returned.
+    consumed: usize,
+    max_octets: usize,
 }
 
 impl LineDecoder {
-    pub fn new(most: usize) -> Self {
-        Self { held: Vec::new(), used: 0, most }
+    /// `max_octets` is the longest line, without its line feed.
+    pub fn new(max_octets: usize) -> Self {
+        Self { buffer: Vec::new(), consumed: 0, max_octets }
     }
 
     pub fn push(&mut self, octets: &[u8]) {
-        self.held.drain(..std::mem::take(&mut self.used));
-        self.held.extend_from_slice(octets);
+        self.buffer.drain(..std::mem::take(&mut self.consumed));
+        self.buffer.extend_from_slice(octets);
     }
 
-    /// The next whole line without its end; empty ones are passed over.
+    /// The next complete line without its line end. Empty lines are skipped.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Result<Option<&[u8]>, LineTooLong> {
         loop {
-            let rest = &self.held[self.used..];
+            let rest = &self.buffer[self.consumed..];
             let Some(end) = rest.iter().position(|octet| *octet == b'\n') else {
-                return if rest.len() > self.most { Err(LineTooLong(self.most)) } else { Ok(None) };
+                return if rest.len() > self.max_octets {
+                    Err(LineTooLong(self.max_octets))
+                } else {
+                    Ok(None)
+                };
             };
-            if end > self.most {
-                return Err(LineTooLong(self.most));
+            if end > self.max_octets {
+                return Err(LineTooLong(self.max_octets));
             }
-            let start = self.used;
-            self.used += end + 1;
-            let line = self.held[start..start + end].trim_ascii_end();
+            let start = self.consumed;
+            self.consumed += end + 1;
+            let line = self.buffer[start..start + end].trim_ascii_end();
             if !line.is_empty() {
-                // Borrowed anew: the loop must not hold it.
-                return Ok(Some(self.held[start..start + end].trim_ascii_end()));
+                // Sliced again: returning `line` would extend its borrow over the whole loop.
+                return Ok(Some(self.buffer[start..start + end].trim_ascii_end()));
             }
         }
     }
@@ -51,12 +57,12 @@
     use super::*;
 
     #[test]
-    fn lines_are_the_same_however_they_are_cut() {
+    fn a_split_between_pushes_does_not_change_the_lines() {
         let text = b"one\r\n\ntwo\nthree\n";
-        for cut in 0..text.len() {
+        for split in 0..text.len() {
             let mut lines = LineDecoder::new(10);
             let mut seen = Vec::new();
-            for part in [&text[..cut], &text[cut..]] {
+            for part in [&text[..split], &text[split..]] {
                 lines.push(part);
                 while let Some(line) = lines.next().unwrap() {
                     seen.push(line.to_vec());
@@ -67,7 +73,7 @@
     }
 
     #[test]
-    fn a_line_without_end_is_turned_down_and_not_held() {
+    fn a_line_over_the_limit_is_an_error_before_its_end_arrives() {
         let mut lines = LineDecoder::new(4);
         lines.push(b"12345");
         assert_eq!(lines.next(), Err(LineTooLong(4)));
--- a/crates/callapi/src/schema.rs
+++ b/crates/callapi/src/schema.rs
@@ -1,14 +1,14 @@
-//! The schema of all messages, for those who write clients.
+//! The JSON schema of all messages, for authors of clients.
 
 use schemars::{JsonSchema, SchemaGenerator};
 use serde_json::{Value, json};
 
 use crate::{
     CallAck, CallEndedNotification, CallNewsNotification, CallState, Cancel, Get, Hangup, Hello, HelloResult,
-    NewsMissedNotification, Offer, OfferResult, Subscribe, Subscribed, TraceGet, Traced, code,
+    NewsMissedNotification, Offer, OfferResult, Subscribe, SubscribeResult, TraceGet, TraceResult, code,
 };
 
-/// All methods with their parameters and results, notifications, and error codes; types under `$defs`.
+/// All methods with their parameters and results, all notifications and all error codes. The types are under `$defs`.
 pub fn schema() -> Value {
     let mut types = SchemaGenerator::default();
     fn method<P: JsonSchema, R: JsonSchema>(types: &mut SchemaGenerator) -> Value {
@@ -20,8 +20,8 @@
         "call.cancel": method::<Cancel, CallAck>(&mut types),
         "call.hangup": method::<Hangup, CallAck>(&mut types),
         "call.get": method::<Get, CallState>(&mut types),
-        "calls.subscribe": method::<Subscribe, Subscribed>(&mut types),
-        "trace.get": method::<TraceGet, Traced>(&mut types),
+        "calls.subscribe": method::<Subscribe, SubscribeResult>(&mut types),
+        "trace.get": method::<TraceGet, TraceResult>(&mut types),
     });
     let notifications = json!({
         "call.ended": types.subschema_for::<CallEndedNotification>(),
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use mintstall_callapi::{
-    CallState, FinalAnswer, Get, HelloResult, Offer, OfferResult, Request, TraceGet, Traced,
+    CallState, FinalAnswer, Get, HelloResult, Offer, OfferResult, Request, TraceGet, TraceResult,
 };
 use mintstall_limits::{RedialBudget, RedialDenied};
 use rand::Rng;
@@ -226,7 +226,7 @@
     }
 
     /// What became of a call, step by step, by the number that its exchange gave it.
-    pub fn trace(&mut self, exchange_call: u64, origin: Option<u16>) -> Result<Traced, ClientError> {
+    pub fn trace(&mut self, exchange_call: u64, origin: Option<u16>) -> Result<TraceResult, ClientError> {
         self.ask(Request::TraceGet(TraceGet { exchange_call, origin }))
     }
 
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -7,7 +7,7 @@
 use mintstall_callapi::{
     CallEndedNotification, CallNewsNotification, CallState, CallStatus, Cancel, EndReason, FinalAnswer,
     Hangup, Hello, HelloResult, NewsMissedNotification, Offer, OfferResult, Request, RequestMessage,
-    ServerMessage, Subscribe, Subscribed, code,
+    ServerMessage, Subscribe, SubscribeResult, code,
 };
 use mintstall_limits::{
     CallNumberInUse, CallTable, ConnectionMonitor, ConnectionTimeouts, MonitorAction, ReconciledCalls,
@@ -372,8 +372,8 @@
             ServerMessage::Missed(note) => self.events.push_back(Event::Missed(note)),
             ServerMessage::Other(_) => {}
             ServerMessage::Result { id, result } => self.replied(now, &id, Ok(result)),
-            ServerMessage::Fault { id, code, message, come_back_ms } => match id.as_u64() {
-                Some(call) => self.offer_fault(call, code, message, come_back_ms),
+            ServerMessage::Error { id, code, message, retry_after_ms } => match id.as_u64() {
+                Some(call) => self.offer_fault(call, code, message, retry_after_ms),
                 None => self.replied(now, &id, Err((code, message))),
             },
         }
@@ -391,9 +391,9 @@
         }
     }
 
-    fn offer_fault(&mut self, call: u64, code: i64, why: String, come_back_ms: Option<u64>) {
-        if code == i64::from(code::TOO_FAST) {
-            let come_back_ms = come_back_ms.map_or(0, |ms| u32::try_from(ms).unwrap_or(u32::MAX));
+    fn offer_fault(&mut self, call: u64, code: i64, why: String, retry_after_ms: Option<u64>) {
+        if code == i64::from(code::RATE_LIMITED) {
+            let come_back_ms = retry_after_ms.map_or(0, |ms| u32::try_from(ms).unwrap_or(u32::MAX));
             let answer = FinalAnswer::Refused { come_back_ms };
             return self.answered(OfferResult { call, exchange_call: 0, answer });
         }
@@ -416,7 +416,7 @@
                 }
             },
             (Asking::Subscribe, Ok(result)) => {
-                if let Ok(Subscribed { cursor }) = serde_json::from_value(result) {
+                if let Ok(SubscribeResult { cursor }) = serde_json::from_value(result) {
                     self.cursor = Some(cursor);
                 }
             }
@@ -448,7 +448,7 @@
         self.key = welcome.session.clone();
         self.kept = Duration::from_millis(welcome.limits.kept_ms);
         let there = welcome.calls.iter().map(|call| (call.call, *call)).collect();
-        let owed = welcome.owed;
+        let owed = welcome.pending_messages;
         self.events.push_back(Event::Connected { resumed, welcome: Box::new(welcome) });
         match resumed {
             true => self.settling = Some((owed, there)),
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -10,8 +10,8 @@
 use mintstall_callapi::{
     CallAck, CallEndedNotification, CallEvent, CallEventKind, CallNewsNotification, CallState, CallStatus,
     CallTrace, EndReason, FinalAnswer, Hello, HelloResult, LineDecoder, NewsMissedNotification, Offer,
-    OfferResult, Request, RequestMessage, RpcError, SessionLimits, Subscribed, TraceGet, Traced, code,
-    ended_text, error_text, notification_text, result_text,
+    OfferResult, Request, RequestMessage, RpcError, SessionLimits, SubscribeResult, TraceGet, TraceResult,
+    code, ended_text, error_text, notification_text, result_text,
 };
 use mintstall_callcontrol::{
     Answer, CallControl, CallControlActions, CallControlStatus, CallEnd, CallRequest, LinkStatus, Trace,
@@ -110,9 +110,9 @@
 impl LineOpenError {
     /// What is said to it before it is closed.
     pub fn text(&self) -> String {
-        let mut fault = RpcError::new(code::TOO_MANY, self.to_string());
+        let mut fault = RpcError::new(code::LIMIT_EXCEEDED, self.to_string());
         if let Self::Later(wait) = self {
-            fault.come_back_ms = Some(wait.as_millis() as u64 + 1);
+            fault.retry_after_ms = Some(wait.as_millis() as u64 + 1);
         }
         error_text(&Value::Null, &fault)
     }
@@ -547,7 +547,7 @@
             },
             session,
             calls,
-            owed: self.owed_texts.len(),
+            pending_messages: self.owed_texts.len(),
         })
     }
 
@@ -568,7 +568,7 @@
                 self.say(port, line, None, text);
             }
             other => {
-                let text = error_text(id, &RpcError::new(code::TOO_MANY, other.to_string()));
+                let text = error_text(id, &RpcError::new(code::LIMIT_EXCEEDED, other.to_string()));
                 self.say(port, line, None, text);
             }
         }
@@ -667,9 +667,9 @@
             Err((id, fault)) => return port.send_to_line(line, &error_text(&id, &fault)),
         };
         if let Err(refusal) = allowed {
-            let mut fault = RpcError::new(code::TOO_FAST, refusal.to_string());
+            let mut fault = RpcError::new(code::RATE_LIMITED, refusal.to_string());
             if let AdmissionError::RateLimited { retry_after } = refusal {
-                fault.come_back_ms = Some(retry_after.as_millis() as u64 + 1);
+                fault.retry_after_ms = Some(retry_after.as_millis() as u64 + 1);
             }
             return id.iter().for_each(|id| port.send_to_line(line, &error_text(id, &fault)));
         }
@@ -679,7 +679,8 @@
                 self.owed_texts.drain(..).for_each(|text| port.send_to_line(line, &text));
             }),
             Request::Subscribe(subscribe) => self.subscribe(line, subscribe.cursor).map(|cursor| {
-                id.iter().for_each(|id| port.send_to_line(line, &result_text(id, Subscribed { cursor })));
+                id.iter()
+                    .for_each(|id| port.send_to_line(line, &result_text(id, SubscribeResult { cursor })));
             }),
             Request::Offer(offer) => self.offer(now, port, line, &id, &offer),
             Request::Hangup(hangup) => self.hang_up(now, port, line, hangup.call).map(|()| {
@@ -695,7 +696,7 @@
             }),
             Request::TraceGet(get) => self.trace_get(line, get).map(|traces| {
                 id.iter().for_each(|id| {
-                    port.send_to_line(line, &result_text(id, Traced { traces: traces.clone() }))
+                    port.send_to_line(line, &result_text(id, TraceResult { traces: traces.clone() }))
                 });
             }),
         };
@@ -785,7 +786,7 @@
         if let Some(Held::With(id)) = held
             && self.askers.get(&id).is_some_and(|asker| asker.progress == Progress::Stands)
         {
-            return Err(RpcError::new(code::STANDS, format!("call {call} stands: hang it up")));
+            return Err(RpcError::new(code::CALL_STANDS, format!("call {call} stands: hang it up")));
         }
         self.hang_up(now, port, line, call)
     }
@@ -888,13 +889,13 @@
                     UpdateOutcome::Accepted { version } => {
                         port.send_to_directory(&ControllerNotification::Accepted { office, version }.text())
                     }
-                    UpdateOutcome::Rejected { version, why } => {
-                        port.log_info(&format!("roster version {version} turned down: {why}"));
+                    UpdateOutcome::Rejected { version, reason } => {
+                        port.log_info(&format!("roster version {version} turned down: {reason}"));
                         port.send_to_directory(
-                            &ControllerNotification::Rejected { office, version, why: why.to_string() }
+                            &ControllerNotification::Rejected { office, version, why: reason.to_string() }
                                 .text(),
                         );
-                        if matches!(why, RejectReason::Gap { .. } | RejectReason::NoBaseVersion { .. }) {
+                        if matches!(reason, RejectReason::Gap { .. } | RejectReason::NoBaseVersion { .. }) {
                             port.send_to_directory(
                                 &ControllerNotification::RequestFullList(FullListRequest {
                                     office,
@@ -983,7 +984,7 @@
             "admission": { "unanswered": self.admission.unanswered(), "waiting": self.admission.waiting(),
                 "kept_sessions": self.resumable.kept(), "repeats_told": self.repeats.told(),
                 "in_hand": in_hand },
-            "roster": { "version": self.roster.version(), "entries": self.roster.entries().count(),
+            "roster": { "version": self.roster.version(), "entries": self.roster.members().count(),
                 "turned_down": self.roster.rejected_updates() },
             "groups": groups,
             "counts": {
--- a/crates/daemon/tests/admission.rs
+++ b/crates/daemon/tests/admission.rs
@@ -405,7 +405,7 @@
     };
     let state = |heard: ServerMessage| match heard {
         ServerMessage::Result { result, .. } => result["state"].as_str().unwrap().to_string(),
-        ServerMessage::Fault { code, .. } => code.to_string(),
+        ServerMessage::Error { code, .. } => code.to_string(),
         other => panic!("{other:?}"),
     };
     (1..=2).for_each(|call| room.offer(line, call, 0));
@@ -417,7 +417,7 @@
         room.ask(line, Request::Cancel(mintstall_callapi::Cancel { call }));
         room.wires.said.remove(&line).unwrap_or_default()
     };
-    assert!(matches!(cancel(&mut room, 1)[..], [ServerMessage::Fault { code: -32006, .. }]));
+    assert!(matches!(cancel(&mut room, 1)[..], [ServerMessage::Error { code: -32006, .. }]));
     let said = cancel(&mut room, 2);
     assert!(
         matches!(&said[..], [ServerMessage::Answered(a), ServerMessage::Result { .. }] if a.answer == FinalAnswer::Fails),
@@ -435,7 +435,7 @@
     (0..3).for_each(|_| room.ask(line, get.clone()));
     let said = room.wires.said.remove(&line).unwrap();
     let codes = said.iter().map(|heard| match heard {
-        ServerMessage::Fault { code, come_back_ms, .. } => (*code, come_back_ms.is_some()),
+        ServerMessage::Error { code, retry_after_ms, .. } => (*code, retry_after_ms.is_some()),
         other => panic!("{other:?}"),
     });
     assert_eq!(codes.collect::<Vec<_>>(), [(-32001, false), (-32001, false), (-32005, true)]);
@@ -453,7 +453,7 @@
     room.ask(line, get(answered.exchange_call));
     room.ask(line, get(77));
     let said = room.wires.said.remove(&line).unwrap();
-    let [ServerMessage::Result { result, .. }, ServerMessage::Fault { code: -32001, .. }] = &said[..] else {
+    let [ServerMessage::Result { result, .. }, ServerMessage::Error { code: -32001, .. }] = &said[..] else {
         panic!("{said:?}")
     };
     let steps = result["traces"][0]["steps"].as_array().unwrap();
@@ -501,7 +501,7 @@
     room.ask(watcher, subscribe(Some(99)));
     assert!(matches!(
         room.wires.said.remove(&watcher).unwrap()[..],
-        [ServerMessage::Fault { code: -32602, .. }]
+        [ServerMessage::Error { code: -32602, .. }]
     ));
 }
 
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -530,7 +530,7 @@
                         | ServerMessage::Missed(_)
                         | ServerMessage::Other(_),
                     ) => {}
-                    Ok(ServerMessage::Fault { code, message, .. }) => info!(office, code, "{message}"),
+                    Ok(ServerMessage::Error { code, message, .. }) => info!(office, code, "{message}"),
                     Err(error) => warn!(office, "a line makes no sense: {error}"),
                 },
                 Purpose::Directory(office) => {
--- a/crates/membership/src/directory_messages.rs
+++ b/crates/membership/src/directory_messages.rs
@@ -1,47 +1,47 @@
-//! The directory's feed: what crosses its line, as JSON-RPC 2.0 notifications either way.
+//! The messages between directory and controller: JSON-RPC 2.0 notifications in both directions.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::membership::MembershipUpdate;
 
-/// What the exchange's plant and the directory tell a controller.
+/// A notification to the controller, from the directory or from the exchange's own equipment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "method", content = "params")]
 #[schemars(rename = "FeedNote")]
 pub enum DirectoryNotification {
-    /// A version of the roster, whole or changes.
+    /// A version of the membership list: the whole list or changes.
     #[serde(rename = "roster.version")]
     Membership(MembershipUpdate),
-    /// Circuits to an exchange, from the first on, that are in service.
+    /// How many circuits to an exchange are in service, counted from the first.
     #[serde(rename = "exchange.circuits")]
     CircuitsInService { to: u16, in_service: u16 },
-    /// What the own processor says of itself.
+    /// The state of the exchange's own processor.
     #[serde(rename = "exchange.processor")]
     Processor(ProcessorStatus),
 }
 
-/// What a processor says of itself. Any other field is turned down by name.
+/// A processor's report. Unknown fields are an error that names the field.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, expecting = "struct ProcessorNote")]
 #[schemars(rename = "ProcessorNote")]
 pub struct ProcessorStatus {
-    /// New set-ups a second that it can take.
+    /// How many new set-ups per second the processor can handle.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<f64>,
 }
 
-/// What a controller tells the directory.
+/// A notification to the directory.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "method", content = "params")]
 #[schemars(rename = "Reply")]
 pub enum ControllerNotification {
     #[serde(rename = "roster.taken")]
     Accepted { office: u16, version: u64 },
-    /// The version before stays in force.
+    /// The previous version stays in force.
     #[serde(rename = "roster.turned_down")]
     Rejected { office: u16, version: u64, why: String },
-    /// Asks for the whole list, once connected and after a gap.
+    /// Requests the whole list: after connecting and after a gap in the versions.
     #[serde(rename = "roster.want")]
     RequestFullList(FullListRequest),
 }
@@ -55,16 +55,17 @@
     pub held_version: Option<u64>,
 }
 
-/// One line with its `jsonrpc` mark.
+/// One message with its `jsonrpc` version member.
 #[derive(Serialize, Deserialize)]
-struct Marked<T> {
+#[serde(expecting = "struct Marked")]
+struct Envelope<T> {
     jsonrpc: String,
     #[serde(flatten)]
-    note: T,
+    notification: T,
 }
 
-fn text(note: impl Serialize) -> String {
-    serde_json::to_string(&Marked { jsonrpc: "2.0".into(), note }).unwrap_or_default()
+fn text(notification: impl Serialize) -> String {
+    serde_json::to_string(&Envelope { jsonrpc: "2.0".into(), notification }).unwrap_or_default()
 }
 
 impl DirectoryNotification {
@@ -73,7 +74,7 @@
     }
 
     pub fn read(line: &[u8]) -> serde_json::Result<Self> {
-        Ok(serde_json::from_slice::<Marked<Self>>(line)?.note)
+        Ok(serde_json::from_slice::<Envelope<Self>>(line)?.notification)
     }
 }
 
@@ -83,7 +84,7 @@
     }
 
     pub fn read(line: &[u8]) -> serde_json::Result<Self> {
-        Ok(serde_json::from_slice::<Marked<Self>>(line)?.note)
+        Ok(serde_json::from_slice::<Envelope<Self>>(line)?.notification)
     }
 }
 
@@ -92,15 +93,15 @@
     use super::*;
 
     #[test]
-    fn notes_and_replies_are_read_as_written() {
-        let note = DirectoryNotification::Membership(MembershipUpdate {
+    fn notifications_survive_writing_and_parsing() {
+        let to_controller = DirectoryNotification::Membership(MembershipUpdate {
             version: 3,
             since: Some(2),
             entries: Vec::new(),
         });
-        assert_eq!(DirectoryNotification::read(note.text().as_bytes()).unwrap(), note);
-        let reply = ControllerNotification::Rejected { office: 4, version: 9, why: "a gap".into() };
-        assert_eq!(ControllerNotification::read(reply.text().as_bytes()).unwrap(), reply);
+        assert_eq!(DirectoryNotification::read(to_controller.text().as_bytes()).unwrap(), to_controller);
+        let to_directory = ControllerNotification::Rejected { office: 4, version: 9, why: "a gap".into() };
+        assert_eq!(ControllerNotification::read(to_directory.text().as_bytes()).unwrap(), to_directory);
         assert!(
             DirectoryNotification::read(br#"{"jsonrpc":"2.0","method":"roster.version","params":{}}"#)
                 .is_err()
@@ -108,10 +109,10 @@
     }
 
     #[test]
-    fn what_a_processor_may_no_longer_say_is_turned_down_by_name() {
-        let held =
+    fn a_field_that_processors_no_longer_send_is_an_error_that_names_it() {
+        let text =
             br#"{"jsonrpc":"2.0","method":"exchange.processor","params":{"rate":9.5,"hold_back":0.2}}"#;
-        let error = DirectoryNotification::read(held).unwrap_err().to_string();
+        let error = DirectoryNotification::read(text).unwrap_err().to_string();
         assert!(error.contains("hold_back"), "{error}");
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Membership as a controller holds it: numbered versions from a directory, checked, acknowledged or turned down.
+//! The list of exchanges as a controller holds it: numbered versions from a directory, accepted or rejected, without I/O.
 //!
-//! The directory sends [`MembershipUpdate`]; [`Membership::apply`] answers with a [`UpdateOutcome`] and, where something changed, with what the
-//! controller is to be told. A version that makes no sense changes nothing: the last good one stays in force. The text
-//! of [`Membership::snapshot`] brings a restarted controller back to it.
+//! The directory sends a [`MembershipUpdate`]. [`Membership::apply`] returns an [`UpdateOutcome`] for the directory and,
+//! if the version was accepted, the [`MembershipChange`] for the controller. A rejected version changes nothing: the last
+//! accepted one stays in force. After a restart, [`Membership::restore`] continues from a stored [`Snapshot`].
 
 mod directory_messages;
 mod membership;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The roster and what a new version must keep to.
+//! The membership list in force, and the rules that a new version must satisfy.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,107 +16,108 @@
     Gone,
 }
 
-/// One exchange as the directory names it.
+/// One exchange in the directory's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, expecting = "struct Entry")]
 #[schemars(rename = "Entry")]
 pub struct MemberEntry {
-    /// The machine: a new one that takes another's place has a new id.
+    /// Identifies the machine. A machine that replaces another has a new id.
     pub exchange: u32,
-    /// Its number in the numbering plan, also its point code.
+    /// The exchange's number in the numbering plan, which is also its point code.
     pub office: u16,
     pub region: u8,
     #[serde(rename = "standing")]
     pub status: MemberStatus,
-    /// How long its processor has been running, milliseconds; none: long.
+    /// How long the exchange's processor has been running, in milliseconds. Absent if it has run for a long time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub age_ms: Option<u64>,
 }
 
-/// What a directory says.
+/// A version of the list as the directory sends it: the whole list or changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields, expecting = "struct News")]
 #[schemars(rename = "News")]
 pub struct MembershipUpdate {
     pub version: u64,
-    /// The version that these are the changes against; none: the whole list.
+    /// The version to which the changes apply. Absent for a whole list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub since: Option<u64>,
     pub entries: Vec<MemberEntry>,
 }
 
-/// What a roster may hold.
+/// Limits of a membership list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipLimits {
-    /// Entries: as many as a fleet of a thousand needs while every machine is replaced at once.
-    pub entries: usize,
+    /// The default is enough for a fleet of a thousand exchanges while every machine is replaced at once.
+    pub max_entries: usize,
     /// Point codes have 14 bits.
-    pub highest_office: u16,
+    pub max_office: u16,
 }
 
 impl Default for MembershipLimits {
     fn default() -> Self {
-        Self { entries: 2048, highest_office: 16_383 }
+        Self { max_entries: 2048, max_office: 16_383 }
     }
 }
 
-/// Why a version was turned down; the one before stays in force.
+/// Why a version was rejected. The previous version stays in force. The texts are sent to the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectReason {
-    #[error("version {told} is not after {held}")]
-    StaleVersion { told: u64, held: u64 },
+    #[error("version {received} is not after {held}")]
+    StaleVersion { received: u64, held: u64 },
     #[error("changes against version {since}, but {held} is held")]
     Gap { since: u64, held: u64 },
     #[error("changes against version {since}, but none is held")]
     NoBaseVersion { since: u64 },
-    #[error("{count} entries, at most {most}")]
-    TooMany { count: usize, most: usize },
-    #[error("exchange {exchange}: office {office} is above {most}")]
-    Office { exchange: u32, office: u16, most: u16 },
+    #[error("{count} entries, at most {max}")]
+    TooManyEntries { count: usize, max: usize },
+    #[error("exchange {exchange}: office {office} is above {max}")]
+    OfficeOutOfRange { exchange: u32, office: u16, max: u16 },
     #[error("exchange {exchange} is named twice")]
     DuplicateExchange { exchange: u32 },
-    #[error("exchange {exchange}: office {told}, but it is {held}")]
-    Moved { exchange: u32, told: u16, held: u16 },
+    #[error("exchange {exchange}: office {received}, but it is {held}")]
+    OfficeChanged { exchange: u32, received: u16, held: u16 },
     #[error("exchanges {one} and {other} are both ready as office {office}")]
     DuplicatePointCode { one: u32, other: u32, office: u16 },
     #[error("a whole list without an entry")]
-    Empty,
+    EmptyList,
 }
 
-/// What is answered to the directory.
+/// Whether a version was accepted, to be reported to the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateOutcome {
     Accepted { version: u64 },
-    Rejected { version: u64, why: RejectReason },
+    Rejected { version: u64, reason: RejectReason },
 }
 
-/// What the controller is to be told.
+/// The change to pass on to the controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
     Full(Vec<Member>),
     Delta(Vec<Member>),
 }
 
-/// An entry with the time its processor started, on the clock of the controller.
+/// An entry with the start time of the exchange's processor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
     pub entry: MemberEntry,
-    /// Zero: long ago.
+    /// By the controller's clock. Zero means long ago.
     pub started: Duration,
 }
 
-/// The roster in force.
+/// The membership list in force.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     version: Option<u64>,
-    /// Emptied by whole lists, and of what is gone and replaced.
-    held: BTreeMap<u32, Member>,
+    /// By the id of the machine. A whole list replaces all members; an exchange that is gone is removed once another
+    /// machine with its number is ready.
+    members: BTreeMap<u32, Member>,
     limits: MembershipLimits,
     rejected_updates: u64,
 }
 
-/// A version written out to come back to. Ages are those of the moment it was written; `written_ms` is wall time, so that
-/// they grow while the controller is down.
+/// A stored version, from which a restarted controller continues. `written_ms` is the wall-clock time of writing. Ages
+/// are as of that time, so that a restart can add the time since.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Kept")]
@@ -129,15 +130,15 @@
 
 #[derive(Debug, Error)]
 pub enum SnapshotError {
-    #[error("the kept roster makes no sense: {0}")]
-    Text(#[from] serde_json::Error),
-    #[error("the kept roster has format {0}, at most 1 is known")]
-    Format(u32),
-    #[error("the kept roster breaks a rule: {0}")]
-    Refused(RejectReason),
+    #[error("stored membership list is not valid: {0}")]
+    Json(#[from] serde_json::Error),
+    #[error("stored membership list has format {0}, only format 1 is supported")]
+    UnsupportedFormat(u32),
+    #[error("stored membership list violates a rule: {0}")]
+    Rejected(RejectReason),
 }
 
-const FORMAT: u32 = 1;
+const SNAPSHOT_FORMAT: u32 = 1;
 
 impl Membership {
     pub fn new(limits: MembershipLimits) -> Self {
@@ -152,55 +153,57 @@
         self.rejected_updates
     }
 
-    pub fn entries(&self) -> impl Iterator<Item = &Member> {
-        self.held.values()
+    pub fn members(&self) -> impl Iterator<Item = &Member> {
+        self.members.values()
     }
 
-    /// Takes or turns down what the directory says; nothing of a version that is turned down takes effect.
+    /// Accepts or rejects a version from the directory. No part of a rejected version takes effect.
     pub fn apply(
         &mut self,
         now: Duration,
-        news: &MembershipUpdate,
+        update: &MembershipUpdate,
     ) -> (UpdateOutcome, Option<MembershipChange>) {
-        match self.next(now, news) {
-            Ok((held, told)) => {
-                (self.version, self.held) = (Some(news.version), held);
-                (UpdateOutcome::Accepted { version: news.version }, Some(told))
+        match self.checked_update(now, update) {
+            Ok((members, change)) => {
+                (self.version, self.members) = (Some(update.version), members);
+                (UpdateOutcome::Accepted { version: update.version }, Some(change))
             }
-            Err(why) => {
+            Err(reason) => {
                 self.rejected_updates += 1;
-                (UpdateOutcome::Rejected { version: news.version, why }, None)
+                (UpdateOutcome::Rejected { version: update.version, reason }, None)
             }
         }
     }
 
-    fn next(
+    /// The members after the update, and the change for the controller.
+    fn checked_update(
         &self,
         now: Duration,
-        news: &MembershipUpdate,
+        update: &MembershipUpdate,
     ) -> Result<(BTreeMap<u32, Member>, MembershipChange), RejectReason> {
-        if let Some(held) = self.version.filter(|held| news.version <= *held) {
-            return Err(RejectReason::StaleVersion { told: news.version, held });
+        if let Some(held) = self.version.filter(|held| update.version <= *held) {
+            return Err(RejectReason::StaleVersion { received: update.version, held });
         }
-        match (news.since, self.version) {
+        match (update.since, self.version) {
             (Some(since), None) => return Err(RejectReason::NoBaseVersion { since }),
             (Some(since), Some(held)) if since != held => return Err(RejectReason::Gap { since, held }),
-            (None, _) if news.entries.is_empty() => return Err(RejectReason::Empty),
+            (None, _) if update.entries.is_empty() => return Err(RejectReason::EmptyList),
             _ => {}
         }
-        let mut seen = BTreeMap::new();
-        for entry in &news.entries {
+        let mut updated = BTreeMap::new();
+        for entry in &update.entries {
             self.check(entry)?;
-            let held = Member { entry: *entry, started: self.started(now, entry) };
-            if seen.insert(entry.exchange, held).is_some() {
+            let member = Member { entry: *entry, started: self.start_time(now, entry) };
+            if updated.insert(entry.exchange, member).is_some() {
                 return Err(RejectReason::DuplicateExchange { exchange: entry.exchange });
             }
         }
-        let mut next = if news.since.is_some() { self.held.clone() } else { BTreeMap::new() };
-        next.extend(&seen);
-        let mut ready: BTreeMap<u16, u32> = BTreeMap::new();
-        for Member { entry, .. } in next.values().filter(|held| held.entry.status == MemberStatus::Ready) {
-            if let Some(one) = ready.insert(entry.office, entry.exchange) {
+        let mut members = if update.since.is_some() { self.members.clone() } else { BTreeMap::new() };
+        members.extend(&updated);
+        let mut ready_by_office: BTreeMap<u16, u32> = BTreeMap::new();
+        let ready = members.values().filter(|member| member.entry.status == MemberStatus::Ready);
+        for Member { entry, .. } in ready {
+            if let Some(one) = ready_by_office.insert(entry.office, entry.exchange) {
                 return Err(RejectReason::DuplicatePointCode {
                     one,
                     other: entry.exchange,
@@ -208,76 +211,82 @@
                 });
             }
         }
-        // What is gone and replaced is named once more, to those who are told, and then dropped.
-        next.retain(|_, held| {
-            held.entry.status != MemberStatus::Gone || !ready.contains_key(&held.entry.office)
+        // An exchange that is gone and replaced is still part of the change passed on, but is not kept as a member.
+        members.retain(|_, member| {
+            member.entry.status != MemberStatus::Gone || !ready_by_office.contains_key(&member.entry.office)
         });
-        if next.len() > self.limits.entries {
-            return Err(RejectReason::TooMany { count: next.len(), most: self.limits.entries });
+        if members.len() > self.limits.max_entries {
+            return Err(RejectReason::TooManyEntries { count: members.len(), max: self.limits.max_entries });
         }
-        let lines = seen.into_values().collect();
+        let updated = updated.into_values().collect();
+        let is_delta = update.since.is_some();
         Ok((
-            next,
-            if news.since.is_some() { MembershipChange::Delta(lines) } else { MembershipChange::Full(lines) },
+            members,
+            if is_delta { MembershipChange::Delta(updated) } else { MembershipChange::Full(updated) },
         ))
     }
 
     fn check(&self, entry: &MemberEntry) -> Result<(), RejectReason> {
         let MemberEntry { exchange, office, .. } = *entry;
-        if office > self.limits.highest_office {
-            return Err(RejectReason::Office { exchange, office, most: self.limits.highest_office });
+        if office > self.limits.max_office {
+            return Err(RejectReason::OfficeOutOfRange { exchange, office, max: self.limits.max_office });
         }
-        match self.held.get(&exchange) {
-            Some(held) if held.entry.office != office => {
-                Err(RejectReason::Moved { exchange, told: office, held: held.entry.office })
+        match self.members.get(&exchange) {
+            Some(member) if member.entry.office != office => {
+                Err(RejectReason::OfficeChanged { exchange, received: office, held: member.entry.office })
             }
             _ => Ok(()),
         }
     }
 
-    /// A start that is known stays as it was first reckoned, unless the processor started again since: ages come late
-    /// and rounded, and an exchange whose start moved a little has not restarted.
-    fn started(&self, now: Duration, entry: &MemberEntry) -> Duration {
-        const ROUNDING: Duration = Duration::from_secs(5);
-        let told = entry.age_ms.map_or(Duration::ZERO, |age| now.saturating_sub(Duration::from_millis(age)));
-        match self.held.get(&entry.exchange) {
-            Some(held) if !held.started.is_zero() && held.started.abs_diff(told) < ROUNDING => held.started,
-            _ => told,
+    /// The start time of the processor. A known start time is kept until the processor has restarted: ages arrive late
+    /// and rounded, so a start time that moves by less than the tolerance is not a restart.
+    fn start_time(&self, now: Duration, entry: &MemberEntry) -> Duration {
+        const TOLERANCE: Duration = Duration::from_secs(5);
+        let received =
+            entry.age_ms.map_or(Duration::ZERO, |age| now.saturating_sub(Duration::from_millis(age)));
+        match self.members.get(&entry.exchange) {
+            Some(member) if !member.started.is_zero() && member.started.abs_diff(received) < TOLERANCE => {
+                member.started
+            }
+            _ => received,
         }
     }
 
-    /// The roster in force, to be written out.
+    /// The membership list in force, to be stored. `wall_ms` is the wall-clock time. `None` before the first version.
     pub fn snapshot(&self, now: Duration, wall_ms: u64) -> Option<Snapshot> {
-        let aged = |held: &Member| {
-            let age = (!held.started.is_zero()).then(|| now.saturating_sub(held.started).as_millis() as u64);
-            MemberEntry { age_ms: age, ..held.entry }
+        let with_current_age = |member: &Member| {
+            let age_ms =
+                (!member.started.is_zero()).then(|| now.saturating_sub(member.started).as_millis() as u64);
+            MemberEntry { age_ms, ..member.entry }
         };
-        let entries = self.held.values().map(aged).collect();
-        Some(Snapshot { format: FORMAT, written_ms: wall_ms, version: self.version?, entries })
+        let entries = self.members.values().map(with_current_age).collect();
+        Some(Snapshot { format: SNAPSHOT_FORMAT, written_ms: wall_ms, version: self.version?, entries })
     }
 
-    /// Reads back what `snapshot` gave. A clock that stepped back counts as no time passed.
+    /// Restores the list from the JSON text of a [`Snapshot`]. If the wall clock was set back since, ages stay as they
+    /// were stored.
     pub fn restore(
         limits: MembershipLimits,
         now: Duration,
         wall_ms: u64,
         text: &[u8],
     ) -> Result<(Self, MembershipChange), SnapshotError> {
-        let kept: Snapshot = serde_json::from_slice(text)?;
-        if kept.format != FORMAT {
-            return Err(SnapshotError::Format(kept.format));
+        let snapshot: Snapshot = serde_json::from_slice(text)?;
+        if snapshot.format != SNAPSHOT_FORMAT {
+            return Err(SnapshotError::UnsupportedFormat(snapshot.format));
         }
-        let away = wall_ms.saturating_sub(kept.written_ms);
-        let older = |entry: &MemberEntry| MemberEntry {
-            age_ms: entry.age_ms.map(|age| age.saturating_add(away)),
+        let elapsed_ms = wall_ms.saturating_sub(snapshot.written_ms);
+        let with_current_age = |entry: &MemberEntry| MemberEntry {
+            age_ms: entry.age_ms.map(|age_ms| age_ms.saturating_add(elapsed_ms)),
             ..*entry
         };
-        let entries = kept.entries.iter().map(older).collect();
-        let mut roster = Self::new(limits);
-        match roster.apply(now, &MembershipUpdate { version: kept.version, since: None, entries }) {
-            (UpdateOutcome::Accepted { .. }, Some(told)) => Ok((roster, told)),
-            (UpdateOutcome::Rejected { why, .. }, _) => Err(SnapshotError::Refused(why)),
-            (UpdateOutcome::Accepted { .. }, None) => Err(SnapshotError::Refused(RejectReason::Empty)),
+        let entries = snapshot.entries.iter().map(with_current_age).collect();
+        let mut membership = Self::new(limits);
+        match membership.apply(now, &MembershipUpdate { version: snapshot.version, since: None, entries }) {
+            (UpdateOutcome::Accepted { .. }, Some(change)) => Ok((membership, change)),
+            (UpdateOutcome::Rejected { reason, .. }, _) => Err(SnapshotError::Rejected(reason)),
+            (UpdateOutcome::Accepted { .. }, None) => Err(SnapshotError::Rejected(RejectReason::EmptyList)),
         }
     }
 }
@@ -292,90 +301,101 @@
         MemberEntry { exchange, office, region: 0, status, age_ms: None }
     }
 
-    fn whole(version: u64, entries: Vec<MemberEntry>) -> MembershipUpdate {
+    fn full_list(version: u64, entries: Vec<MemberEntry>) -> MembershipUpdate {
         MembershipUpdate { version, since: None, entries }
     }
 
-    fn two() -> Membership {
-        let mut roster = Membership::default();
+    /// Version 5: exchanges 10 and 20, ready as numbers 1 and 2.
+    fn two_ready_exchanges() -> Membership {
+        let mut membership = Membership::default();
         let list = vec![entry(10, 1, MemberStatus::Ready), entry(20, 2, MemberStatus::Ready)];
-        assert_eq!(roster.apply(NOW, &whole(5, list)).0, UpdateOutcome::Accepted { version: 5 });
-        roster
+        assert_eq!(membership.apply(NOW, &full_list(5, list)).0, UpdateOutcome::Accepted { version: 5 });
+        membership
     }
 
     #[test]
-    fn changes_apply_to_the_version_they_name_and_to_no_other() {
-        let mut roster = two();
-        let change = MembershipUpdate {
+    fn changes_apply_only_to_the_version_that_they_name() {
+        let mut membership = two_ready_exchanges();
+        let update = MembershipUpdate {
             version: 7,
             since: Some(6),
             entries: vec![entry(20, 2, MemberStatus::Draining)],
         };
         let gap = RejectReason::Gap { since: 6, held: 5 };
-        assert_eq!(roster.apply(NOW, &change), (UpdateOutcome::Rejected { version: 7, why: gap }, None));
-        let (verdict, told) = roster.apply(NOW, &MembershipUpdate { since: Some(5), ..change });
-        assert_eq!(verdict, UpdateOutcome::Accepted { version: 7 });
-        assert!(matches!(told, Some(MembershipChange::Delta(lines)) if lines.len() == 1));
+        assert_eq!(
+            membership.apply(NOW, &update),
+            (UpdateOutcome::Rejected { version: 7, reason: gap }, None)
+        );
+        let (outcome, change) = membership.apply(NOW, &MembershipUpdate { since: Some(5), ..update });
+        assert_eq!(outcome, UpdateOutcome::Accepted { version: 7 });
+        assert!(matches!(change, Some(MembershipChange::Delta(members)) if members.len() == 1));
     }
 
     #[test]
-    fn what_breaks_a_rule_is_turned_down_whole() {
-        let mut roster = two();
-        let mut down = |news: &MembershipUpdate| match roster.apply(NOW, news) {
-            (UpdateOutcome::Rejected { why, .. }, None) => why,
-            taken => panic!("{taken:?}"),
+    fn an_update_that_violates_a_rule_changes_nothing() {
+        let mut membership = two_ready_exchanges();
+        let mut rejection = |update: &MembershipUpdate| match membership.apply(NOW, update) {
+            (UpdateOutcome::Rejected { reason, .. }, None) => reason,
+            accepted => panic!("{accepted:?}"),
         };
         let twice = vec![entry(30, 3, MemberStatus::Ready), entry(30, 3, MemberStatus::Ready)];
-        assert_eq!(down(&whole(6, twice)), RejectReason::DuplicateExchange { exchange: 30 });
-        assert_eq!(down(&whole(6, vec![])), RejectReason::Empty);
+        assert_eq!(rejection(&full_list(6, twice)), RejectReason::DuplicateExchange { exchange: 30 });
+        assert_eq!(rejection(&full_list(6, vec![])), RejectReason::EmptyList);
         assert_eq!(
-            down(&whole(5, vec![entry(10, 1, MemberStatus::Ready)])),
-            RejectReason::StaleVersion { told: 5, held: 5 }
+            rejection(&full_list(5, vec![entry(10, 1, MemberStatus::Ready)])),
+            RejectReason::StaleVersion { received: 5, held: 5 }
         );
-        let high = RejectReason::Office { exchange: 10, office: 20_000, most: 16_383 };
-        assert_eq!(down(&whole(6, vec![entry(10, 20_000, MemberStatus::Ready)])), high);
-        let moved = RejectReason::Moved { exchange: 10, told: 3, held: 1 };
-        assert_eq!(down(&whole(6, vec![entry(10, 3, MemberStatus::Ready)])), moved);
-        let same =
+        let out_of_range = RejectReason::OfficeOutOfRange { exchange: 10, office: 20_000, max: 16_383 };
+        assert_eq!(rejection(&full_list(6, vec![entry(10, 20_000, MemberStatus::Ready)])), out_of_range);
+        let changed = RejectReason::OfficeChanged { exchange: 10, received: 3, held: 1 };
+        assert_eq!(rejection(&full_list(6, vec![entry(10, 3, MemberStatus::Ready)])), changed);
+        let same_office =
             MembershipUpdate { version: 6, since: Some(5), entries: vec![entry(11, 1, MemberStatus::Ready)] };
-        assert_eq!(down(&same), RejectReason::DuplicatePointCode { one: 10, other: 11, office: 1 });
-        assert_eq!((roster.version(), roster.entries().count(), roster.rejected_updates()), (Some(5), 2, 6));
+        assert_eq!(
+            rejection(&same_office),
+            RejectReason::DuplicatePointCode { one: 10, other: 11, office: 1 }
+        );
+        assert_eq!(
+            (membership.version(), membership.members().count(), membership.rejected_updates()),
+            (Some(5), 2, 6)
+        );
     }
 
     #[test]
-    fn a_replaced_machine_is_told_gone_and_then_forgotten() {
-        let mut roster = two();
+    fn a_replaced_machine_is_passed_on_as_gone_and_then_dropped() {
+        let mut membership = two_ready_exchanges();
         let entries = vec![entry(20, 2, MemberStatus::Gone), entry(21, 2, MemberStatus::Ready)];
-        let (_, told) = roster.apply(NOW, &MembershipUpdate { version: 6, since: Some(5), entries });
-        assert!(matches!(told, Some(MembershipChange::Delta(lines)) if lines.len() == 2));
-        assert_eq!(roster.entries().map(|held| held.entry.exchange).collect::<Vec<_>>(), [10, 21]);
+        let (_, change) = membership.apply(NOW, &MembershipUpdate { version: 6, since: Some(5), entries });
+        assert!(matches!(change, Some(MembershipChange::Delta(members)) if members.len() == 2));
+        assert_eq!(membership.members().map(|member| member.entry.exchange).collect::<Vec<_>>(), [10, 21]);
     }
 
     #[test]
-    fn a_start_told_with_rounding_is_the_same_start_and_a_later_one_is_not() {
-        let mut roster = Membership::default();
+    fn a_rounded_age_keeps_the_start_time_and_a_restart_changes_it() {
+        let mut membership = Membership::default();
         let aged = |age| vec![MemberEntry { age_ms: Some(age), ..entry(10, 1, MemberStatus::Ready) }];
-        roster.apply(NOW, &whole(1, aged(2000)));
-        let first = roster.entries().next().unwrap().started;
-        roster.apply(NOW + Duration::from_secs(10), &whole(2, aged(12_400)));
-        assert_eq!(roster.entries().next().unwrap().started, first);
-        roster.apply(NOW + Duration::from_secs(20), &whole(3, aged(1000)));
-        assert_eq!(roster.entries().next().unwrap().started, NOW + Duration::from_secs(19));
+        membership.apply(NOW, &full_list(1, aged(2000)));
+        let first = membership.members().next().unwrap().started;
+        membership.apply(NOW + Duration::from_secs(10), &full_list(2, aged(12_400)));
+        assert_eq!(membership.members().next().unwrap().started, first);
+        membership.apply(NOW + Duration::from_secs(20), &full_list(3, aged(1000)));
+        assert_eq!(membership.members().next().unwrap().started, NOW + Duration::from_secs(19));
     }
 
     #[test]
-    fn a_kept_roster_comes_back_older_by_the_time_away() {
-        let mut roster = Membership::default();
+    fn restored_ages_include_the_time_since_the_snapshot() {
+        let mut membership = Membership::default();
         let cold = MemberEntry { age_ms: Some(2000), ..entry(10, 1, MemberStatus::Ready) };
-        roster.apply(NOW, &whole(9, vec![cold, entry(20, 2, MemberStatus::Draining)]));
-        let text = serde_json::to_vec(&roster.snapshot(NOW, 1_000_000).unwrap()).unwrap();
-        let (back, told) = Membership::restore(MembershipLimits::default(), NOW, 1_003_000, &text).unwrap();
-        assert_eq!(back.version(), Some(9));
-        let MembershipChange::Full(lines) = told else { panic!("changes") };
-        assert_eq!((lines[0].started, lines[1].started), (NOW - Duration::from_secs(5), Duration::ZERO));
+        membership.apply(NOW, &full_list(9, vec![cold, entry(20, 2, MemberStatus::Draining)]));
+        let text = serde_json::to_vec(&membership.snapshot(NOW, 1_000_000).unwrap()).unwrap();
+        let (restored, change) =
+            Membership::restore(MembershipLimits::default(), NOW, 1_003_000, &text).unwrap();
+        assert_eq!(restored.version(), Some(9));
+        let MembershipChange::Full(members) = change else { panic!("expected a full list") };
+        assert_eq!((members[0].started, members[1].started), (NOW - Duration::from_secs(5), Duration::ZERO));
         assert!(Membership::restore(MembershipLimits::default(), NOW, 0, &text[..text.len() - 3]).is_err());
         let newer = String::from_utf8(text).unwrap().replace("\"format\":1", "\"format\":2");
         let error = Membership::restore(MembershipLimits::default(), NOW, 0, newer.as_bytes()).err().unwrap();
-        assert_eq!(error.to_string(), "the kept roster has format 2, at most 1 is known");
+        assert_eq!(error.to_string(), "stored membership list has format 2, only format 1 is supported");
     }
 }
