--- a/crates/platform/src/core/leases.rs
+++ b/crates/platform/src/core/leases.rs
@@ -21,7 +21,7 @@
             let quiet = self.state.now.saturating_sub(remote.lease.last_heard());
             match remote.lease.check(self.state.now, phase) {
                 LeaseAction::Valid => {}
-                LeaseAction::SendHeartbeat if self.settings.may_probe => {
+                LeaseAction::SendHeartbeat if self.settings.may_send_heartbeats => {
                     transport.log_debug(format_args!(
                         "exchange {} quiet for {quiet:?}: sending a heartbeat",
                         exchange.0
@@ -59,7 +59,7 @@
             Some(link) => self.state.drain_link(transport, link),
             None => self.state.maintain_pool(transport, exchange),
         }
-        if self.settings.may_probe {
+        if self.settings.may_send_heartbeats {
             self.state.send_heartbeat(transport, exchange);
         }
     }
--- a/crates/sip/src/lib.rs
+++ b/crates/sip/src/lib.rs
@@ -1,17 +1,19 @@
-//! SIP (RFC 3261) as the operators' callers speak it over TCP: octets to requests and responses and back.
+//! SIP (RFC 3261) over TCP, as the operators' callers use it: decodes octets to requests and responses, and encodes them.
 //!
-//! No I/O. Everything that comes is bounded: a message has at most [`MAX_MESSAGE_OCTETS`] octets, says its length exactly once, and
-//! what it is short of or has too much of is told with the status that answers it. The header block is httparse's.
+//! No I/O. Input is bounded: a message has at most [`MAX_MESSAGE_OCTETS`] octets and exactly one Content-Length. A
+//! [`DecodeError`] carries the status of the response to an invalid message. `httparse` parses the header block.
 
 use std::fmt::Write;
 
 use thiserror::Error;
 
-/// Octets that a message may have, its body included.
+/// The maximum length of a message, including its body.
 pub const MAX_MESSAGE_OCTETS: usize = 16 << 10;
-const MOST_HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
+const MAX_START_LINE_OCTETS: usize = 512;
 
-/// Why the stream can't be cut into messages any more: the connection is of no use.
+/// Why the stream can't be decoded. No further message can be found in it, so the connection must be closed. The texts
+/// are sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     #[error("a message of more than {MAX_MESSAGE_OCTETS} octets")]
@@ -25,7 +27,7 @@
 }
 
 impl DecodeError {
-    /// The status of the response that says so (RFC 3261, 21.4).
+    /// The status of the response that reports the error (RFC 3261, 21.4).
     pub fn status(self) -> u16 {
         match self {
             Self::TooLong => 513,
@@ -40,7 +42,7 @@
     Response { status: u16 },
 }
 
-/// One message, as it lies in the octets that came.
+/// A message that borrows from the received octets.
 #[derive(Debug)]
 pub struct Message<'a> {
     pub start: StartLine<'a>,
@@ -49,101 +51,102 @@
 }
 
 impl<'a> Message<'a> {
-    /// The value of a header, whatever the case of its name; of several the first.
+    /// The value of the first header with this name, in upper or lower case.
     pub fn header(&self, name: &str) -> Option<&'a str> {
-        self.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| *value)
+        self.headers.iter().find(|(header, _)| header.eq_ignore_ascii_case(name)).map(|(_, value)| *value)
     }
 
     pub fn headers(&self, name: &str) -> impl Iterator<Item = &'a str> {
         self.headers
             .iter()
-            .filter(move |(known, _)| known.eq_ignore_ascii_case(name))
+            .filter(move |(header, _)| header.eq_ignore_ascii_case(name))
             .map(|(_, value)| *value)
     }
 
-    /// The number and the method in `CSeq`.
+    /// The sequence number and the method in `CSeq`.
     pub fn cseq(&self) -> Option<(u32, &'a str)> {
         let mut words = self.header("CSeq")?.split_ascii_whitespace();
         Some((words.next()?.parse().ok()?, words.next()?))
     }
 
-    /// The user part of a request's `sip:` address.
+    /// The user part of a request's `sip:` URI.
     pub fn user(&self) -> Option<&'a str> {
         let StartLine::Request { uri, .. } = self.start else { return None };
         uri.strip_prefix("sip:")?.split_once('@').map(|(user, _)| user)
     }
 }
 
-/// Cuts what comes on a connection into messages.
+/// Splits the octets of a connection into messages.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    held: Vec<u8>,
-    /// Octets of `held` that were handed out.
-    done: usize,
-    /// Up to where no end of a header block was found.
+    buffer: Vec<u8>,
+    /// Octets at the start of `buffer` that have been returned.
+    consumed: usize,
+    /// Octets after `consumed` that hold no end of a header block.
     searched: usize,
 }
 
 impl Decoder {
-    /// Takes what came. What waits to be cut is bounded by the reader: one read, and one message half come.
+    /// Adds received octets. If all messages are taken after each push, the buffer holds at most one push and one
+    /// incomplete message.
     pub fn push(&mut self, octets: &[u8]) {
-        if self.done > 0 {
-            self.held.drain(..self.done);
-            self.done = 0;
+        if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
         }
-        self.held.extend_from_slice(octets);
+        self.buffer.extend_from_slice(octets);
     }
 
-    /// Whether a message has come in part.
+    /// Whether a message has been received in part.
     pub fn has_partial(&self) -> bool {
-        self.done < self.held.len()
+        self.consumed < self.buffer.len()
     }
 
-    /// The next whole message, if there is one.
+    /// The next complete message, if there is one.
     pub fn next_message(&mut self) -> Result<Option<Message<'_>>, DecodeError> {
         // Empty lines between messages keep connections alive (RFC 5626).
-        while self.held.get(self.done).is_some_and(|octet| matches!(octet, b'\r' | b'\n')) {
-            self.done += 1;
+        while self.buffer.get(self.consumed).is_some_and(|octet| matches!(octet, b'\r' | b'\n')) {
+            self.consumed += 1;
         }
-        let Some((head, length)) = self.measure()? else {
+        let Some((head_octets, body_octets)) = self.measure()? else {
             if !self.has_partial() {
-                self.held = Vec::new();
-                (self.done, self.searched) = (0, 0);
+                self.buffer = Vec::new();
+                (self.consumed, self.searched) = (0, 0);
             }
             return Ok(None);
         };
-        let start = self.done;
-        self.done += head + length;
+        let start = self.consumed;
+        self.consumed += head_octets + body_octets;
         self.searched = 0;
-        let message = &self.held[start..self.done];
-        read(&message[..head], &message[head..]).map(Some)
+        let message = &self.buffer[start..self.consumed];
+        parse(&message[..head_octets], &message[head_octets..]).map(Some)
     }
 
-    /// Octets of the next message's head and body, once all have come.
+    /// The lengths of the next message's head and body, once the message is complete.
     fn measure(&mut self) -> Result<Option<(usize, usize)>, DecodeError> {
-        let rest = &self.held[self.done..];
+        let rest = &self.buffer[self.consumed..];
         let from = self.searched.min(rest.len());
         let Some(end) = rest[from..].windows(4).position(|four| four == b"\r\n\r\n") else {
             self.searched = rest.len().saturating_sub(3);
             let line = rest.iter().position(|octet| *octet == b'\n');
-            // Noise is told as soon as its first line shows it.
+            // Input that is not SIP is rejected by its first line, before the header block is complete.
             match line {
                 Some(line) => drop(start_line(&rest[..line])?),
-                None if rest.len() > 512 => return Err(DecodeError::StartLine),
+                None if rest.len() > MAX_START_LINE_OCTETS => return Err(DecodeError::StartLine),
                 None => {}
             }
             return if rest.len() > MAX_MESSAGE_OCTETS { Err(DecodeError::TooLong) } else { Ok(None) };
         };
-        let head = from + end + 4;
+        let head_octets = from + end + 4;
         self.searched = from + end;
-        if head > MAX_MESSAGE_OCTETS {
+        if head_octets > MAX_MESSAGE_OCTETS {
             return Err(DecodeError::TooLong);
         }
-        let length = length(&headers(&rest[..head])?)?;
-        if head + length > MAX_MESSAGE_OCTETS {
+        let body_octets = content_length(&headers(&rest[..head_octets])?)?;
+        if head_octets + body_octets > MAX_MESSAGE_OCTETS {
             return Err(DecodeError::TooLong);
         }
-        Ok((rest.len() >= head + length).then_some((head, length)))
+        Ok((rest.len() >= head_octets + body_octets).then_some((head_octets, body_octets)))
     }
 }
 
@@ -167,12 +170,12 @@
     }
 }
 
-/// The headers of a head, its start line passed over.
+/// The headers of a message head. The start line must be valid but is not returned.
 fn headers(head: &[u8]) -> Result<Vec<(&str, &str)>, DecodeError> {
     let line = head.iter().position(|octet| *octet == b'\n').ok_or(DecodeError::StartLine)?;
     start_line(&head[..line])?;
-    let mut room = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    match httparse::parse_headers(&head[line + 1..], &mut room) {
+    let mut storage = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    match httparse::parse_headers(&head[line + 1..], &mut storage) {
         Ok(httparse::Status::Complete((_, headers))) => headers
             .iter()
             .map(|header| {
@@ -183,24 +186,23 @@
     }
 }
 
-fn length(headers: &[(&str, &str)]) -> Result<usize, DecodeError> {
-    let mut all = headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("Content-Length"));
-    match (all.next(), all.next()) {
+fn content_length(headers: &[(&str, &str)]) -> Result<usize, DecodeError> {
+    let mut lengths = headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("Content-Length"));
+    match (lengths.next(), lengths.next()) {
         (Some((_, text)), None) if !text.is_empty() && text.bytes().all(|octet| octet.is_ascii_digit()) => {
-            // A length that does not fit a word is too long all the more.
+            // A length that overflows `usize` is above the limit too. Half of the maximum leaves room for an addition.
             Ok(text.parse().unwrap_or(usize::MAX / 2))
         }
         _ => Err(DecodeError::Length),
     }
 }
 
-fn read<'a>(head: &'a [u8], body: &'a [u8]) -> Result<Message<'a>, DecodeError> {
+fn parse<'a>(head: &'a [u8], body: &'a [u8]) -> Result<Message<'a>, DecodeError> {
     let line = head.iter().position(|octet| *octet == b'\n').ok_or(DecodeError::StartLine)?;
     Ok(Message { start: start_line(&head[..line])?, headers: headers(head)?, body })
 }
 
-/// The usual words for a status.
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -217,18 +219,18 @@
     }
 }
 
-/// Writes a response.
+/// Appends a response to `out`.
 pub fn encode_response(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], body: &[u8]) {
-    encode(out, &format!("SIP/2.0 {status} {}", reason(status)), headers, body);
+    encode(out, &format!("SIP/2.0 {status} {}", reason_phrase(status)), headers, body);
 }
 
-/// Writes a message: its start line, its headers in order, its length and its body.
+/// Appends a message to `out`: start line, headers in the given order, Content-Length and body.
 pub fn encode(out: &mut Vec<u8>, start: &str, headers: &[(&str, &str)], body: &[u8]) {
     let mut head = String::with_capacity(256);
     head.push_str(start);
     head.push_str("\r\n");
     for (name, value) in headers {
-        // Writing to a string does not fail.
+        // Writing to a `String` never fails.
         let _ = write!(head, "{name}: {value}\r\n");
     }
     let _ = write!(head, "Content-Length: {}\r\n\r\n", body.len());
@@ -243,7 +245,7 @@
     const INVITE: &[u8] = b"INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\n\
         Call-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\nPriority-Class: voice\r\nContent-Length: 5\r\n\r\nhello";
 
-    fn cut(octets: &[u8]) -> Result<usize, DecodeError> {
+    fn message_count(octets: &[u8]) -> Result<usize, DecodeError> {
         let mut decoder = Decoder::default();
         decoder.push(octets);
         let mut count = 0;
@@ -254,7 +256,7 @@
     }
 
     #[test]
-    fn a_set_up_is_read_octet_by_octet_as_at_once() {
+    fn an_invite_is_decoded_from_single_octets() {
         let mut decoder = Decoder::default();
         for octet in &INVITE[..INVITE.len() - 1] {
             decoder.push(&[*octet]);
@@ -266,37 +268,41 @@
         assert_eq!((message.header("call-id"), message.body), (Some("9b1f03aa5c7e2d41"), &b"hello"[..]));
         assert!(
             decoder.next_message().unwrap().is_none() && !decoder.has_partial(),
-            "an empty line is no half message"
+            "an empty line is not a partial message"
         );
-        assert_eq!(cut(&[INVITE, INVITE, &INVITE[..9]].concat()), Ok(2));
+        assert_eq!(message_count(&[INVITE, INVITE, &INVITE[..9]].concat()), Ok(2));
     }
 
     #[test]
-    fn lengths_and_lines_that_make_no_sense_are_told_apart() {
-        let with = |length: &str| {
+    fn invalid_lengths_and_start_lines_have_different_errors() {
+        let decode_with = |length: &str| {
             let head = format!("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: a\r\n{length}\r\n");
-            cut(head.as_bytes())
+            message_count(head.as_bytes())
         };
-        assert_eq!(with("Content-Length: 0\r\n"), Ok(1));
-        for wrong in [
+        assert_eq!(decode_with("Content-Length: 0\r\n"), Ok(1));
+        for invalid in [
             "",
             "Content-Length: -1\r\n",
             "Content-Length: 0\r\nContent-Length: 0\r\n",
             "Content-Length: x\r\n",
         ] {
-            assert_eq!(with(wrong), Err(DecodeError::Length), "{wrong}");
+            assert_eq!(decode_with(invalid), Err(DecodeError::Length), "{invalid}");
         }
         for huge in ["16384", "60000000", "99999999999999999999999999"] {
-            assert_eq!(with(&format!("Content-Length: {huge}\r\n")), Err(DecodeError::TooLong), "{huge}");
+            assert_eq!(
+                decode_with(&format!("Content-Length: {huge}\r\n")),
+                Err(DecodeError::TooLong),
+                "{huge}"
+            );
         }
-        assert_eq!(cut(b"GET / HTTP/1.1\r\n"), Err(DecodeError::StartLine));
-        assert_eq!(cut(&[b'x'; 600]), Err(DecodeError::StartLine));
-        let endless = [&b"OPTIONS sip:ping@net SIP/2.0\r\n"[..], &b"A: b\r\n".repeat(3000)].concat();
-        assert_eq!(cut(&endless), Err(DecodeError::TooLong));
+        assert_eq!(message_count(b"GET / HTTP/1.1\r\n"), Err(DecodeError::StartLine));
+        assert_eq!(message_count(&[b'x'; 600]), Err(DecodeError::StartLine));
+        let endless_head = [&b"OPTIONS sip:ping@net SIP/2.0\r\n"[..], &b"A: b\r\n".repeat(3000)].concat();
+        assert_eq!(message_count(&endless_head), Err(DecodeError::TooLong));
     }
 
     #[test]
-    fn what_is_written_is_read_again() {
+    fn an_encoded_message_is_decoded_unchanged() {
         let mut out = Vec::new();
         encode(&mut out, "SIP/2.0 503 Service Unavailable", &[("Call-ID", "a"), ("CSeq", "7 INVITE")], b"x");
         let mut decoder = Decoder::default();
--- a/crates/sip/tests/fuzz.rs
+++ b/crates/sip/tests/fuzz.rs
@@ -1,38 +1,38 @@
-//! Fuzz target of the decoder. As an ordinary test it runs some seconds' worth of new inputs.
+//! Fuzz targets for the decoder. As ordinary tests they run new random inputs for a few seconds.
 
 use mintstall_sip::{Decoder, MAX_MESSAGE_OCTETS, StartLine, encode};
 
 #[test]
-fn whatever_is_cut_is_bounded_and_reads_the_same_in_two_parts() {
-    bolero::check!().with_iterations(20_000).with_type::<(Vec<u8>, usize)>().for_each(|(octets, at)| {
-        // Most noise ends at its first line; behind a good one it gets further.
+fn decoded_messages_are_bounded_and_do_not_depend_on_how_the_input_is_split() {
+    bolero::check!().with_iterations(20_000).with_type::<(Vec<u8>, usize)>().for_each(|(octets, split)| {
+        // Most random input fails at its first line. After a valid message it reaches later stages of the decoder.
         let octets = [b"OPTIONS sip:ping@net SIP/2.0\r\nContent-Length: 0\r\n", &octets[..]].concat();
-        let at = at % octets.len();
-        let cut = |parts: &[&[u8]]| {
-            let (mut decoder, mut all) = (Decoder::default(), Vec::new());
+        let split = split % octets.len();
+        let decode = |parts: &[&[u8]]| {
+            let (mut decoder, mut results) = (Decoder::default(), Vec::new());
             for part in parts {
                 decoder.push(part);
                 loop {
                     match decoder.next_message() {
-                        Ok(Some(message)) => all.push(Ok(message.body.len())),
+                        Ok(Some(message)) => results.push(Ok(message.body.len())),
                         Ok(None) => break,
-                        Err(spoilt) => {
-                            all.push(Err(spoilt));
-                            return all;
+                        Err(error) => {
+                            results.push(Err(error));
+                            return results;
                         }
                     }
                 }
             }
-            all
+            results
         };
-        let whole = cut(&[&octets]);
+        let whole = decode(&[&octets]);
         assert!(whole.iter().flatten().all(|length| *length <= MAX_MESSAGE_OCTETS));
-        assert_eq!(whole, cut(&[&octets[..at], &octets[at..]]));
+        assert_eq!(whole, decode(&[&octets[..split], &octets[split..]]));
     });
 }
 
 #[test]
-fn any_body_is_written_and_read_back() {
+fn any_body_survives_encoding_and_decoding() {
     bolero::check!().with_iterations(5_000).for_each(|body: &[u8]| {
         let mut out = Vec::new();
         encode(&mut out, "INVITE sip:a@net SIP/2.0", &[("Call-ID", "a")], body);
