--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,9 @@
-//! A controller on the operators' platform as a process: sockets, timers and signals around a [`Core`].
+//! The process of a controller on the operators' platform: sockets, timers and signals around a [`Core`].
 //!
-//! It decides nothing. What came is handed to the core in the order bus, exchanges, callers; what the core wants written is
-//! written at the end of each turn. Every queue has a bound: reads are cut to a share of a turn, a caller that does not
-//! read is not read either, and accepted connections leave the descriptors that links and the bus need.
+//! The core makes all decisions. Each turn of the event loop passes received data to the core in the order event bus,
+//! exchanges, callers, and writes the core's output at its end. All queues are bounded: the reads per connection and turn
+//! are limited, a caller that does not read its messages is not read from, and the number of accepted connections leaves
+//! the file descriptors that links and the event bus need.
 
 mod metrics;
 
@@ -24,95 +25,96 @@
 
 #[derive(Debug, Error)]
 pub enum NodeError {
-    #[error("callers' address {addr}: {error}")]
+    #[error("can't listen for callers on {addr}: {error}")]
     Listen { addr: SocketAddr, error: io::Error },
-    #[error("no event loop: {0}")]
+    #[error("event loop failed: {0}")]
     Poll(io::Error),
 }
 
 const LISTENER: Token = Token(0);
 const SIGNALS: Token = Token(1);
-const FIRST: usize = 2;
-const READ: usize = 16 << 10;
-/// Reads of one connection in a turn: a flooder waits for the others.
-const READS: usize = 4;
-/// Connections accepted in a turn.
-const ACCEPTS: usize = 64;
-/// Octets that may wait for a connection; a caller is not read while half of that waits.
-const MOST_WAITING: usize = 128 << 10;
-/// A connection told why it is closed is read on for so long, or the reset for what it still sends would take the
-/// words away.
+const FIRST_CONNECTION_TOKEN: usize = 2;
+const READ_BUFFER_OCTETS: usize = 16 << 10;
+/// Per connection and turn, so that one that floods the controller does not hold up the others.
+const MAX_READS_PER_TURN: usize = 4;
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// Octets that may wait to be written to a connection. A connection is not read from while half of that is waiting.
+const MAX_OUTPUT_OCTETS: usize = 128 << 10;
+/// How long a connection is still read from after its last message. Closing at once would reset the connection if the
+/// caller still sends, and the reset would discard the message.
 const LINGER: Duration = Duration::from_millis(1500);
-/// And at the end of the process for so long: the other side needs that to see the close.
-const LAST_LINGER: Duration = Duration::from_millis(200);
-/// A configuration that can't be read is read again after this, so many times in all.
-const RELOAD_AFTER: Duration = Duration::from_millis(250);
-const RELOAD_TRIES: u32 = 8;
+/// How long open connections delay the end of the process, so that the callers see the close.
+const SHUTDOWN_LINGER: Duration = Duration::from_millis(200);
+/// The delay before a configuration file that can't be read is tried again.
+const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(250);
+const MAX_RELOAD_ATTEMPTS: u32 = 8;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Purpose {
     Bus,
     Link(LinkId),
     Caller(CallerConnectionId),
-    /// A caller's, told why it is closed: what still comes is thrown away until then.
-    Leaving,
+    /// A caller that has been sent its last message. Further input is discarded until the connection is closed.
+    ClosingCaller,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    Dialled,
+    Connecting,
     Open,
-    /// Open, and waits until more can be written.
-    Full,
-    /// Closed in our direction: nothing more is written, and it is read to its end.
+    /// Open, but the socket's send buffer is full.
+    WriteBlocked,
+    /// Shut down for writing, and read until the other side closes.
     HalfClosed,
-    /// A write has failed: what had come before is read, then it is over.
-    Broken(Disconnect),
+    /// A write has failed. Data received before is still read, then the connection is reported as lost.
+    WriteFailed(Disconnect),
 }
 
 struct Connection {
     stream: TcpStream,
     purpose: Purpose,
     phase: Phase,
-    out: OutputBuffer,
+    output: OutputBuffer,
 }
 
-struct Wires {
+struct Connections {
     poll: Poll,
-    connections: BTreeMap<Token, Connection>,
+    by_token: BTreeMap<Token, Connection>,
     links: BTreeMap<LinkId, Token>,
     bus: Option<Token>,
-    callers: usize,
-    /// Connections with something to write.
-    dirty: Vec<Token>,
-    /// Connections with more to read than their share of a turn.
-    more: Vec<Token>,
-    /// What failed in the midst of a turn, to be told at its end.
+    caller_count: usize,
+    /// Connections with output to write.
+    pending_writes: Vec<Token>,
+    /// Connections, and the listener, that may have more input than the limit per turn.
+    pending_reads: Vec<Token>,
+    /// Connections lost during a turn that have not been reported to the core yet.
     failed: Vec<(Purpose, Disconnect)>,
-    /// Connections that linger, by when they go.
-    leaving: VecDeque<(Instant, Token)>,
-    next: usize,
+    /// Connections that linger, with the time when they are closed, in order.
+    closing: VecDeque<(Instant, Token)>,
+    next_token: usize,
 }
 
-impl Wires {
+impl Connections {
     fn add(&mut self, mut stream: TcpStream, purpose: Purpose, phase: Phase) -> io::Result<Token> {
-        let token = Token(self.next);
-        self.next += 1;
-        // Small messages must not wait for each other; where it can't be set, they do.
+        let token = Token(self.next_token);
+        self.next_token += 1;
+        // Sends small messages without delay. If the option can't be set, the connection works without it.
         let _ = stream.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, token, interest)?;
-        self.connections
-            .insert(token, Connection { stream, purpose, phase, out: OutputBuffer::new(MOST_WAITING) });
+        self.by_token.insert(
+            token,
+            Connection { stream, purpose, phase, output: OutputBuffer::new(MAX_OUTPUT_OCTETS) },
+        );
         Ok(token)
     }
 
-    fn dial_out(&mut self, to: SocketAddr, purpose: Purpose) -> Option<Token> {
-        let dialled = TcpStream::connect(to).and_then(|stream| self.add(stream, purpose, Phase::Dialled));
-        match dialled {
+    fn connect(&mut self, to: SocketAddr, purpose: Purpose) -> Option<Token> {
+        let added = TcpStream::connect(to).and_then(|stream| self.add(stream, purpose, Phase::Connecting));
+        match added {
             Ok(token) => Some(token),
             Err(error) => {
-                self.failed.push((purpose, broke(&error)));
+                self.failed.push((purpose, disconnect_reason(&error)));
                 None
             }
         }
@@ -120,94 +122,94 @@
 
     fn push(&mut self, token: Option<Token>, octets: &[u8]) {
         let Some(token) = token else { return };
-        if let Some(connection) = self.connections.get_mut(&token)
+        if let Some(connection) = self.by_token.get_mut(&token)
             && connection.phase != Phase::HalfClosed
         {
-            connection.out.push(octets);
-            self.dirty.push(token);
+            connection.output.push(octets);
+            self.pending_writes.push(token);
         }
     }
 
     fn remove(&mut self, token: Token) -> Option<Connection> {
-        let mut connection = self.connections.remove(&token)?;
-        // One that was never registered, or is closed by now, needs no taking out.
+        let mut connection = self.by_token.remove(&token)?;
+        // Fails if the stream was never registered or is closed already. Neither needs to be handled.
         let _ = self.poll.registry().deregister(&mut connection.stream);
         match connection.purpose {
             Purpose::Bus => self.bus = None,
-            Purpose::Link(no) => drop(self.links.remove(&no)),
-            Purpose::Caller(_) | Purpose::Leaving => self.callers -= 1,
+            Purpose::Link(link) => drop(self.links.remove(&link)),
+            Purpose::Caller(_) | Purpose::ClosingCaller => self.caller_count -= 1,
         }
         Some(connection)
     }
 
-    /// A connection broke: told at the end of the turn.
-    fn fail(&mut self, token: Token, how: Disconnect) {
+    /// Removes a lost connection. The loss is reported to the core later.
+    fn fail(&mut self, token: Token, reason: Disconnect) {
         if let Some(connection) = self.remove(token) {
-            self.failed.push((connection.purpose, how));
+            self.failed.push((connection.purpose, reason));
         }
     }
 
     fn flush(&mut self, token: Token) {
-        let Some(connection) = self.connections.get_mut(&token) else { return };
-        if matches!(connection.phase, Phase::Dialled | Phase::HalfClosed | Phase::Broken(_)) {
+        let Some(connection) = self.by_token.get_mut(&token) else { return };
+        if matches!(connection.phase, Phase::Connecting | Phase::HalfClosed | Phase::WriteFailed(_)) {
             return;
         }
-        if connection.out.overrun() {
+        if connection.output.overrun() {
             return self.fail(token, Disconnect::Lost);
         }
-        let had = connection.out.waiting() >= MOST_WAITING / 2;
-        match connection.out.write_to(&mut connection.stream) {
+        let reading_was_paused = connection.output.waiting() >= MAX_OUTPUT_OCTETS / 2;
+        match connection.output.write_to(&mut connection.stream) {
             Ok(true) => {
                 connection.phase = Phase::Open;
-                if connection.purpose == Purpose::Leaving {
-                    // Fails where the other side has closed: nothing is lost by it.
+                if connection.purpose == Purpose::ClosingCaller {
+                    // Fails if the other side has closed, which does no harm.
                     let _ = connection.stream.shutdown(Shutdown::Write);
                 }
-                if had {
-                    self.more.push(token);
+                if reading_was_paused {
+                    self.pending_reads.push(token);
                 }
             }
-            Ok(false) => connection.phase = Phase::Full,
+            Ok(false) => connection.phase = Phase::WriteBlocked,
             Err(error) => {
-                connection.phase = Phase::Broken(broke(&error));
-                self.more.push(token);
+                connection.phase = Phase::WriteFailed(disconnect_reason(&error));
+                self.pending_reads.push(token);
             }
         }
     }
 
     fn flush_all(&mut self) {
-        let mut dirty = std::mem::take(&mut self.dirty);
-        dirty.sort_unstable();
-        dirty.dedup();
-        dirty.drain(..).for_each(|token| self.flush(token));
-        if self.dirty.is_empty() {
-            // Kept for its room.
-            self.dirty = dirty;
+        let mut tokens = std::mem::take(&mut self.pending_writes);
+        tokens.sort_unstable();
+        tokens.dedup();
+        tokens.drain(..).for_each(|token| self.flush(token));
+        if self.pending_writes.is_empty() {
+            // Keeps the allocation for the next turn.
+            self.pending_writes = tokens;
         }
     }
 }
 
-fn broke(error: &io::Error) -> Disconnect {
+fn disconnect_reason(error: &io::Error) -> Disconnect {
     if error.kind() == io::ErrorKind::ConnectionRefused { Disconnect::Refused } else { Disconnect::Lost }
 }
 
-impl Transport for Wires {
+impl Transport for Connections {
     fn send_to_caller(&mut self, caller: CallerConnectionId, octets: &[u8]) {
         self.push(Some(Token(caller.0 as usize)), octets);
     }
 
     fn close_caller_after_flush(&mut self, caller: CallerConnectionId) {
         let token = Token(caller.0 as usize);
-        if let Some(connection) = self.connections.get_mut(&token) {
-            connection.purpose = Purpose::Leaving;
-            self.leaving.push_back((Instant::now() + LINGER, token));
-            self.dirty.push(token);
-            self.more.push(token);
+        if let Some(connection) = self.by_token.get_mut(&token) {
+            connection.purpose = Purpose::ClosingCaller;
+            self.closing.push_back((Instant::now() + LINGER, token));
+            self.pending_writes.push(token);
+            self.pending_reads.push(token);
         }
     }
 
     fn connect_link(&mut self, link: LinkId, to: SocketAddr) {
-        if let Some(token) = self.dial_out(to, Purpose::Link(link)) {
+        if let Some(token) = self.connect(to, Purpose::Link(link)) {
             self.links.insert(link, token);
         }
     }
@@ -217,25 +219,26 @@
     }
 
     fn is_write_blocked(&self, link: LinkId) -> bool {
-        let connection = self.links.get(&link).and_then(|token| self.connections.get(token));
-        connection.is_none_or(|connection| matches!(connection.phase, Phase::Full | Phase::Broken(_)))
+        let connection = self.links.get(&link).and_then(|token| self.by_token.get(token));
+        connection
+            .is_none_or(|connection| matches!(connection.phase, Phase::WriteBlocked | Phase::WriteFailed(_)))
     }
 
     fn shutdown_link_write(&mut self, link: LinkId) {
         let Some(token) = self.links.get(&link).copied() else { return };
         self.flush(token);
-        if let Some(connection) = self.connections.get_mut(&token)
-            && connection.phase != Phase::Dialled
+        if let Some(connection) = self.by_token.get_mut(&token)
+            && connection.phase != Phase::Connecting
         {
             connection.phase = Phase::HalfClosed;
-            // Fails where the other side has closed; its end is read all the same.
+            // Fails if the other side has closed. The connection is read to its end all the same.
             let _ = connection.stream.shutdown(Shutdown::Write);
         }
     }
 
     fn close_link(&mut self, link: LinkId) {
         if let Some(token) = self.links.get(&link).copied() {
-            // What was sent before goes out first: a release, mostly.
+            // Writes the waiting output first, which is mostly a release.
             self.flush(token);
             self.remove(token);
         }
@@ -243,7 +246,7 @@
 
     fn connect_bus(&mut self, to: SocketAddr) {
         self.close_bus();
-        self.bus = self.dial_out(to, Purpose::Bus);
+        self.bus = self.connect(to, Purpose::Bus);
     }
 
     fn send_to_bus(&mut self, text: &str) {
@@ -265,31 +268,31 @@
     }
 }
 
-/// A controller with its sockets.
+/// A controller with its sockets, timers and signals.
 pub struct Node {
     core: Core,
-    wires: Wires,
+    connections: Connections,
     listener: TcpListener,
     signals: Signals,
-    config: PathBuf,
-    /// The Unix clock at the start, carried on by one that never steps.
-    epoch: Duration,
+    config_path: PathBuf,
+    /// Unix time at the start. The monotonic time since then is added to it, so that the clock never steps.
+    started_unix: Duration,
     started: Instant,
-    most_callers: usize,
-    /// Connections wait that could not be accepted.
-    accept_later: bool,
+    max_callers: usize,
+    /// Whether connections are left that could not be accepted yet.
+    retry_accept: bool,
     buffer: Vec<u8>,
     counter_log: metrics::CounterLog,
     next_counter_log: Instant,
-    /// Since when nothing has been left to do in a shutdown.
-    stopped_since: Option<Instant>,
-    /// When the configuration is read again, and how many tries are left.
-    reload: Option<(Instant, u32)>,
+    /// Since when the core's shutdown has been complete.
+    shutdown_complete_since: Option<Instant>,
+    /// When the configuration is read again, and how many attempts are left.
+    reload_retry: Option<(Instant, u32)>,
 }
 
 impl Node {
-    /// Listens and dials; `path` is read again at a SIGHUP.
-    pub fn open(config: &Config, listen: SocketAddr, path: PathBuf) -> Result<Self, NodeError> {
+    /// Listens for callers and starts the core. SIGHUP reloads the configuration from `config_path`.
+    pub fn open(config: &Config, listen: SocketAddr, config_path: PathBuf) -> Result<Self, NodeError> {
         metrics::install();
         let poll = Poll::new().map_err(NodeError::Poll)?;
         let mut listener =
@@ -297,98 +300,102 @@
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(NodeError::Poll)?;
         let mut signals = Signals::new([SIGHUP, SIGTERM, SIGINT]).map_err(NodeError::Poll)?;
         poll.registry().register(&mut signals, SIGNALS, Interest::READABLE).map_err(NodeError::Poll)?;
-        let mut wires = Wires {
+        let mut connections = Connections {
             poll,
-            connections: BTreeMap::new(),
+            by_token: BTreeMap::new(),
             links: BTreeMap::new(),
             bus: None,
-            callers: 0,
-            dirty: Vec::new(),
-            more: Vec::new(),
+            caller_count: 0,
+            pending_writes: Vec::new(),
+            pending_reads: Vec::new(),
             failed: Vec::new(),
-            leaving: VecDeque::new(),
-            next: FIRST,
+            closing: VecDeque::new(),
+            next_token: FIRST_CONNECTION_TOKEN,
         };
-        // A clock before the epoch is none that processors' starts could be told by.
-        let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        // A clock set before 1970 can't date the start times of processors. It counts as zero.
+        let started_unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let started = Instant::now();
-        let core = Core::new(config, epoch, &mut wires);
+        let core = Core::new(config, started_unix, &mut connections);
         Ok(Self {
             core,
-            wires,
+            connections,
             listener,
             signals,
-            config: path,
-            epoch,
+            config_path,
+            started_unix,
             started,
-            most_callers: config.sockets * 5 / 8,
-            accept_later: false,
-            buffer: vec![0; READ],
+            max_callers: config.sockets * 5 / 8,
+            retry_accept: false,
+            buffer: vec![0; READ_BUFFER_OCTETS],
             counter_log: metrics::CounterLog::default(),
             next_counter_log: started + metrics::LOG_INTERVAL,
-            stopped_since: None,
-            reload: None,
+            shutdown_complete_since: None,
+            reload_retry: None,
         })
     }
 
-    /// Where callers connect.
+    /// The address on which callers connect.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
     fn now(&self) -> Duration {
-        self.epoch + self.started.elapsed()
+        self.started_unix + self.started.elapsed()
     }
 
-    /// Runs until it is told to stop and owes nothing.
+    /// Runs until a signal has stopped the controller and its shutdown is complete.
     pub fn run(mut self) -> Result<(), NodeError> {
         let mut events = Events::with_capacity(256);
         loop {
-            self.told_of_failures();
-            self.wires.flush_all();
-            if self.may_end() {
+            self.report_failures();
+            self.connections.flush_all();
+            if self.may_exit() {
                 return Ok(());
             }
-            match self.wires.poll.poll(&mut events, Some(self.rest())) {
+            match self.connections.poll.poll(&mut events, Some(self.poll_timeout())) {
                 Ok(()) => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(error) => return Err(NodeError::Poll(error)),
             }
             let mut ready: Vec<_> = events.iter().map(|event| (event.token(), event.is_writable())).collect();
-            ready.extend(std::mem::take(&mut self.wires.more).into_iter().map(|token| (token, false)));
-            // The bus first: nothing new may go where it has told a drain.
-            ready.sort_by_key(|(token, _)| (self.wires.connections.get(token).map(|of| of.purpose), *token));
+            ready.extend(
+                std::mem::take(&mut self.connections.pending_reads).into_iter().map(|token| (token, false)),
+            );
+            // The event bus comes first, so that no new call goes to an exchange that it has just reported draining.
+            ready.sort_by_key(|(token, _)| {
+                (self.connections.by_token.get(token).map(|connection| connection.purpose), *token)
+            });
             for (token, writable) in ready {
                 match token {
                     LISTENER => self.accept(),
-                    SIGNALS => self.signalled(),
-                    token => self.turn(token, writable),
+                    SIGNALS => self.handle_signals(),
+                    token => self.handle_ready(token, writable),
                 }
-                self.told_of_failures();
+                self.report_failures();
             }
-            if std::mem::take(&mut self.accept_later) {
+            if std::mem::take(&mut self.retry_accept) {
                 self.accept();
             }
             let now = self.now();
-            self.core.on_timer(now, &mut self.wires);
-            self.let_go();
+            self.core.on_timer(now, &mut self.connections);
+            self.close_lingering();
             self.reload_if_due();
             self.log_counters();
         }
     }
 
-    /// Whether nothing is owed any more, and callers have seen that their connections are closed.
-    fn may_end(&mut self) -> bool {
+    /// Whether the core's shutdown is complete and the callers have seen their connections close.
+    fn may_exit(&mut self) -> bool {
         if !self.core.is_shutdown_complete(self.now()) {
-            self.stopped_since = None;
+            self.shutdown_complete_since = None;
             return false;
         }
-        // A connection that the machine has accepted is served before the process ends.
+        // Connections that the operating system has already accepted are served before the process ends.
         self.accept();
-        let since = *self.stopped_since.get_or_insert_with(Instant::now);
-        let waits = self.wires.connections.values().any(|connection| connection.out.waiting() > 0);
-        let lingers = self.wires.callers > 0 || waits;
-        self.core.is_shutdown_complete(self.now()) && (!lingers || since.elapsed() >= LAST_LINGER)
+        let since = *self.shutdown_complete_since.get_or_insert_with(Instant::now);
+        let has_output = self.connections.by_token.values().any(|connection| connection.output.waiting() > 0);
+        let lingers = self.connections.caller_count > 0 || has_output;
+        self.core.is_shutdown_complete(self.now()) && (!lingers || since.elapsed() >= SHUTDOWN_LINGER)
     }
 
     fn log_counters(&mut self) {
@@ -399,174 +406,178 @@
         }
     }
 
-    /// How long to wait for what comes.
-    fn rest(&self) -> Duration {
-        const LONGEST: Duration = Duration::from_millis(250);
-        const SHORT_REST: Duration = Duration::from_millis(5);
-        if !self.wires.more.is_empty() || !self.wires.failed.is_empty() {
+    fn poll_timeout(&self) -> Duration {
+        const MAX_POLL_TIMEOUT: Duration = Duration::from_millis(250);
+        const SHUTDOWN_POLL_TIMEOUT: Duration = Duration::from_millis(5);
+        if !self.connections.pending_reads.is_empty() || !self.connections.failed.is_empty() {
             return Duration::ZERO;
         }
-        if self.stopped_since.is_some() {
-            return SHORT_REST;
+        if self.shutdown_complete_since.is_some() {
+            return SHUTDOWN_POLL_TIMEOUT;
         }
-        let alarm = self.core.next_timer().map(|due| due.saturating_sub(self.now()));
-        alarm.map_or(LONGEST, |rest| rest.min(LONGEST))
+        let until_timer = self.core.next_timer().map(|due| due.saturating_sub(self.now()));
+        until_timer.map_or(MAX_POLL_TIMEOUT, |timeout| timeout.min(MAX_POLL_TIMEOUT))
     }
 
-    fn told_of_failures(&mut self) {
-        while let Some((purpose, how)) = self.wires.failed.pop() {
+    fn report_failures(&mut self) {
+        while let Some((purpose, reason)) = self.connections.failed.pop() {
             let now = self.now();
             match purpose {
-                Purpose::Bus => self.core.bus_disconnected(now, &mut self.wires),
-                Purpose::Link(no) => self.core.link_disconnected(now, &mut self.wires, no, how),
-                Purpose::Caller(no) => self.core.caller_disconnected(now, &mut self.wires, no),
-                Purpose::Leaving => {}
+                Purpose::Bus => self.core.bus_disconnected(now, &mut self.connections),
+                Purpose::Link(link) => self.core.link_disconnected(now, &mut self.connections, link, reason),
+                Purpose::Caller(caller) => self.core.caller_disconnected(now, &mut self.connections, caller),
+                Purpose::ClosingCaller => {}
             }
         }
     }
 
-    /// Connections told why they are closed go once their time is up.
-    fn let_go(&mut self) {
+    /// Closes the connections whose linger time is over.
+    fn close_lingering(&mut self) {
         let now = Instant::now();
-        while let Some((_, token)) = self.wires.leaving.pop_front_if(|(due, _)| *due <= now) {
-            self.wires.remove(token);
+        while let Some((_, token)) = self.connections.closing.pop_front_if(|(due, _)| *due <= now) {
+            self.connections.remove(token);
         }
     }
 
     fn accept(&mut self) {
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let stream = match self.listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => continue,
-                // No descriptor is free, against all bounds: tried again with the next alarm, not at once.
-                Err(_) => return self.accept_later = true,
+                // No file descriptor is free, although the connection limits should prevent that. Retried once at the
+                // end of a turn, not at once.
+                Err(_) => return self.retry_accept = true,
             };
-            if self.wires.callers >= self.most_callers && !self.make_room() {
-                // Closed at once: all that are open have set-ups in hand.
+            if self.connections.caller_count >= self.max_callers && !self.make_room() {
+                // Closes the new connection: all open ones have set-ups in hand.
                 continue;
             }
-            let caller = CallerConnectionId(self.wires.next as u64);
-            match self.wires.add(stream, Purpose::Caller(caller), Phase::Open) {
+            let caller = CallerConnectionId(self.connections.next_token as u64);
+            match self.connections.add(stream, Purpose::Caller(caller), Phase::Open) {
                 Ok(_) => {
-                    self.wires.callers += 1;
+                    self.connections.caller_count += 1;
                     self.core.caller_connected(self.now(), caller);
                 }
-                Err(error) => warn!("a caller's connection can't be watched: {error}"),
+                Err(error) => warn!("can't register a caller's connection: {error}"),
             }
         }
-        self.wires.more.push(LISTENER);
+        self.connections.pending_reads.push(LISTENER);
     }
 
-    /// Closes the connection that is missed least; whether there was one.
+    /// Closes a lingering connection or else the least active caller. Returns whether there was one.
     fn make_room(&mut self) -> bool {
-        while let Some((_, token)) = self.wires.leaving.pop_front() {
-            if self.wires.remove(token).is_some() {
+        while let Some((_, token)) = self.connections.closing.pop_front() {
+            if self.connections.remove(token).is_some() {
                 return true;
             }
         }
-        let Some(idle) = self.core.least_active_caller() else { return false };
-        self.core.caller_disconnected(self.now(), &mut self.wires, idle);
-        self.wires.remove(Token(idle.0 as usize)).is_some()
+        let Some(caller) = self.core.least_active_caller() else { return false };
+        self.core.caller_disconnected(self.now(), &mut self.connections, caller);
+        self.connections.remove(Token(caller.0 as usize)).is_some()
     }
 
-    fn signalled(&mut self) {
+    fn handle_signals(&mut self) {
         let pending: Vec<_> = self.signals.pending().collect();
         for signal in pending {
             let now = self.now();
             match signal {
-                SIGHUP => self.reload(RELOAD_TRIES),
-                _ => self.core.stop(now, &mut self.wires),
+                SIGHUP => self.reload(MAX_RELOAD_ATTEMPTS),
+                _ => self.core.stop(now, &mut self.connections),
             }
         }
     }
 
-    /// Reads the configuration again. One that can't be read may be half written, so it is tried some times more.
-    fn reload(&mut self, tries: u32) {
-        self.reload = None;
-        match Config::read(&self.config) {
-            Ok(config) => self.core.reconfigure(self.now(), &mut self.wires, &config),
-            Err(error) if tries > 1 => {
-                warn!("the configuration stays as it was, read again soon: {error}");
-                self.reload = Some((Instant::now() + RELOAD_AFTER, tries - 1));
+    /// Reloads the configuration. A file that can't be read may be incomplete, so further attempts follow.
+    fn reload(&mut self, attempts: u32) {
+        self.reload_retry = None;
+        match Config::read(&self.config_path) {
+            Ok(config) => self.core.reconfigure(self.now(), &mut self.connections, &config),
+            Err(error) if attempts > 1 => {
+                warn!(
+                    "can't reload the configuration, keeping the current one until the next attempt: {error}"
+                );
+                self.reload_retry = Some((Instant::now() + RELOAD_RETRY_DELAY, attempts - 1));
             }
-            Err(error) => warn!("the configuration stays as it was: {error}"),
+            Err(error) => warn!("can't reload the configuration, keeping the current one: {error}"),
         }
     }
 
     fn reload_if_due(&mut self) {
-        if let Some((at, tries)) = self.reload
-            && at <= Instant::now()
+        if let Some((due, attempts)) = self.reload_retry
+            && due <= Instant::now()
         {
-            self.reload(tries);
+            self.reload(attempts);
         }
     }
 
-    /// Something can be read or written on a connection.
-    fn turn(&mut self, token: Token, writable: bool) {
-        let Some(connection) = self.wires.connections.get_mut(&token) else { return };
-        if connection.phase == Phase::Dialled {
-            if !writable || !self.dialled(token) {
+    /// Handles a connection that is ready to be read or written.
+    fn handle_ready(&mut self, token: Token, writable: bool) {
+        let Some(connection) = self.connections.by_token.get_mut(&token) else { return };
+        if connection.phase == Phase::Connecting {
+            if !writable || !self.finish_connect(token) {
                 return;
             }
-        } else if writable && connection.phase == Phase::Full {
-            self.wires.flush(token);
+        } else if writable && connection.phase == Phase::WriteBlocked {
+            self.connections.flush(token);
         }
         self.read(token);
     }
 
-    /// A dial has come to something; whether the connection is there.
-    fn dialled(&mut self, token: Token) -> bool {
-        let Some(connection) = self.wires.connections.get_mut(&token) else { return false };
+    /// Checks the outcome of a connection attempt. Returns whether the connection is open.
+    fn finish_connect(&mut self, token: Token) -> bool {
+        let Some(connection) = self.connections.by_token.get_mut(&token) else { return false };
         let error = connection.stream.take_error().ok().flatten();
         match error.map_or_else(|| connection.stream.peer_addr().map(drop), Err) {
             Ok(()) => {
                 connection.phase = Phase::Open;
                 let (purpose, now) = (connection.purpose, self.now());
                 match purpose {
-                    Purpose::Link(no) => self.core.link_connected(now, &mut self.wires, no),
-                    _ => self.core.bus_connected(now, &mut self.wires),
+                    Purpose::Link(link) => self.core.link_connected(now, &mut self.connections, link),
+                    _ => self.core.bus_connected(now, &mut self.connections),
                 }
                 true
             }
             Err(error) if error.kind() == io::ErrorKind::NotConnected => false,
             Err(error) => {
-                self.wires.fail(token, broke(&error));
+                self.connections.fail(token, disconnect_reason(&error));
                 false
             }
         }
     }
 
     fn read(&mut self, token: Token) {
-        for _ in 0..READS {
-            let Some(connection) = self.wires.connections.get_mut(&token) else { return };
-            // Who does not read is not read either; flushing takes it up again.
-            let broken = matches!(connection.phase, Phase::Broken(_));
-            if !broken && connection.out.waiting() >= MOST_WAITING / 2 {
+        for _ in 0..MAX_READS_PER_TURN {
+            let Some(connection) = self.connections.by_token.get_mut(&token) else { return };
+            // A peer that does not read its messages is not read from until `flush` has written them.
+            let write_failed = matches!(connection.phase, Phase::WriteFailed(_));
+            if !write_failed && connection.output.waiting() >= MAX_OUTPUT_OCTETS / 2 {
                 return;
             }
             let purpose = connection.purpose;
             match connection.stream.read(&mut self.buffer) {
-                Ok(0) => return self.wires.fail(token, Disconnect::Lost),
+                Ok(0) => return self.connections.fail(token, Disconnect::Lost),
                 Ok(count) => {
-                    let (now, octets) = (self.epoch + self.started.elapsed(), &self.buffer[..count]);
+                    let (now, octets) = (self.started_unix + self.started.elapsed(), &self.buffer[..count]);
                     match purpose {
-                        Purpose::Bus => self.core.bus_data(now, &mut self.wires, octets),
-                        Purpose::Link(no) => self.core.link_data(now, &mut self.wires, no, octets),
-                        Purpose::Caller(no) => self.core.caller_data(now, &mut self.wires, no, octets),
-                        Purpose::Leaving => {}
+                        Purpose::Bus => self.core.bus_data(now, &mut self.connections, octets),
+                        Purpose::Link(link) => self.core.link_data(now, &mut self.connections, link, octets),
+                        Purpose::Caller(caller) => {
+                            self.core.caller_data(now, &mut self.connections, caller, octets)
+                        }
+                        Purpose::ClosingCaller => {}
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    if let Phase::Broken(how) = connection.phase {
-                        self.wires.fail(token, how);
+                    if let Phase::WriteFailed(reason) = connection.phase {
+                        self.connections.fail(token, reason);
                     }
                     return;
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) => return self.wires.fail(token, broke(&error)),
+                Err(error) => return self.connections.fail(token, disconnect_reason(&error)),
             }
         }
-        self.wires.more.push(token);
+        self.connections.pending_reads.push(token);
     }
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Counters of the process, written to the log at intervals: the platform leaves no address to ask them at.
+//! Counters of the process, written to the log at intervals, because the platform has no address to query them at.
 //!
-//! The core counts through the `metrics` facade. Label values come from enums, so the number of counters is bounded.
+//! The core counts through the `metrics` crate. Label values come from enums, so the number of counters is bounded.
 
 use std::collections::BTreeMap;
 use std::sync::OnceLock;
@@ -41,35 +41,35 @@
     }
 }
 
-/// Counts from now on; a recorder that the process already has is kept.
+/// Starts counting. If the process already has a recorder, that one is kept.
 pub fn install() {
     let _ = metrics::set_global_recorder(CounterRecorder);
 }
 
-/// What was logged last, so that a quiet process logs nothing.
+/// The counters as last logged, so that a process whose counters don't change logs nothing.
 #[derive(Debug, Default)]
 pub struct CounterLog {
-    logged: BTreeMap<String, u64>,
+    last_logged: BTreeMap<String, u64>,
 }
 
 impl CounterLog {
-    /// Logs all counters in one line, if one has changed since the last.
+    /// Logs all counters in one line if any has changed since the last line.
     pub fn log_changes(&mut self) {
-        let now = snapshot();
-        if now != self.logged {
-            info!(target: "mintstall::metrics", counters = ?now);
-            self.logged = now;
+        let counters = snapshot();
+        if counters != self.last_logged {
+            info!(target: "mintstall::metrics", ?counters);
+            self.last_logged = counters;
         }
     }
 }
 
 fn snapshot() -> BTreeMap<String, u64> {
     let Some(counters) = COUNTERS.get() else { return BTreeMap::new() };
-    let mut all = BTreeMap::new();
+    let mut values = BTreeMap::new();
     counters.visit_counters(|key, value| {
-        all.insert(name(key), value.load(Ordering::Relaxed));
+        values.insert(name(key), value.load(Ordering::Relaxed));
     });
-    all
+    values
 }
 
 /// The name with its labels, as in `links_lost/refused`.
@@ -88,6 +88,6 @@
         metrics::counter!("links_lost", "reason" => "refused").increment(2);
         let mut log = CounterLog::default();
         log.log_changes();
-        assert_eq!(log.logged["links_lost/refused"], 2);
+        assert_eq!(log.last_logged["links_lost/refused"], 2);
     }
 }
