--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -11,8 +11,8 @@
 use mintstall_callapi::{
     CallAck, CallEndedNotification, CallEvent, CallEventKind, CallNewsNotification, CallState, CallStatus,
     CallTrace, EndReason, FinalAnswer, Hello, HelloResult, LineDecoder, NewsMissedNotification, Offer,
-    OfferResult, Request, RequestMessage, RpcError, SessionLimits, Subscribed, TraceGet, Traced, code,
-    ended_text, error_text, notification_text, result_text,
+    OfferResult, Request, RequestMessage, RpcError, SessionLimits, SubscribeResult, TraceGet, TraceResult,
+    code, ended_text, error_text, notification_text, result_text,
 };
 use mintstall_callcontrol::{
     Answer, CallControl, CallControlActions, CallControlStatus, CallEnd, CallRequest, LinkStatus, Trace,
@@ -113,9 +113,9 @@
 impl LineOpenError {
     /// The message that is sent to the client before its connection is closed.
     pub fn error_response(&self) -> String {
-        let mut rpc_error = RpcError::new(code::TOO_MANY, self.to_string());
+        let mut rpc_error = RpcError::new(code::LIMIT_EXCEEDED, self.to_string());
         if let Self::RateLimited(wait) = self {
-            rpc_error.come_back_ms = Some(wait.as_millis() as u64 + 1);
+            rpc_error.retry_after_ms = Some(wait.as_millis() as u64 + 1);
         }
         error_text(&Value::Null, &rpc_error)
     }
@@ -578,7 +578,7 @@
             },
             session,
             calls,
-            owed: self.resumed_messages.len(),
+            pending_messages: self.resumed_messages.len(),
         })
     }
 
@@ -599,7 +599,7 @@
                 self.send_or_keep(transport, line, None, text);
             }
             other => {
-                let text = error_text(id, &RpcError::new(code::TOO_MANY, other.to_string()));
+                let text = error_text(id, &RpcError::new(code::LIMIT_EXCEEDED, other.to_string()));
                 self.send_or_keep(transport, line, None, text);
             }
         }
@@ -704,9 +704,9 @@
             Err((id, error)) => return transport.send_to_line(line, &error_text(&id, &error)),
         };
         if let Err(error) = allowed {
-            let mut rpc_error = RpcError::new(code::TOO_FAST, error.to_string());
+            let mut rpc_error = RpcError::new(code::RATE_LIMITED, error.to_string());
             if let AdmissionError::RateLimited { retry_after } = error {
-                rpc_error.come_back_ms = Some(retry_after.as_millis() as u64 + 1);
+                rpc_error.retry_after_ms = Some(retry_after.as_millis() as u64 + 1);
             }
             return id.iter().for_each(|id| transport.send_to_line(line, &error_text(id, &rpc_error)));
         }
@@ -716,8 +716,9 @@
                 self.resumed_messages.drain(..).for_each(|text| transport.send_to_line(line, &text));
             }),
             Request::Subscribe(subscribe) => self.subscribe(line, subscribe.cursor).map(|cursor| {
-                id.iter()
-                    .for_each(|id| transport.send_to_line(line, &result_text(id, Subscribed { cursor })));
+                id.iter().for_each(|id| {
+                    transport.send_to_line(line, &result_text(id, SubscribeResult { cursor }))
+                });
             }),
             Request::Offer(offer) => self.handle_offer(now, transport, line, &id, &offer),
             Request::Hangup(hangup) => self.hang_up(now, transport, line, hangup.call).map(|()| {
@@ -735,7 +736,7 @@
             }),
             Request::TraceGet(get) => self.trace_get(line, get).map(|traces| {
                 id.iter().for_each(|id| {
-                    transport.send_to_line(line, &result_text(id, Traced { traces: traces.clone() }))
+                    transport.send_to_line(line, &result_text(id, TraceResult { traces: traces.clone() }))
                 });
             }),
         };
@@ -830,7 +831,7 @@
         if let Some(LineCall::Placed(id)) = line_call
             && self.active_calls.get(&id).is_some_and(|active| active.progress == Progress::Stands)
         {
-            return Err(RpcError::new(code::STANDS, format!("call {call} stands: hang it up")));
+            return Err(RpcError::new(code::CALL_STANDS, format!("call {call} stands: hang it up")));
         }
         self.hang_up(now, transport, line, call)
     }
@@ -938,13 +939,13 @@
                 match outcome {
                     UpdateOutcome::Accepted { version } => transport
                         .send_to_directory(&ControllerNotification::Accepted { office, version }.text()),
-                    UpdateOutcome::Rejected { version, why } => {
-                        transport.log_info(&format!("membership version {version} rejected: {why}"));
+                    UpdateOutcome::Rejected { version, reason } => {
+                        transport.log_info(&format!("membership version {version} rejected: {reason}"));
                         transport.send_to_directory(
-                            &ControllerNotification::Rejected { office, version, why: why.to_string() }
+                            &ControllerNotification::Rejected { office, version, why: reason.to_string() }
                                 .text(),
                         );
-                        if matches!(why, RejectReason::Gap { .. } | RejectReason::NoBaseVersion { .. }) {
+                        if matches!(reason, RejectReason::Gap { .. } | RejectReason::NoBaseVersion { .. }) {
                             transport.send_to_directory(
                                 &ControllerNotification::RequestFullList(FullListRequest {
                                     office,
@@ -1048,7 +1049,7 @@
             "admission": { "unanswered": self.admission.unanswered(), "waiting": self.admission.waiting(),
                 "kept_sessions": self.resumable_sessions.kept_count(), "repeats_told": self.answer_cache.hits(),
                 "in_hand": in_hand },
-            "roster": { "version": self.membership.version(), "entries": self.membership.entries().count(),
+            "roster": { "version": self.membership.version(), "entries": self.membership.members().count(),
                 "turned_down": self.membership.rejected_updates() },
             "groups": groups,
             "counts": {
--- a/crates/daemon/tests/admission.rs
+++ b/crates/daemon/tests/admission.rs
@@ -423,7 +423,7 @@
     };
     let state = |message: ServerMessage| match message {
         ServerMessage::Result { result, .. } => result["state"].as_str().unwrap().to_string(),
-        ServerMessage::Fault { code, .. } => code.to_string(),
+        ServerMessage::Error { code, .. } => code.to_string(),
         other => panic!("{other:?}"),
     };
     (1..=2).for_each(|call| harness.offer(line, call, 0));
@@ -441,7 +441,7 @@
         harness.request(line, Request::Cancel(mintstall_callapi::Cancel { call }));
         harness.transport.messages.remove(&line).unwrap_or_default()
     };
-    assert!(matches!(cancel(&mut harness, 1)[..], [ServerMessage::Fault { code: -32006, .. }]));
+    assert!(matches!(cancel(&mut harness, 1)[..], [ServerMessage::Error { code: -32006, .. }]));
     let messages = cancel(&mut harness, 2);
     assert!(
         matches!(&messages[..], [ServerMessage::Answered(a), ServerMessage::Result { .. }] if a.answer == FinalAnswer::Fails),
@@ -459,7 +459,7 @@
     (0..3).for_each(|_| harness.request(line, get.clone()));
     let messages = harness.transport.messages.remove(&line).unwrap();
     let codes = messages.iter().map(|message| match message {
-        ServerMessage::Fault { code, come_back_ms, .. } => (*code, come_back_ms.is_some()),
+        ServerMessage::Error { code, retry_after_ms, .. } => (*code, retry_after_ms.is_some()),
         other => panic!("{other:?}"),
     });
     assert_eq!(codes.collect::<Vec<_>>(), [(-32001, false), (-32001, false), (-32005, true)]);
@@ -477,7 +477,7 @@
     harness.request(line, get(answered.exchange_call));
     harness.request(line, get(77));
     let messages = harness.transport.messages.remove(&line).unwrap();
-    let [ServerMessage::Result { result, .. }, ServerMessage::Fault { code: -32001, .. }] = &messages[..]
+    let [ServerMessage::Result { result, .. }, ServerMessage::Error { code: -32001, .. }] = &messages[..]
     else {
         panic!("{messages:?}")
     };
@@ -529,7 +529,7 @@
     harness.request(watcher, subscribe(Some(99)));
     assert!(matches!(
         harness.transport.messages.remove(&watcher).unwrap()[..],
-        [ServerMessage::Fault { code: -32602, .. }]
+        [ServerMessage::Error { code: -32602, .. }]
     ));
 }
 
