--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,5 +1,5 @@
-//! The callers of a day over sockets as clients over WebSocket: which session asks for which call, who is cut, who comes back.
-//! Without I/O; the loopback shell dials and carries octets.
+//! The WebSocket clients of a day over sockets: assigns calls to client sessions, cuts connections as the script asks, and
+//! passes session events to the simulation. Without I/O: `loopback` connects and transfers the octets.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,21 +12,22 @@
 use serde::Serialize;
 use tracing::info;
 
-/// A client: its exchange, and its place among that one's.
+/// A client: its exchange, and its index among the clients of this exchange.
 pub type ClientId = (u16, u16);
 
-/// What became of connections.
+/// Counts of client connections cut, and of what followed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClientCounters {
     pub cuts: u64,
     #[serde(rename = "taken_up")]
     pub resumed: u64,
+    /// Clients that never reconnect after a cut.
     pub gone: u64,
 }
 
 pub struct ClientPool {
     plan: ClientPlan,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     seed: u64,
     sessions: BTreeMap<ClientId, Session>,
     next_cut: Duration,
@@ -35,80 +36,83 @@
 
 impl ClientPool {
     pub fn new(plan: &ClientPlan, seed: u64) -> Self {
-        let chance = Pcg64Mcg::seed_from_u64(seed ^ 0xC11E);
-        let mut clients = Self {
+        let rng = Pcg64Mcg::seed_from_u64(seed ^ 0xC11E);
+        let mut pool = Self {
             plan: plan.clone(),
-            chance,
+            rng,
             seed,
             sessions: BTreeMap::new(),
             next_cut: Duration::MAX,
             counters: ClientCounters::default(),
         };
-        clients.next_cut = clients.gap(Duration::ZERO);
-        clients
+        pool.next_cut = pool.next_cut_after(Duration::ZERO);
+        pool
     }
 
     pub fn is_disabled(&self) -> bool {
         self.plan.sessions == 0
     }
 
-    fn gap(&mut self, now: Duration) -> Duration {
-        let draw = -(1.0 - self.chance.random::<f64>()).ln() / self.plan.cuts_per_s.max(1e-9);
-        now + Duration::from_secs_f64(draw.min(1e6))
+    fn next_cut_after(&mut self, now: Duration) -> Duration {
+        let delay_s = -(1.0 - self.rng.random::<f64>()).ln() / self.plan.cuts_per_s.max(1e-9);
+        now + Duration::from_secs_f64(delay_s.min(1e6))
     }
 
-    fn begin(&mut self, now: Duration, no: ClientId) {
+    fn start_session(&mut self, now: Duration, client: ClientId) {
         self.seed = self.seed.wrapping_add(1);
-        // Cuts are the script's and say nothing of the controller: what is judged is not how long a client stays away.
+        // The script cuts connections whatever the controller does, and the time a client stays away is not checked: a
+        // connection counts as stable after 200 ms, so that the reconnect delay stays short.
         let reconnect =
             ReconnectPolicy { stable_after: Duration::from_millis(200), ..ReconnectPolicy::default() };
-        let plan = SessionConfig { reconnect, ..SessionConfig::named(format!("day {}.{}", no.0, no.1)) };
-        self.sessions.insert(no, Session::new(now, plan, self.seed));
+        let config =
+            SessionConfig { reconnect, ..SessionConfig::named(format!("day {}.{}", client.0, client.1)) };
+        self.sessions.insert(client, Session::new(now, config, self.seed));
     }
 
-    /// An exchange takes calls: its clients dial.
+    /// Starts the sessions of an exchange whose controller accepts calls.
     pub fn exchange_ready(&mut self, now: Duration, office: u16) {
-        (0..self.plan.sessions).for_each(|no| self.begin(now, (office, no)));
+        (0..self.plan.sessions).for_each(|index| self.start_session(now, (office, index)));
     }
 
-    /// Its controller is gone, and with it every session.
+    /// Drops every session of a killed controller.
     pub fn controller_killed(&mut self, office: u16) {
-        self.sessions.retain(|(of, _), _| *of != office);
+        self.sessions.retain(|(exchange, _), _| *exchange != office);
     }
 
-    pub fn session(&mut self, no: ClientId) -> Option<&mut Session> {
-        self.sessions.get_mut(&no)
+    pub fn session(&mut self, client: ClientId) -> Option<&mut Session> {
+        self.sessions.get_mut(&client)
     }
 
     pub fn client_ids(&self) -> Vec<ClientId> {
         self.sessions.keys().copied().collect()
     }
 
-    /// Which client asks for a call: always the same.
+    /// The client that offers a call and hangs it up; depends only on the exchange and the call number.
     pub fn client_for(&self, office: u16, call: u64) -> ClientId {
         (office, ((call >> 8) % u64::from(self.plan.sessions.max(1))) as u16)
     }
 
     pub fn offer(&mut self, now: Duration, office: u16, offer: Offer) {
-        let no = self.client_for(office, offer.call);
-        if let Some(session) = self.sessions.get_mut(&no)
+        let client = self.client_for(office, offer.call);
+        if let Some(session) = self.sessions.get_mut(&client)
             && let Err(error) = session.offer(now, offer)
         {
-            info!(office, "an offer is not taken by its client: {error}");
+            info!(office, "client rejected an offer: {error}");
         }
     }
 
     pub fn hang_up(&mut self, office: u16, call: u64) {
-        let no = self.client_for(office, call);
-        let Some(session) = self.sessions.get_mut(&no) else { return };
+        let client = self.client_for(office, call);
+        let Some(session) = self.sessions.get_mut(&client) else { return };
         match session.stands(call) {
             true => session.hang_up(call),
-            // Its final answer is still owed, and heard.
+            // The final answer is outstanding and still expected after the cancel.
             false => session.cancel(call),
         }
     }
 
-    /// Whose connections are cut now; those who are gone for good have others in their places.
+    /// Draws the connection cuts that are due and returns the clients concerned. A client that is gone for good is replaced by
+    /// a new session under the same id.
     pub fn apply_cuts(
         &mut self,
         now: Duration,
@@ -117,34 +121,34 @@
     ) -> Vec<ClientId> {
         let mut cut = Vec::new();
         while self.next_cut <= now {
-            self.next_cut = self.gap(self.next_cut);
-            let place = self.chance.random_range(0..self.sessions.len().max(1));
-            let gone = self.chance.random::<f64>() < self.plan.gone;
-            let Some(no) = self.sessions.keys().nth(place).copied() else { continue };
+            self.next_cut = self.next_cut_after(self.next_cut);
+            let index = self.rng.random_range(0..self.sessions.len().max(1));
+            let gone = self.rng.random::<f64>() < self.plan.gone;
+            let Some(client) = self.sessions.keys().nth(index).copied() else { continue };
             self.counters.cuts += 1;
             if gone {
                 self.counters.gone += 1;
-                let calls: Vec<u64> = self.sessions[&no].in_hand().collect();
-                calls.into_iter().for_each(|call| simulation.client_lost(now, no.0, call, observer));
-                self.begin(now, no);
-            } else if let Some(session) = self.sessions.get_mut(&no) {
+                let calls: Vec<u64> = self.sessions[&client].in_hand().collect();
+                calls.into_iter().for_each(|call| simulation.client_lost(now, client.0, call, observer));
+                self.start_session(now, client);
+            } else if let Some(session) = self.sessions.get_mut(&client) {
                 session.lost(now, "cut by the script");
             }
-            cut.push(no);
+            cut.push(client);
         }
         cut
     }
 
-    /// What happened to one client, told to the world.
+    /// Passes the pending events of one client session to the simulation.
     pub fn process_events(
         &mut self,
         now: Duration,
-        no: ClientId,
+        client: ClientId,
         simulation: &mut Simulation,
         observer: &mut dyn Observer,
     ) {
-        let office = no.0;
-        while let Some(event) = self.sessions.get_mut(&no).and_then(Session::next_event) {
+        let office = client.0;
+        while let Some(event) = self.sessions.get_mut(&client).and_then(Session::next_event) {
             match event {
                 Event::Answered(OfferResult { call, exchange_call, answer }) => {
                     simulation.answered(now, office, call, exchange_call, answer, observer);
@@ -153,10 +157,12 @@
                     simulation.call_ended(now, office, call, how.unwrap_or(EndReason::Cut), observer)
                 }
                 Event::Connected { resumed, .. } => self.counters.resumed += u64::from(resumed),
-                // The auditor misses their answers, and says so.
-                Event::Lost { call } => info!(office, call, "lost"),
-                Event::Fault { call, code, why } => info!(office, call, code, "{why}"),
-                Event::Denied { why } => info!(office, "denied: {why}"),
+                // The rule checker reports the missing answer.
+                Event::Lost { call } => info!(office, call, "call lost: its session could not be resumed"),
+                Event::Fault { call, code, why } => {
+                    info!(office, call, code, "controller answered with an error: {why}")
+                }
+                Event::Denied { why } => info!(office, "controller denied the session: {why}"),
                 Event::Disconnected { .. } | Event::News(_) | Event::Missed(_) | Event::Reply { .. } => {}
             }
         }
--- a/crates/lab/src/controller_config.rs
+++ b/crates/lab/src/controller_config.rs
@@ -1,4 +1,4 @@
-//! The controllers of a day: what each reads at start.
+//! The configuration that each controller of a day reads at start.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,10 @@
 };
 use mintstall_emulator::{Day, Fault, Simulation};
 
-/// Where a controller finds the world, and is found.
+/// Socket addresses that a controller connects to or listens on, and its membership file.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoints {
-    /// Where it connects to for each other exchange.
+    /// The address to connect to for the link to each other exchange.
     pub links: Vec<(u16, SocketAddr)>,
     pub subscribers: Option<SocketAddr>,
     pub calls: Option<SocketAddr>,
@@ -20,7 +20,7 @@
     pub membership_file: Option<std::path::PathBuf>,
 }
 
-/// The configuration of one exchange's controller.
+/// Builds the configuration of one exchange's controller.
 pub fn build(simulation: &Simulation, office: u16, endpoints: &Endpoints) -> Config {
     let day: &Day = simulation.day();
     let groups = simulation.groups().iter().filter(|((a, b), _)| *a == office || *b == office);
@@ -29,19 +29,19 @@
         let connect = endpoints.links.iter().find(|(other, _)| *other == to).map(|(_, addr)| *addr);
         Link { to, circuits: *circuits, connect }
     });
-    let call_types = day.call_types.iter().map(|of| CallType {
-        name: of.name.clone(),
-        setup_target_ms: of.setup_target_ms,
-        guard_time_ms: of.guard_time_ms,
-        revenue: of.revenue,
-        width: of.width,
-        mean_hold_ms: (of.hold_s * 1e3) as u64,
+    let call_types = day.call_types.iter().map(|call_type| CallType {
+        name: call_type.name.clone(),
+        setup_target_ms: call_type.setup_target_ms,
+        guard_time_ms: call_type.guard_time_ms,
+        revenue: call_type.revenue,
+        width: call_type.width,
+        mean_hold_ms: (call_type.hold_s * 1e3) as u64,
     });
-    let number = |fault: &mintstall_emulator::FaultAt| match fault.what {
+    let crowd_number = |fault: &mintstall_emulator::FaultAt| match fault.what {
         Fault::Crowd { exchange, number, lines, .. } if exchange == office => Some(Number { number, lines }),
         _ => None,
     };
-    let mut numbers: Vec<Number> = day.faults.iter().filter_map(number).collect();
+    let mut numbers: Vec<Number> = day.faults.iter().filter_map(crowd_number).collect();
     numbers.sort_by_key(|number| number.number);
     numbers.dedup_by_key(|number| number.number);
     let rules = &day.rules;
@@ -59,9 +59,9 @@
         customers: day
             .customers
             .iter()
-            .map(|of| Customer { name: of.name.clone(), share: of.share })
+            .map(|customer| Customer { name: customer.name.clone(), share: customer.share })
             .collect(),
-        // Clients that are gone for good must not hold circuits for half of a day that lasts a minute.
+        // A day lasts about a minute: sessions of clients that are gone for good must not hold circuits for half of it.
         limits: LimitsConfig { resume_ms: 3000, ..LimitsConfig::default() },
         tokens: None,
         rules: Rules {
@@ -75,7 +75,7 @@
             release_wait_ms: rules.release_wait_ms,
             repeat_after_ms: 0,
         },
-        // Days last a minute: the timers that wait for minutes in service are shorter here.
+        // A day lasts about a minute: timers of minutes in service are shortened.
         timers: TimersMs {
             t1_ms: 2000,
             t5_ms: 6000,
--- a/crates/lab/src/far.rs
+++ b/crates/lab/src/far.rs
@@ -1,4 +1,4 @@
-//! A stand-in exchange on a socket, in a thread of its own: [`FarExchange`] with a clock.
+//! Runs an emulated [`FarExchange`] on a TCP socket with the real clock, in a thread of its own.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 
 use mintstall_emulator::{FarCounters, FarExchange, FarPlan};
 
-/// It runs until this is dropped and its connection ends.
+/// Server of a [`FarExchange`]. Its thread ends once this is dropped and the open connection has ended.
 pub struct FarServer {
     far: Arc<Mutex<FarExchange>>,
     addr: SocketAddr,
@@ -18,7 +18,7 @@
 }
 
 impl FarServer {
-    /// One controller at a time is talked to; the next connection takes the place of one that is gone.
+    /// Starts the server. It serves one connection at a time and accepts the next one when a connection has ended.
     pub fn start(listen: SocketAddr, plan: FarPlan) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen)?;
         let addr = listener.local_addr()?;
@@ -27,7 +27,7 @@
         std::thread::spawn(move || {
             let start = Instant::now();
             while let (Ok((stream, _)), Some(far)) = (listener.accept(), shared.upgrade()) {
-                // An error ends the connection, and the next one is taken.
+                // An error ends only this connection.
                 let _ = serve(stream, &far, start);
                 lock(&far).link_down();
             }
@@ -43,7 +43,7 @@
         lock(&self.far).tally
     }
 
-    /// What it does with set-ups from now on.
+    /// Changes the plan for set-ups that arrive from now on.
     pub fn update_plan(&self, update: impl FnOnce(&mut FarPlan)) {
         update(&mut lock(&self.far).plan);
     }
@@ -57,9 +57,9 @@
     loop {
         stream.write_all(&out)?;
         out.clear();
-        let alarm =
+        let wait =
             lock(far).next_timer().map_or(Duration::from_millis(20), |at| at.saturating_sub(start.elapsed()));
-        stream.set_read_timeout(Some(alarm.clamp(Duration::from_micros(200), Duration::from_millis(20))))?;
+        stream.set_read_timeout(Some(wait.clamp(Duration::from_micros(200), Duration::from_millis(20))))?;
         let read = stream.read(&mut buffer);
         let mut far = lock(far);
         let now = start.elapsed();
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,5 @@
-//! The laboratory, first part: days over sockets or in virtual time, and the verdict on the rules.
+//! The laboratory: runs day scripts over sockets or in virtual time, checks the five rules on what the controllers send, and
+//! puts load on a single controller.
 
 pub mod clients;
 pub mod controller_config;
