--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -158,7 +158,10 @@
                 }
                 Event::Connected { resumed, .. } => self.counters.resumed += u64::from(resumed),
                 // The rule checker reports the missing answer.
-                Event::Lost { call } => info!(office, call, "call lost: its session could not be resumed"),
+                Event::Lost { call } => info!(
+                    office,
+                    call, "outcome of the call unknown: its session ended or no answer came in time"
+                ),
                 Event::Fault { call, code, why } => {
                     info!(office, call, code, "controller answered with an error: {why}")
                 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,7 +1,8 @@
-//! Load of many sessions on one controller: opened, offering, vanishing and coming back by a script, in one mio loop.
+//! Load generator: many client sessions that open, offer calls, lose their connection and reconnect as a script says, in one
+//! mio event loop.
 //!
-//! Offers are made at the times the script intends, whatever became of those before them, and times count from there: what a
-//! controller keeps waiting is not left out of its figures (no "coordinated omission").
+//! Offers are made at the times the script intends, whatever the outcome of earlier offers, and response times count from the
+//! intended time. Offers that a controller delays therefore show in the figures (no "coordinated omission").
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read};
@@ -19,24 +20,25 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The script.
+/// A load script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadPlan {
     pub groups: Vec<Group>,
-    /// One after the other, once all sessions are open.
+    /// Run one after the other, once all sessions are open.
     pub stages: Vec<Stage>,
-    /// Sessions dialled a second; 0: all at once.
+    /// Sessions opened per second; 0: all at once.
     pub dials_per_s: f64,
-    /// How long all may take to open.
+    /// Time limit for opening all sessions, seconds.
     pub open_within_s: f64,
-    /// Destinations, drawn from for each call.
+    /// Destination exchanges; each call goes to one drawn at random.
     #[serde(rename = "dest")]
     pub destinations: Vec<u16>,
+    /// How long a caller waits for the final answer.
     pub time_left_ms: u32,
-    /// A call that stands later than this counts as late.
+    /// A call that stands after more than this time counts as late.
     pub target_ms: u64,
-    /// A call that stands is hung up after this.
+    /// A standing call is hung up after this time.
     pub hold_ms: u64,
     pub seed: u64,
 }
@@ -57,7 +59,7 @@
     }
 }
 
-/// Sessions that are alike.
+/// Sessions with the same settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Group {
@@ -67,14 +69,14 @@
     #[serde(rename = "type")]
     pub call_type: u8,
     pub token: Option<String>,
-    /// Offers a second of all of them together, at `times` 1.
+    /// Offers per second of all sessions of the group together, at `times` 1.
     #[serde(rename = "per_s")]
     pub offers_per_s: f64,
-    /// Whether stages change its rate.
+    /// Whether the rate stays the same in all stages, whatever their `times`.
     pub steady: bool,
-    /// Of its sessions, connections cut a second without a word; they come back by themselves.
+    /// Connections of the group cut per second, without a closing handshake; their sessions reconnect.
     pub cuts_per_s: f64,
-    /// Share of those cut that never come back.
+    /// Share of the sessions cut that never reconnect.
     #[serde(rename = "gone")]
     pub gone_share: f64,
 }
@@ -101,7 +103,7 @@
     pub name: String,
     #[serde(rename = "for_s")]
     pub duration_s: f64,
-    /// Of the groups' rates.
+    /// Factor on the rates of groups that are not steady.
     #[serde(rename = "times")]
     pub rate_factor: f64,
 }
@@ -113,71 +115,78 @@
 }
 
 impl LoadPlan {
-    /// Every fault, each with its place.
+    /// Returns all errors of the script, each with the field concerned.
     pub fn validation_errors(&self) -> Vec<String> {
-        let mut found = Vec::new();
-        let mut say = |wrong: bool, place: String, why: &str| {
+        let mut errors = Vec::new();
+        let mut check = |wrong: bool, field_path: String, why: &str| {
             if wrong {
-                found.push(format!("{place}: {why}"));
+                errors.push(format!("{field_path}: {why}"));
             }
         };
-        let rate = |rate: f64| rate >= 0.0 && rate.is_finite();
-        say(self.groups.is_empty(), "groups".into(), "are missing");
-        say(self.stages.is_empty(), "stages".into(), "are missing");
-        say(self.destinations.is_empty(), "dest".into(), "is missing");
-        say(!rate(self.dials_per_s), "dials_per_s".into(), "is below 0");
-        say(
+        let is_valid_rate = |rate: f64| rate >= 0.0 && rate.is_finite();
+        check(self.groups.is_empty(), "groups".into(), "are missing");
+        check(self.stages.is_empty(), "stages".into(), "are missing");
+        check(self.destinations.is_empty(), "dest".into(), "is missing");
+        check(!is_valid_rate(self.dials_per_s), "dials_per_s".into(), "is negative or not finite");
+        check(
             !(0.1..=3600.0).contains(&self.open_within_s),
             "open_within_s".into(),
             "is not within 0.1 to 3600",
         );
-        say(
+        check(
             !(1..=3_600_000).contains(&self.time_left_ms),
             "time_left_ms".into(),
             "is not within 1 to 3600000",
         );
-        let all: usize = self.groups.iter().fold(0, |all, group| all.saturating_add(group.sessions));
-        say(!(1..=60_000).contains(&all), "groups".into(), "have not 1 to 60000 sessions");
-        for (at, group) in self.groups.iter().enumerate() {
-            let place = |field: &str| format!("groups[{at}].{field}");
-            say(!rate(group.offers_per_s), place("per_s"), "is below 0");
-            say(!rate(group.cuts_per_s), place("cuts_per_s"), "is below 0");
-            say(!(0.0..=1.0).contains(&group.gone_share), place("gone"), "is no share");
-            say(group.sessions == 0, place("sessions"), "are none");
-        }
-        for (at, stage) in self.stages.iter().enumerate() {
-            let place = |field: &str| format!("stages[{at}].{field}");
-            say(!(0.1..=3600.0).contains(&stage.duration_s), place("for_s"), "is not within 0.1 to 3600");
-            say(!rate(stage.rate_factor), place("times"), "is below 0");
-        }
-        found
+        let sessions: usize = self.groups.iter().fold(0, |sum, group| sum.saturating_add(group.sessions));
+        check(!(1..=60_000).contains(&sessions), "groups".into(), "do not have 1 to 60000 sessions in all");
+        for (index, group) in self.groups.iter().enumerate() {
+            let field_path = |field: &str| format!("groups[{index}].{field}");
+            check(!is_valid_rate(group.offers_per_s), field_path("per_s"), "is negative or not finite");
+            check(!is_valid_rate(group.cuts_per_s), field_path("cuts_per_s"), "is negative or not finite");
+            check(!(0.0..=1.0).contains(&group.gone_share), field_path("gone"), "is not within 0 to 1");
+            check(group.sessions == 0, field_path("sessions"), "is 0");
+        }
+        for (index, stage) in self.stages.iter().enumerate() {
+            let field_path = |field: &str| format!("stages[{index}].{field}");
+            check(
+                !(0.1..=3600.0).contains(&stage.duration_s),
+                field_path("for_s"),
+                "is not within 0.1 to 3600",
+            );
+            check(!is_valid_rate(stage.rate_factor), field_path("times"), "is negative or not finite");
+        }
+        errors
     }
 }
 
-/// What became of the offers of one group in one stage.
+/// Outcomes of the offers of one group in one stage.
 #[derive(Clone, Debug, Serialize)]
 pub struct StageResult {
     pub stage: String,
     pub group: String,
     pub seconds: f64,
     pub offered: u64,
-    /// Stood within the target, and later.
+    /// Calls that stood within the target time.
     pub in_time: u64,
+    /// Calls that stood after the target time.
     pub late: u64,
     pub refused: u64,
     pub failed: u64,
-    /// Nobody can tell: their session was over.
+    /// Outcome unknown: the session ended, or no answer came in time.
     pub lost: u64,
-    /// Not taken: too many in hand, or no session.
+    /// Not accepted: too many calls in progress, no session, or an error reply.
     #[serde(rename = "turned_down")]
     pub rejected: u64,
-    /// Second answers, and answers to what was never offered.
+    /// Second answers, and answers to calls that were never offered.
     pub unexpected: u64,
-    /// From the intended time of the offer to the answer, milliseconds: of calls that stood, and of refusals.
+    /// From the intended time of the offer to the answer, for calls that stood.
     pub stood_ms: Percentiles,
+    /// The same for refused calls.
     pub refused_ms: Percentiles,
 }
 
+/// Percentiles and maximum of a time, milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Percentiles {
     pub p50: f64,
@@ -190,81 +199,85 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadReport {
     pub sessions: usize,
-    /// How long each took to open, from the intended time, milliseconds; and all together, seconds.
+    /// Time to open a session, from the intended time.
     pub open_ms: Percentiles,
+    /// Time until all sessions were open.
     pub opened_in_s: f64,
-    /// Connections turned away or lost while opening, and cut by the script.
+    /// Connections refused or lost at any time, including those cut by the script whose session reconnects.
     #[serde(rename = "downs")]
     pub disconnects: u64,
+    /// Connections cut by the script.
     pub cuts: u64,
-    /// Sessions that came back: taken up, or begun anew.
+    /// Sessions resumed after a reconnect.
     #[serde(rename = "taken_up")]
     pub resumed: u64,
+    /// New sessions after a reconnect that could not resume the old one.
     #[serde(rename = "begun_anew")]
     pub restarted: u64,
+    /// Sessions cut that never reconnect.
     pub gone: u64,
-    /// Calls without an outcome at the end: none, where the rules are kept.
+    /// Calls without an outcome at the end; 0 if the controller keeps the rules.
     #[serde(rename = "left")]
     pub unanswered: usize,
     #[serde(rename = "parts")]
     pub results: Vec<StageResult>,
-    /// How late the generator itself was, milliseconds: beyond some tens its own machine is the limit.
+    /// How late the generator made its offers. Beyond some tens of milliseconds the generator's own machine is the limit.
     #[serde(rename = "behind_ms")]
     pub generator_delay_ms: Percentiles,
 }
 
-struct Tally {
-    part: StageResult,
+struct ResultCollector {
+    result: StageResult,
     stood: Histogram<u64>,
     refused: Histogram<u64>,
 }
 
-/// Microseconds up to two minutes, three digits.
+/// A histogram of times in microseconds, up to two minutes, with three significant digits.
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 120_000_000, 3)
         .unwrap_or_else(|_| Histogram::new(3).expect("three digits are allowed"))
 }
 
-fn note(histogram: &mut Histogram<u64>, span: Duration) {
+fn record(histogram: &mut Histogram<u64>, span: Duration) {
     histogram.saturating_record(span.as_micros().max(1) as u64);
 }
 
-fn spread(histogram: &Histogram<u64>) -> Percentiles {
+fn percentiles(histogram: &Histogram<u64>) -> Percentiles {
     if histogram.is_empty() {
         return Percentiles::default();
     }
-    let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
+    let at_quantile = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
     Percentiles {
-        p50: at(0.5),
-        p90: at(0.9),
-        p99: at(0.99),
-        p999: at(0.999),
+        p50: at_quantile(0.5),
+        p90: at_quantile(0.9),
+        p99: at_quantile(0.99),
+        p999: at_quantile(0.999),
         max: histogram.max() as f64 / 1e3,
     }
 }
 
-struct Member {
+struct Client {
     session: Session,
     group: usize,
     token: Option<Token>,
-    alarm: Option<Duration>,
+    timer: Option<Duration>,
     last_call: u64,
-    /// Intended time, and which part it counts for. Emptied as calls are answered.
-    waits: BTreeMap<u64, (Duration, usize)>,
+    /// Calls that wait for their answer: the intended time of the offer, and the index in `collectors` that it counts for.
+    waiting: BTreeMap<u64, (Duration, usize)>,
     opened: bool,
     gone: bool,
 }
 
 struct Connection {
     stream: TcpStream,
-    member: usize,
+    client: usize,
     connected: bool,
     out: OutputBuffer,
-    waits_to_write: bool,
+    write_interest: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledAction {
     Dial(usize),
     Offer(usize),
     Cut(usize),
@@ -276,74 +289,75 @@
     servers: &'a [SocketAddr],
     poll: Poll,
     start: Instant,
-    chance: Pcg64Mcg,
-    members: Vec<Member>,
-    /// Members of each group that are not gone.
+    rng: Pcg64Mcg,
+    clients: Vec<Client>,
+    /// Indices of the clients of each group that are not gone.
     groups: Vec<Vec<usize>>,
     connections: BTreeMap<Token, Connection>,
     next_token: usize,
-    due: BTreeSet<(Duration, u64, Due)>,
-    alarms: BTreeSet<(Duration, usize)>,
-    order: u64,
-    tallies: Vec<Tally>,
+    /// By time; the sequence number keeps the order of actions scheduled for the same time.
+    scheduled: BTreeSet<(Duration, u64, ScheduledAction)>,
+    timers: BTreeSet<(Duration, usize)>,
+    sequence: u64,
+    collectors: Vec<ResultCollector>,
     stage: Option<usize>,
-    stage_ends: Duration,
+    stage_end: Duration,
     report: LoadReport,
-    opens: Histogram<u64>,
-    behind: Histogram<u64>,
-    dialled_at: Vec<Duration>,
+    open_times: Histogram<u64>,
+    generator_delay: Histogram<u64>,
+    dial_times: Vec<Duration>,
     buffer: Vec<u8>,
 }
 
-/// The session of the client at this place, which dials then.
-fn session(plan: &LoadPlan, group: &Group, dial_at: Duration, at: usize) -> Session {
-    let named =
+/// Makes the session of the client with this index, which connects at `dial_at`.
+fn session(plan: &LoadPlan, group: &Group, dial_at: Duration, index: usize) -> Session {
+    let config =
         SessionConfig { token: group.token.clone(), ..SessionConfig::named(format!("load {}", group.name)) };
-    Session::new(dial_at, named, plan.seed.wrapping_add(at as u64))
+    Session::new(dial_at, config, plan.seed.wrapping_add(index as u64))
 }
 
-/// Plays a script that has no faults.
+/// Runs a script without validation errors.
 pub fn run(plan: &LoadPlan, servers: &[SocketAddr]) -> io::Result<LoadReport> {
-    let mut members = Vec::new();
+    let mut clients = Vec::new();
     let mut groups = Vec::new();
-    for (no, group) in plan.groups.iter().enumerate() {
-        let first = members.len();
-        for at in first..first + group.sessions {
-            members.push(Member {
-                // Its own begins when it is dialled: until then it wants nothing.
-                session: session(plan, group, Duration::MAX, at),
-                group: no,
+    for (group_index, group) in plan.groups.iter().enumerate() {
+        let first = clients.len();
+        for index in first..first + group.sessions {
+            clients.push(Client {
+                // A placeholder that never connects: `ScheduledAction::Dial` replaces it.
+                session: session(plan, group, Duration::MAX, index),
+                group: group_index,
                 token: None,
-                alarm: None,
+                timer: None,
                 last_call: 0,
-                waits: BTreeMap::new(),
+                waiting: BTreeMap::new(),
                 opened: false,
                 gone: false,
             });
         }
-        groups.push((first..members.len()).collect());
+        groups.push((first..clients.len()).collect());
     }
-    let sessions = members.len();
+    let sessions = clients.len();
     let load = Load {
         plan,
         servers,
         poll: Poll::new()?,
         start: Instant::now(),
-        chance: Pcg64Mcg::seed_from_u64(plan.seed),
-        dialled_at: vec![Duration::ZERO; sessions],
-        members,
+        rng: Pcg64Mcg::seed_from_u64(plan.seed),
+        dial_times: vec![Duration::ZERO; sessions],
+        clients,
         groups,
         connections: BTreeMap::new(),
         next_token: 0,
-        due: BTreeSet::new(),
-        alarms: BTreeSet::new(),
-        order: 0,
-        tallies: Vec::new(),
+        scheduled: BTreeSet::new(),
+        timers: BTreeSet::new(),
+        sequence: 0,
+        collectors: Vec::new(),
         stage: None,
-        stage_ends: Duration::ZERO,
+        stage_end: Duration::ZERO,
         report: LoadReport { sessions, ..LoadReport::default() },
-        opens: histogram(),
-        behind: histogram(),
+        open_times: histogram(),
+        generator_delay: histogram(),
         buffer: vec![0; 64 << 10],
     };
     load.run()
@@ -354,79 +368,83 @@
         self.start.elapsed()
     }
 
-    fn at(&mut self, when: Duration, due: Due) {
-        self.order += 1;
-        self.due.insert((when, self.order, due));
+    fn schedule(&mut self, due_at: Duration, action: ScheduledAction) {
+        self.sequence += 1;
+        self.scheduled.insert((due_at, self.sequence, action));
     }
 
     fn run(mut self) -> io::Result<LoadReport> {
-        for at in 0..self.members.len() {
-            let when = match self.plan.dials_per_s {
-                rate if rate > 0.0 => Duration::from_secs_f64(at as f64 / rate),
+        for index in 0..self.clients.len() {
+            let dial_time = match self.plan.dials_per_s {
+                rate if rate > 0.0 => Duration::from_secs_f64(index as f64 / rate),
                 _ => Duration::ZERO,
             };
-            self.at(when, Due::Dial(at));
-        }
-        let within = Duration::from_secs_f64(self.plan.open_within_s);
-        while self.members.iter().any(|member| !member.opened) {
-            if self.now() > within {
-                let closed = self.members.iter().filter(|member| !member.opened).count();
-                return Err(io::Error::other(format!("{closed} sessions did not open within {within:?}")));
+            self.schedule(dial_time, ScheduledAction::Dial(index));
+        }
+        let open_limit = Duration::from_secs_f64(self.plan.open_within_s);
+        while self.clients.iter().any(|client| !client.opened) {
+            if self.now() > open_limit {
+                let closed = self.clients.iter().filter(|client| !client.opened).count();
+                return Err(io::Error::other(format!(
+                    "{closed} sessions did not open within {open_limit:?}"
+                )));
             }
-            self.turn()?;
+            self.run_once()?;
         }
         self.report.opened_in_s = self.now().as_secs_f64();
-        self.report.open_ms = spread(&self.opens);
+        self.report.open_ms = percentiles(&self.open_times);
         for stage in 0..self.plan.stages.len() {
-            self.begin(stage);
-            while self.now() < self.stage_ends {
-                self.turn()?;
+            self.begin_stage(stage);
+            while self.now() < self.stage_end {
+                self.run_once()?;
             }
         }
         self.stage = None;
-        // Every caller's time, and the grace after it.
-        let last =
+        // The time that the last callers wait, plus 2 s of grace.
+        let answer_end =
             self.now() + Duration::from_millis(u64::from(self.plan.time_left_ms)) + Duration::from_secs(2);
-        while self.now() < last && self.members.iter().any(|member| !member.waits.is_empty()) {
-            self.turn()?;
-        }
-        let hold = self.now() + Duration::from_millis(self.plan.hold_ms) + Duration::from_millis(500);
-        while self.now() < hold && self.due.iter().any(|(.., due)| matches!(due, Due::HangUp(..))) {
-            self.turn()?;
-        }
-        self.report.unanswered = self.members.iter().map(|member| member.waits.len()).sum();
-        for at in 0..self.members.len() {
-            self.members[at].session.close();
-            self.write(at);
-        }
-        // The closing handshakes are completed, so that the controller knows that they are over.
-        let until = self.now() + Duration::from_secs(3);
-        while self.now() < until && !self.connections.is_empty() {
-            self.turn()?;
-        }
-        let Self { mut report, tallies, behind, .. } = self;
-        report.generator_delay_ms = spread(&behind);
-        report.results = tallies
+        while self.now() < answer_end && self.clients.iter().any(|client| !client.waiting.is_empty()) {
+            self.run_once()?;
+        }
+        let hang_up_end = self.now() + Duration::from_millis(self.plan.hold_ms) + Duration::from_millis(500);
+        while self.now() < hang_up_end
+            && self.scheduled.iter().any(|(.., action)| matches!(action, ScheduledAction::HangUp(..)))
+        {
+            self.run_once()?;
+        }
+        self.report.unanswered = self.clients.iter().map(|client| client.waiting.len()).sum();
+        for index in 0..self.clients.len() {
+            self.clients[index].session.close();
+            self.write(index);
+        }
+        // Complete the closing handshakes, so that the controller knows that the sessions are closed.
+        let close_end = self.now() + Duration::from_secs(3);
+        while self.now() < close_end && !self.connections.is_empty() {
+            self.run_once()?;
+        }
+        let Self { mut report, collectors, generator_delay, .. } = self;
+        report.generator_delay_ms = percentiles(&generator_delay);
+        report.results = collectors
             .into_iter()
-            .map(|Tally { part, stood, refused }| StageResult {
-                stood_ms: spread(&stood),
-                refused_ms: spread(&refused),
-                ..part
+            .map(|ResultCollector { result, stood, refused }| StageResult {
+                stood_ms: percentiles(&stood),
+                refused_ms: percentiles(&refused),
+                ..result
             })
             .collect();
         Ok(report)
     }
 
-    fn begin(&mut self, stage: usize) {
+    fn begin_stage(&mut self, stage: usize) {
         let now = self.now();
-        let plan = &self.plan.stages[stage];
+        let stage_plan = &self.plan.stages[stage];
         self.stage = Some(stage);
-        self.stage_ends = now + Duration::from_secs_f64(plan.duration_s);
-        for (no, group) in self.plan.groups.iter().enumerate() {
-            let part = StageResult {
-                stage: plan.name.clone(),
+        self.stage_end = now + Duration::from_secs_f64(stage_plan.duration_s);
+        for (group_index, group) in self.plan.groups.iter().enumerate() {
+            let result = StageResult {
+                stage: stage_plan.name.clone(),
                 group: group.name.clone(),
-                seconds: plan.duration_s,
+                seconds: stage_plan.duration_s,
                 offered: 0,
                 in_time: 0,
                 late: 0,
@@ -438,44 +456,46 @@
                 stood_ms: Percentiles::default(),
                 refused_ms: Percentiles::default(),
             };
-            self.tallies.push(Tally { part, stood: histogram(), refused: histogram() });
-            self.next_offer(now, no);
-            self.next_cut(now, no);
+            self.collectors.push(ResultCollector { result, stood: histogram(), refused: histogram() });
+            self.schedule_offer(now, group_index);
+            self.schedule_cut(now, group_index);
         }
     }
 
-    fn gap(&mut self, per_s: f64) -> Duration {
-        Duration::from_secs_f64((-(1.0 - self.chance.random::<f64>()).ln() / per_s).min(1e6))
+    /// Draws an exponentially distributed interval.
+    fn random_interval(&mut self, per_s: f64) -> Duration {
+        Duration::from_secs_f64((-(1.0 - self.rng.random::<f64>()).ln() / per_s).min(1e6))
     }
 
-    /// The next offer of a group, if it is due in this stage.
-    fn next_offer(&mut self, after: Duration, group: usize) {
+    /// Schedules the next offer of a group, unless the stage ends before it.
+    fn schedule_offer(&mut self, after: Duration, group: usize) {
         let Some(stage) = self.stage else { return };
-        let of = &self.plan.groups[group];
-        let per_s = of.offers_per_s * if of.steady { 1.0 } else { self.plan.stages[stage].rate_factor };
+        let group_plan = &self.plan.groups[group];
+        let per_s = group_plan.offers_per_s
+            * if group_plan.steady { 1.0 } else { self.plan.stages[stage].rate_factor };
         if per_s > 0.0 {
-            let when = after + self.gap(per_s);
-            if when < self.stage_ends {
-                self.at(when, Due::Offer(group));
+            let due_at = after + self.random_interval(per_s);
+            if due_at < self.stage_end {
+                self.schedule(due_at, ScheduledAction::Offer(group));
             }
         }
     }
 
-    fn next_cut(&mut self, after: Duration, group: usize) {
+    fn schedule_cut(&mut self, after: Duration, group: usize) {
         let per_s = self.plan.groups[group].cuts_per_s;
         if per_s > 0.0 && self.stage.is_some() {
-            let when = after + self.gap(per_s);
-            if when < self.stage_ends {
-                self.at(when, Due::Cut(group));
+            let due_at = after + self.random_interval(per_s);
+            if due_at < self.stage_end {
+                self.schedule(due_at, ScheduledAction::Cut(group));
             }
         }
     }
 
-    fn turn(&mut self) -> io::Result<()> {
+    fn run_once(&mut self) -> io::Result<()> {
         let now = self.now();
-        let due = self.due.first().map(|(when, ..)| *when);
-        let alarm = self.alarms.first().map(|(when, _)| *when);
-        let next = due.into_iter().chain(alarm).min().unwrap_or(now + Duration::from_millis(20));
+        let next_action = self.scheduled.first().map(|(due_at, ..)| *due_at);
+        let next_timer = self.timers.first().map(|(due_at, _)| *due_at);
+        let next = next_action.into_iter().chain(next_timer).min().unwrap_or(now + Duration::from_millis(20));
         let wait = next.saturating_sub(now).min(Duration::from_millis(20));
         let mut events = Events::with_capacity(4096);
         match self.poll.poll(&mut events, Some(wait)) {
@@ -483,81 +503,81 @@
             _ => {}
         }
         for event in &events {
-            self.ready(event.token(), event.is_readable(), event.is_writable())?;
+            self.on_ready(event.token(), event.is_readable(), event.is_writable())?;
         }
         let now = self.now();
-        while let Some((when, order, due)) = self.due.first().copied()
-            && when <= now
+        while let Some((due_at, sequence, action)) = self.scheduled.first().copied()
+            && due_at <= now
         {
-            self.due.remove(&(when, order, due));
-            self.happens(when, due);
+            self.scheduled.remove(&(due_at, sequence, action));
+            self.perform(due_at, action);
         }
-        while let Some((when, at)) = self.alarms.first().copied()
-            && when <= now
+        while let Some((due_at, index)) = self.timers.first().copied()
+            && due_at <= now
         {
-            self.alarms.remove(&(when, at));
-            self.members[at].alarm = None;
-            self.members[at].session.on_timer(now);
-            self.touched(at);
+            self.timers.remove(&(due_at, index));
+            self.clients[index].timer = None;
+            self.clients[index].session.on_timer(now);
+            self.process_session(index);
         }
         Ok(())
     }
 
-    fn happens(&mut self, when: Duration, due: Due) {
+    fn perform(&mut self, due_at: Duration, action: ScheduledAction) {
         let now = self.now();
-        match due {
-            Due::Dial(at) => {
-                // Its session waits to be told the time at which it begins.
-                let group = &self.plan.groups[self.members[at].group];
-                self.members[at].session = session(self.plan, group, now, at);
-                self.dialled_at[at] = when;
-                self.touched(at);
+        match action {
+            ScheduledAction::Dial(index) => {
+                // The session starts at the time at which it connects, which is only known now.
+                let group = &self.plan.groups[self.clients[index].group];
+                self.clients[index].session = session(self.plan, group, now, index);
+                self.dial_times[index] = due_at;
+                self.process_session(index);
             }
-            Due::Offer(group) => {
-                note(&mut self.behind, now.saturating_sub(when));
-                self.next_offer(when, group);
-                self.offer(when, group);
+            ScheduledAction::Offer(group) => {
+                record(&mut self.generator_delay, now.saturating_sub(due_at));
+                self.schedule_offer(due_at, group);
+                self.offer(due_at, group);
             }
-            Due::Cut(group) => {
-                self.next_cut(when, group);
-                let gone = self.chance.random::<f64>() < self.plan.groups[group].gone_share;
+            ScheduledAction::Cut(group) => {
+                self.schedule_cut(due_at, group);
+                let gone = self.rng.random::<f64>() < self.plan.groups[group].gone_share;
                 if self.groups[group].is_empty() {
                     return;
                 }
-                let place = self.chance.random_range(0..self.groups[group].len());
-                let at = self.groups[group][place];
-                self.cut(at, gone);
+                let position = self.rng.random_range(0..self.groups[group].len());
+                let index = self.groups[group][position];
+                self.cut(index, gone);
                 if gone {
-                    self.groups[group].swap_remove(place);
+                    self.groups[group].swap_remove(position);
                 }
             }
-            Due::HangUp(at, call) => {
-                self.members[at].session.hang_up(call);
-                self.touched(at);
+            ScheduledAction::HangUp(index, call) => {
+                self.clients[index].session.hang_up(call);
+                self.process_session(index);
             }
         }
     }
 
-    fn offer(&mut self, when: Duration, group: usize) {
+    fn offer(&mut self, due_at: Duration, group: usize) {
         let Some(stage) = self.stage else { return };
-        let tally = stage * self.plan.groups.len() + group;
-        let of = &self.plan.groups[group];
-        self.tallies[tally].part.offered += 1;
+        let collector = stage * self.plan.groups.len() + group;
+        let group_plan = &self.plan.groups[group];
+        self.collectors[collector].result.offered += 1;
         if self.groups[group].is_empty() {
-            return self.tallies[tally].part.rejected += 1;
-        }
-        let at = self.groups[group][self.chance.random_range(0..self.groups[group].len())];
-        let dest = self.plan.destinations[self.chance.random_range(0..self.plan.destinations.len())];
-        let number = 1_000_000 + self.chance.random_range(0..8_000_000u64);
-        let member = &mut self.members[at];
-        member.last_call += 1;
-        // The caller has waited since the intended time.
+            return self.collectors[collector].result.rejected += 1;
+        }
+        let index = self.groups[group][self.rng.random_range(0..self.groups[group].len())];
+        let dest = self.plan.destinations[self.rng.random_range(0..self.plan.destinations.len())];
+        let number = 1_000_000 + self.rng.random_range(0..8_000_000u64);
+        let client = &mut self.clients[index];
+        client.last_call += 1;
+        // The caller waits since the intended time.
         let now = self.start.elapsed();
-        let waited = now.saturating_sub(when).as_millis() as u32;
+        let waited = now.saturating_sub(due_at).as_millis() as u32;
         let offer = Offer {
-            call: member.last_call,
-            call_type: of.call_type,
-            customer: of.customer,
+            call: client.last_call,
+            call_type: group_plan.call_type,
+            customer: group_plan.customer,
             dest,
             number,
             time_left_ms: self.plan.time_left_ms.saturating_sub(waited),
@@ -565,157 +585,158 @@
             cut: false,
             redial: false,
         };
-        match member.session.offer(now, offer) {
-            Ok(()) => _ = member.waits.insert(member.last_call, (when, tally)),
-            Err(_) => self.tallies[tally].part.rejected += 1,
+        match client.session.offer(now, offer) {
+            Ok(()) => _ = client.waiting.insert(client.last_call, (due_at, collector)),
+            Err(_) => self.collectors[collector].result.rejected += 1,
         }
-        self.touched(at);
+        self.process_session(index);
     }
 
-    /// The connection goes without a word, as when a phone is out of reach.
-    fn cut(&mut self, at: usize, gone: bool) {
+    /// Drops a connection without a closing handshake, as when a phone loses coverage.
+    fn cut(&mut self, index: usize, gone: bool) {
         self.report.cuts += 1;
-        if let Some(token) = self.members[at].token.take() {
+        if let Some(token) = self.clients[index].token.take() {
             self.connections.remove(&token);
         }
         if gone {
             self.report.gone += 1;
-            let member = &mut self.members[at];
-            member.gone = true;
-            member.session.close();
-            for (_, (_, tally)) in std::mem::take(&mut member.waits) {
-                self.tallies[tally].part.lost += 1;
+            let client = &mut self.clients[index];
+            client.gone = true;
+            client.session.close();
+            for (_, (_, collector)) in std::mem::take(&mut client.waiting) {
+                self.collectors[collector].result.lost += 1;
             }
         }
         let now = self.now();
-        self.members[at].session.lost(now, "cut by the script");
-        self.touched(at);
+        self.clients[index].session.lost(now, "cut by the script");
+        self.process_session(index);
     }
 
-    /// A session was acted on: what it wants is done, and what happened counted.
-    fn touched(&mut self, at: usize) {
+    /// Follows each action on a session: connects if the session asks for it, counts its events, writes its output and sets
+    /// its timer.
+    fn process_session(&mut self, index: usize) {
         let now = self.now();
-        if self.members[at].session.wants_dial(now) {
-            self.dial(at);
+        if self.clients[index].session.wants_dial(now) {
+            self.dial(index);
         }
-        while let Some(event) = self.members[at].session.next_event() {
-            self.event(at, event);
+        while let Some(event) = self.clients[index].session.next_event() {
+            self.handle_event(index, event);
         }
-        self.write(at);
-        let member = &mut self.members[at];
-        let alarm = member.session.next_timer().filter(|_| !member.gone);
-        if alarm != member.alarm {
-            member.alarm.iter().for_each(|before| _ = self.alarms.remove(&(*before, at)));
-            alarm.iter().for_each(|alarm| _ = self.alarms.insert((*alarm, at)));
-            member.alarm = alarm;
+        self.write(index);
+        let client = &mut self.clients[index];
+        let timer = client.session.next_timer().filter(|_| !client.gone);
+        if timer != client.timer {
+            client.timer.iter().for_each(|before| _ = self.timers.remove(&(*before, index)));
+            timer.iter().for_each(|timer| _ = self.timers.insert((*timer, index)));
+            client.timer = timer;
         }
     }
 
-    fn event(&mut self, at: usize, event: Event) {
+    fn handle_event(&mut self, index: usize, event: Event) {
         let now = self.now();
-        let member = &mut self.members[at];
+        let client = &mut self.clients[index];
         match event {
             Event::Connected { resumed, .. } => {
-                if member.opened {
+                if client.opened {
                     self.report.resumed += u64::from(resumed);
                     self.report.restarted += u64::from(!resumed);
                 } else {
-                    member.opened = true;
-                    note(&mut self.opens, now.saturating_sub(self.dialled_at[at]));
+                    client.opened = true;
+                    record(&mut self.open_times, now.saturating_sub(self.dial_times[index]));
                 }
             }
             Event::Disconnected { .. } => {
                 self.report.disconnects += 1;
-                if let Some(token) = member.token.take() {
+                if let Some(token) = client.token.take() {
                     self.connections.remove(&token);
                 }
             }
             Event::Answered(OfferResult { call, answer, .. }) => {
-                let stage = member.waits.remove(&call);
-                let Some((when, tally)) = stage else {
-                    if let Some(tally) = self.tallies.last_mut() {
-                        tally.part.unexpected += 1;
+                let offer = client.waiting.remove(&call);
+                let Some((due_at, collector)) = offer else {
+                    if let Some(collector) = self.collectors.last_mut() {
+                        collector.result.unexpected += 1;
                     }
                     return;
                 };
-                let took = now.saturating_sub(when);
-                let Tally { part, stood, refused } = &mut self.tallies[tally];
+                let response_time = now.saturating_sub(due_at);
+                let ResultCollector { result, stood, refused } = &mut self.collectors[collector];
                 match answer {
                     FinalAnswer::Stands => {
-                        note(stood, took);
-                        match took <= Duration::from_millis(self.plan.target_ms) {
-                            true => part.in_time += 1,
-                            false => part.late += 1,
+                        record(stood, response_time);
+                        match response_time <= Duration::from_millis(self.plan.target_ms) {
+                            true => result.in_time += 1,
+                            false => result.late += 1,
                         }
-                        let hold = now + Duration::from_millis(self.plan.hold_ms);
-                        self.at(hold, Due::HangUp(at, call));
+                        let hang_up_at = now + Duration::from_millis(self.plan.hold_ms);
+                        self.schedule(hang_up_at, ScheduledAction::HangUp(index, call));
                     }
                     FinalAnswer::Refused { .. } => {
-                        part.refused += 1;
-                        note(refused, took);
+                        result.refused += 1;
+                        record(refused, response_time);
                     }
-                    FinalAnswer::Fails => part.failed += 1,
+                    FinalAnswer::Fails => result.failed += 1,
                 }
             }
             Event::Lost { call } => {
-                if let Some((_, tally)) = member.waits.remove(&call) {
-                    self.tallies[tally].part.lost += 1;
+                if let Some((_, collector)) = client.waiting.remove(&call) {
+                    self.collectors[collector].result.lost += 1;
                 }
             }
             Event::Fault { call, .. } => {
-                if let Some((_, tally)) = member.waits.remove(&call) {
-                    self.tallies[tally].part.rejected += 1;
+                if let Some((_, collector)) = client.waiting.remove(&call) {
+                    self.collectors[collector].result.rejected += 1;
                 }
             }
             Event::Ended { .. } | Event::News(_) | Event::Missed(_) | Event::Reply { .. } => {}
-            Event::Denied { .. } => member.opened = true,
+            Event::Denied { .. } => client.opened = true,
         }
     }
 
-    fn dial(&mut self, at: usize) {
-        let to = self.servers[at % self.servers.len()];
+    fn dial(&mut self, index: usize) {
+        let to = self.servers[index % self.servers.len()];
         let token = Token(self.next_token);
         self.next_token += 1;
-        let dialled = TcpStream::connect(to).and_then(|mut stream| {
+        let opened = TcpStream::connect(to).and_then(|mut stream| {
             self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
             Ok(stream)
         });
-        match dialled {
+        match opened {
             Ok(stream) => {
                 let connection = Connection {
                     stream,
-                    member: at,
+                    client: index,
                     connected: false,
                     out: OutputBuffer::default(),
-                    waits_to_write: true,
+                    write_interest: true,
                 };
                 self.connections.insert(token, connection);
-                self.members[at].token = Some(token);
+                self.clients[index].token = Some(token);
             }
             Err(error) => {
                 let now = self.now();
-                self.members[at].session.lost(now, &error.to_string());
+                self.clients[index].session.lost(now, &error.to_string());
             }
         }
     }
 
-    fn ready(&mut self, token: Token, readable: bool, writable: bool) -> io::Result<()> {
+    fn on_ready(&mut self, token: Token, readable: bool, writable: bool) -> io::Result<()> {
         let Some(connection) = self.connections.get_mut(&token) else { return Ok(()) };
-        let at = connection.member;
+        let index = connection.client;
         if !connection.connected {
             if connection.stream.take_error()?.is_some() {
-                self.lost(token, "can't connect");
+                self.connection_lost(token, "connection failed");
                 return Ok(());
             }
             let Ok(to) = connection.stream.peer_addr() else { return Ok(()) };
             connection.connected = true;
             let _ = connection.stream.set_nodelay(true);
             let now = self.now();
-            self.members[at].session.dialled(now, to);
-            self.touched(at);
+            self.clients[index].session.dialled(now, to);
+            self.process_session(index);
         }
         if writable {
-            self.write(at);
+            self.write(index);
         }
         if readable {
             self.read(token);
@@ -726,77 +747,77 @@
     fn read(&mut self, token: Token) {
         loop {
             let Some(connection) = self.connections.get_mut(&token) else { return };
-            let at = connection.member;
+            let index = connection.client;
             match connection.stream.read(&mut self.buffer) {
-                Ok(0) => return self.lost(token, "closed by the server"),
+                Ok(0) => return self.connection_lost(token, "connection closed by the server"),
                 Ok(count) => {
                     let now = self.start.elapsed();
-                    self.members[at].session.on_octets(now, &self.buffer[..count]);
-                    self.touched(at);
+                    self.clients[index].session.on_octets(now, &self.buffer[..count]);
+                    self.process_session(index);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) => return self.lost(token, &error.to_string()),
+                Err(error) => return self.connection_lost(token, &error.to_string()),
             }
         }
     }
 
-    fn lost(&mut self, token: Token, why: &str) {
+    fn connection_lost(&mut self, token: Token, why: &str) {
         let Some(connection) = self.connections.remove(&token) else { return };
-        let (at, now) = (connection.member, self.now());
-        if self.members[at].token == Some(token) {
-            self.members[at].token = None;
-            self.members[at].session.lost(now, why);
-            self.touched(at);
+        let (index, now) = (connection.client, self.now());
+        if self.clients[index].token == Some(token) {
+            self.clients[index].token = None;
+            self.clients[index].session.lost(now, why);
+            self.process_session(index);
         }
     }
 
-    fn write(&mut self, at: usize) {
-        let member = &mut self.members[at];
-        let out = std::mem::take(member.session.out());
-        let Some(token) = member.token else { return };
+    fn write(&mut self, index: usize) {
+        let client = &mut self.clients[index];
+        let out = std::mem::take(client.session.out());
+        let Some(token) = client.token else { return };
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.out.push(&out);
         if !connection.connected {
             return;
         }
-        let (waits, failed) = match connection.out.write_to(&mut connection.stream) {
+        let (wants_write, failure) = match connection.out.write_to(&mut connection.stream) {
             _ if connection.out.overrun() => (false, Some("the server reads too slowly".to_string())),
             Ok(written) => (!written, None),
             Err(error) => (false, Some(error.to_string())),
         };
-        if waits != connection.waits_to_write {
-            connection.waits_to_write = waits;
-            let interest = match waits {
+        if wants_write != connection.write_interest {
+            connection.write_interest = wants_write;
+            let interest = match wants_write {
                 true => Interest::READABLE | Interest::WRITABLE,
                 false => Interest::READABLE,
             };
-            // A failure shows as an error when it is next read or written.
+            // If this fails, the next read or write of the connection fails, too.
             let _ = self.poll.registry().reregister(&mut connection.stream, token, interest);
         }
-        failed.iter().for_each(|why| self.lost(token, why));
+        failure.iter().for_each(|why| self.connection_lost(token, why));
     }
 }
 
 impl LoadReport {
-    /// Whether each call had one outcome.
+    /// Whether each call had exactly one outcome.
     pub fn passed(&self) -> bool {
-        self.unanswered == 0 && self.results.iter().all(|part| part.unexpected == 0)
+        self.unanswered == 0 && self.results.iter().all(|result| result.unexpected == 0)
     }
 
     pub fn text(&self) -> String {
         let mut text = format!(
-            "{} sessions open in {:.2} s (each in {:.1} ms, 99 % in {:.1} ms), {} turned away or lost on the way\n",
+            "{} sessions open in {:.2} s (each in {:.1} ms, 99 % in {:.1} ms), {} connections refused, lost or cut\n",
             self.sessions, self.opened_in_s, self.open_ms.p50, self.open_ms.p99, self.disconnects
         );
         if self.cuts > 0 {
             text += &format!(
-                "{} cut by the script: {} taken up, {} begun anew, {} gone for good\n",
+                "{} connections cut by the script: {} sessions resumed, {} started anew, {} gone for good\n",
                 self.cuts, self.resumed, self.restarted, self.gone
             );
         }
         text += &format!(
-            "{:<12} {:<10} {:>8} {:>8} {:>6} {:>8} {:>6} {:>6} {:>7} {:>9} {:>9} {:>9}\n",
+            "{:<12} {:<10} {:>8} {:>8} {:>6} {:>8} {:>6} {:>6} {:>9} {:>9} {:>9} {:>9}\n",
             "stage",
             "group",
             "offered",
@@ -805,30 +826,30 @@
             "refused",
             "fails",
             "lost",
-            "in t./s",
+            "in time/s",
             "p50 ms",
             "p99 ms",
             "p99.9 ms"
         );
-        for part in &self.results {
+        for result in &self.results {
             text += &format!(
-                "{:<12} {:<10} {:>8} {:>8} {:>6} {:>8} {:>6} {:>6} {:>7.0} {:>9.1} {:>9.1} {:>9.1}\n",
-                part.stage,
-                part.group,
-                part.offered,
-                part.in_time,
-                part.late,
-                part.refused,
-                part.failed,
-                part.lost + part.rejected,
-                part.in_time as f64 / part.seconds,
-                part.stood_ms.p50,
-                part.stood_ms.p99,
-                part.stood_ms.p999
+                "{:<12} {:<10} {:>8} {:>8} {:>6} {:>8} {:>6} {:>6} {:>9.0} {:>9.1} {:>9.1} {:>9.1}\n",
+                result.stage,
+                result.group,
+                result.offered,
+                result.in_time,
+                result.late,
+                result.refused,
+                result.failed,
+                result.lost + result.rejected,
+                result.in_time as f64 / result.seconds,
+                result.stood_ms.p50,
+                result.stood_ms.p99,
+                result.stood_ms.p999
             );
         }
         text += &format!(
-            "{} calls without an outcome; the generator was {:.1} ms late at worst (99 %: {:.1} ms)\n",
+            "{} calls without an outcome; delay of the generator: max {:.1} ms, p99 {:.1} ms\n",
             self.unanswered, self.generator_delay_ms.max, self.generator_delay_ms.p99
         );
         text
