--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -103,7 +103,7 @@
     pub name: String,
     #[serde(rename = "for_s")]
     pub duration_s: f64,
-    /// Factor on the rates of groups that are not steady.
+    /// Factor on the offer rates of groups that are not steady.
     #[serde(rename = "times")]
     pub rate_factor: f64,
 }
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -1,6 +1,8 @@
-//! A day over sockets: every controller a process of its own (`mintstall run`), the world in this one, loopback between.
+//! A day over sockets: every controller runs as a process of its own (`mintstall run`), the simulation in this process, and
+//! TCP on the loopback address connects them.
 //!
-//! Each link of a controller ends here, as do its subscriber line and its directory: what crosses is seen at this end.
+//! Each link of a controller ends in this process, as do its subscriber line, its client sessions and its directory
+//! connection. Observers get the signalling at the time at which this process sends or receives it.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -31,7 +33,7 @@
 pub enum LoopbackError {
     #[error("{what}: {error}")]
     Io { what: String, error: io::Error },
-    #[error("controller {office} was not ready within {within:?}")]
+    #[error("controller of exchange {office} was not ready within {within:?}")]
     NotReady { office: u16, within: Duration },
 }
 
@@ -40,7 +42,7 @@
     move |error| LoopbackError::Io { what, error }
 }
 
-/// What a controller says on its standard output once it takes calls.
+/// The line that a controller writes to its standard output once it accepts calls.
 #[derive(Debug, Deserialize)]
 struct Ready {
     subscribers: Option<SocketAddr>,
@@ -48,26 +50,28 @@
     admin: Option<SocketAddr>,
 }
 
-/// How a day over sockets went.
+/// The result of a day over sockets.
 pub struct DayResult {
     pub score: Score,
     pub ended_at: Duration,
     pub counters: Vec<Counters>,
-    /// Controllers that ended without being asked to, and that did not stop in order when told.
+    /// Controllers that ended by themselves, or did not exit with success after SIGTERM.
     pub crashes: u64,
     pub stuck_circuits: usize,
     pub calls_left: usize,
-    /// Of clients over WebSocket, where the day has any.
+    /// Counters of the WebSocket clients, if the day has any.
     pub clients: Option<ClientCounters>,
 }
 
-/// Which controller, which start of it, and what it said first, if that made sense.
-type Said = (u16, u64, Option<Ready>);
+/// Exchange and start number of a controller, and the first line of its standard output, if that could be parsed.
+type StartMessage = (u16, u64, Option<Ready>);
 
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const LINGER: Duration = Duration::from_secs(60);
+/// Time limit for all controllers to accept calls before the day starts.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// A day runs at most this much longer than its scripted length.
+const MAX_OVERRUN: Duration = Duration::from_secs(60);
 const WAKER: Token = Token(0);
-const FIRST_CONNECTION: usize = 1 << 24;
+const FIRST_TOKEN: usize = 1 << 24;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Purpose {
@@ -80,21 +84,21 @@
 struct Connection {
     stream: TcpStream,
     purpose: Purpose,
-    cutter: LineDecoder,
+    decoder: LineDecoder,
     out: OutputBuffer,
-    /// A client's that has not been told that it is there.
-    dialling: bool,
+    /// A client connection whose session does not know yet that it is connected.
+    connecting: bool,
 }
 
-/// One controller's process.
+/// The process of one controller.
 struct Process {
     child: Child,
-    /// Which start of it this is: what an earlier one said late is passed over.
-    round: u64,
+    /// Number of this start: start messages of earlier processes that arrive late are ignored.
+    start_number: u64,
     ready: Option<Ready>,
 }
 
-struct Site<'a> {
+struct LoopbackRun<'a> {
     simulation: Simulation,
     clients: ClientPool,
     observer: &'a mut dyn Observer,
@@ -106,17 +110,18 @@
     by_purpose: BTreeMap<Purpose, Token>,
     endpoints: BTreeMap<u16, Endpoints>,
     processes: BTreeMap<u16, Process>,
-    said: (Sender<Said>, Receiver<Said>),
-    /// Texts for directories that are not connected yet.
-    waiting: BTreeMap<u16, Vec<String>>,
+    /// From the threads that read the controllers' standard output.
+    start_messages: (Sender<StartMessage>, Receiver<StartMessage>),
+    /// Notifications for controllers that are not connected to their directory yet.
+    queued_notifications: BTreeMap<u16, Vec<String>>,
     start: Instant,
-    next: usize,
-    rounds: u64,
+    next_token: usize,
+    starts: u64,
     crashes: u64,
 }
 
-/// Plays a day whose script has no faults, with `program` as the command `mintstall` and a folder of its own for
-/// configurations.
+/// Runs a day whose script has no validation errors. `program` is the `mintstall` command; configurations and membership
+/// files are written to `folder`.
 pub fn run(
     day: &Day,
     program: &Path,
@@ -124,7 +129,7 @@
     observer: &mut dyn Observer,
 ) -> Result<DayResult, LoopbackError> {
     let poll = Poll::new().map_err(io_error("event loop"))?;
-    let mut site = Site {
+    let mut day_run = LoopbackRun {
         simulation: Simulation::new(day, LinkMode::Sockets),
         clients: ClientPool::new(&day.clients, day.seed),
         observer,
@@ -136,23 +141,23 @@
         by_purpose: BTreeMap::new(),
         endpoints: BTreeMap::new(),
         processes: BTreeMap::new(),
-        said: channel(),
-        waiting: BTreeMap::new(),
+        start_messages: channel(),
+        queued_notifications: BTreeMap::new(),
         start: Instant::now(),
-        next: FIRST_CONNECTION,
-        rounds: 0,
+        next_token: FIRST_TOKEN,
+        starts: 0,
         crashes: 0,
     };
-    let played = site.run(day);
-    // Whatever went wrong, no process is left behind.
-    for process in site.processes.values_mut() {
+    let result = day_run.run(day);
+    // No process is left running, even after an error.
+    for process in day_run.processes.values_mut() {
         let _ = process.child.kill();
         let _ = process.child.wait();
     }
-    played
+    result
 }
 
-impl Site<'_> {
+impl LoopbackRun<'_> {
     fn now(&self) -> Duration {
         self.start.elapsed()
     }
@@ -161,8 +166,8 @@
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let mut listener = TcpListener::bind(any).map_err(io_error("listening on loopback"))?;
         let addr = listener.local_addr().map_err(io_error("listening on loopback"))?;
-        self.next += 1;
-        let token = Token(self.next);
+        self.next_token += 1;
+        let token = Token(self.next_token);
         let registry = self.poll.registry();
         registry
             .register(&mut listener, token, Interest::READABLE)
@@ -199,14 +204,15 @@
         for office in 1..=day.exchanges {
             self.spawn(office, &waker)?;
         }
-        // The day's clock starts once all take calls.
+        // The day's clock starts once all controllers accept calls.
         let mut events = Events::with_capacity(1024);
-        while (1..=day.exchanges).any(|office| self.line(office).is_none()) {
-            if self.start.elapsed() > READY_WITHIN {
-                let office = (1..=day.exchanges).find(|office| self.line(*office).is_none()).unwrap_or(0);
-                return Err(LoopbackError::NotReady { office, within: READY_WITHIN });
+        while (1..=day.exchanges).any(|office| self.line_token(office).is_none()) {
+            if self.start.elapsed() > READY_TIMEOUT {
+                let office =
+                    (1..=day.exchanges).find(|office| self.line_token(*office).is_none()).unwrap_or(0);
+                return Err(LoopbackError::NotReady { office, within: READY_TIMEOUT });
             }
-            self.turn(&mut events, Some(Duration::from_millis(50)), &waker)?;
+            self.run_once(&mut events, Some(Duration::from_millis(50)), &waker)?;
         }
         self.start = Instant::now();
         for office in 1..=day.exchanges {
@@ -216,11 +222,11 @@
             self.simulation.controller_ready(now, office, self.observer, &mut actions);
             self.carry_out(actions, &waker)?;
         }
-        let last = Duration::from_secs_f64(day.length_s) + LINGER;
-        while !self.simulation.is_finished(self.now()) && self.now() < last {
+        let day_end = Duration::from_secs_f64(day.length_s) + MAX_OVERRUN;
+        while !self.simulation.is_finished(self.now()) && self.now() < day_end {
             let wait = self.simulation.next_event_time().map(|at| at.saturating_sub(self.now()));
             let wait = wait.unwrap_or(Duration::from_millis(100)).min(Duration::from_millis(100));
-            self.turn(&mut events, Some(wait), &waker)?;
+            self.run_once(&mut events, Some(wait), &waker)?;
             loop {
                 let (now, mut actions) = (self.now(), Vec::new());
                 if !self.simulation.advance(now, self.observer, &mut actions) {
@@ -230,10 +236,10 @@
             }
             self.flush();
         }
-        // What was let go last still has its release on the way.
-        let until = self.now() + Duration::from_secs(3);
-        while self.now() < until {
-            self.turn(&mut events, Some(Duration::from_millis(20)), &waker)?;
+        // Releases of the last calls are still in transit: run on for 3 s.
+        let drain_end = self.now() + Duration::from_secs(3);
+        while self.now() < drain_end {
+            self.run_once(&mut events, Some(Duration::from_millis(20)), &waker)?;
             let (now, mut actions) = (self.now(), Vec::new());
             while self.simulation.advance(now, self.observer, &mut actions) {}
             self.carry_out(actions, &waker)?;
@@ -268,23 +274,23 @@
         })
     }
 
-    /// Tells every controller to stop, and counts those that do not do so in order.
+    /// Sends SIGTERM to every controller and counts those that do not exit with success within 10 s.
     fn stop_all(&mut self) {
         for process in self.processes.values() {
-            // The signal goes to a process that was started here and is not reaped yet.
+            // The process is a child that has not been waited for yet, so its id is not in use by another process.
             let pid = Pid::from_raw(process.child.id() as i32);
             if let Err(error) = kill(pid, Signal::SIGTERM) {
-                warn!(%pid, "can't be told to stop: {error}");
+                warn!(%pid, "SIGTERM to the controller failed: {error}");
             }
         }
-        let until = Instant::now() + Duration::from_secs(10);
+        let deadline = Instant::now() + Duration::from_secs(10);
         for (office, process) in &mut self.processes {
             loop {
                 match process.child.try_wait() {
                     Ok(Some(status)) if status.success() => break,
-                    Ok(None) if Instant::now() < until => std::thread::sleep(Duration::from_millis(5)),
+                    Ok(None) if Instant::now() < deadline => std::thread::sleep(Duration::from_millis(5)),
                     other => {
-                        warn!(office, ?other, "did not stop in order");
+                        warn!(office, ?other, "controller did not exit with success after SIGTERM");
                         self.crashes += 1;
                         break;
                     }
@@ -307,43 +313,43 @@
             .stderr(Stdio::inherit())
             .spawn()
             .map_err(io_error(self.program.display().to_string()))?;
-        self.rounds += 1;
-        let (round, sender, waker) = (self.rounds, self.said.0.clone(), waker.clone());
+        self.starts += 1;
+        let (start_number, sender, waker) = (self.starts, self.start_messages.0.clone(), waker.clone());
         if let Some(stdout) = child.stdout.take() {
             std::thread::spawn(move || {
                 let mut lines = BufReader::new(stdout).lines();
                 let ready =
                     lines.next().and_then(Result::ok).and_then(|line| serde_json::from_str(&line).ok());
-                let _ = sender.send((office, round, ready));
+                let _ = sender.send((office, start_number, ready));
                 let _ = waker.wake();
                 lines.for_each(drop);
             });
         }
-        self.processes.insert(office, Process { child, round, ready: None });
+        self.processes.insert(office, Process { child, start_number, ready: None });
         Ok(())
     }
 
-    fn line(&self, office: u16) -> Option<Token> {
+    fn line_token(&self, office: u16) -> Option<Token> {
         self.by_purpose.get(&Purpose::Line(office)).copied()
     }
 
-    fn add(&mut self, mut stream: TcpStream, purpose: Purpose) -> io::Result<()> {
+    fn add_connection(&mut self, mut stream: TcpStream, purpose: Purpose) -> io::Result<()> {
         let _ = stream.set_nodelay(true);
-        self.next += 1;
-        let token = Token(self.next);
+        self.next_token += 1;
+        let token = Token(self.next_token);
         self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        let cutter = LineDecoder::new(1 << 16);
-        let dialling = matches!(purpose, Purpose::Client(_));
-        let connection = Connection { stream, purpose, cutter, out: OutputBuffer::default(), dialling };
+        let decoder = LineDecoder::new(1 << 16);
+        let connecting = matches!(purpose, Purpose::Client(_));
+        let connection = Connection { stream, purpose, decoder, out: OutputBuffer::default(), connecting };
         self.connections.insert(token, connection);
-        if let Some(before) = self.by_purpose.insert(purpose, token) {
-            self.connections.remove(&before);
+        if let Some(replaced) = self.by_purpose.insert(purpose, token) {
+            self.connections.remove(&replaced);
         }
         Ok(())
     }
 
-    /// One turn of the loop.
-    fn turn(
+    /// Waits for events and handles them once.
+    fn run_once(
         &mut self,
         events: &mut Events,
         wait: Option<Duration>,
@@ -358,67 +364,69 @@
         let tokens: Vec<Token> = events.iter().map(|event| event.token()).collect();
         for token in tokens {
             if token == WAKER {
-                self.starts_said(waker)?;
+                self.handle_start_messages(waker)?;
             } else if self.listeners.contains_key(&token) {
                 self.accept(token, waker)?;
             } else {
                 self.read(token, waker)?;
             }
         }
-        self.look_after_clients()?;
+        self.update_clients()?;
         self.flush();
         Ok(())
     }
 
-    /// Clients that want a connection get one; the script cuts some.
-    fn look_after_clients(&mut self) -> Result<(), LoopbackError> {
+    /// Cuts client connections as the script says, runs the timers of the sessions and connects those that ask for it.
+    fn update_clients(&mut self) -> Result<(), LoopbackError> {
         let now = self.now();
-        for no in self.clients.apply_cuts(now, &mut self.simulation, self.observer) {
-            self.close(Purpose::Client(no));
+        for client in self.clients.apply_cuts(now, &mut self.simulation, self.observer) {
+            self.close(Purpose::Client(client));
         }
-        for no in self.clients.client_ids() {
-            let Some(session) = self.clients.session(no) else { continue };
+        for client in self.clients.client_ids() {
+            let Some(session) = self.clients.session(client) else { continue };
             if session.next_timer().is_some_and(|at| at <= now) {
                 session.on_timer(now);
             }
             if session.wants_dial(now) {
-                let calls = self.processes.get(&no.0).and_then(|process| process.ready.as_ref()?.calls);
+                let address = self.processes.get(&client.0).and_then(|process| process.ready.as_ref()?.calls);
                 let stream =
-                    calls.ok_or_else(|| io::ErrorKind::NotConnected.into()).and_then(TcpStream::connect);
-                match stream.and_then(|stream| self.add(stream, Purpose::Client(no))) {
+                    address.ok_or_else(|| io::ErrorKind::NotConnected.into()).and_then(TcpStream::connect);
+                match stream.and_then(|stream| self.add_connection(stream, Purpose::Client(client))) {
                     Ok(()) => {}
-                    Err(error) => session_lost(&mut self.clients, now, no, &error.to_string()),
+                    Err(error) => session_lost(&mut self.clients, now, client, &error.to_string()),
                 }
             }
-            self.client_turn(no);
+            self.process_client(client);
         }
         Ok(())
     }
 
-    /// What a client has to say goes out; what happened to it is told to the world.
-    fn client_turn(&mut self, no: ClientId) {
+    /// Passes the events of a client session to the simulation and queues its output.
+    fn process_client(&mut self, client: ClientId) {
         let now = self.now();
-        self.clients.process_events(now, no, &mut self.simulation, self.observer);
-        let Some(session) = self.clients.session(no) else { return };
+        self.clients.process_events(now, client, &mut self.simulation, self.observer);
+        let Some(session) = self.clients.session(client) else { return };
         let out = std::mem::take(session.out());
         if !out.is_empty() {
-            self.push(Purpose::Client(no), &[&out]);
+            self.send(Purpose::Client(client), &[&out]);
         }
     }
 
-    /// Controllers that were started say that they take calls: their subscribers connect.
-    fn starts_said(&mut self, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
-        while let Ok((office, round, ready)) = self.said.1.try_recv() {
-            let Some(process) = self.processes.get_mut(&office).filter(|process| process.round == round)
+    /// Handles the start messages of controllers that now accept calls: connects their subscriber lines.
+    fn handle_start_messages(&mut self, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
+        while let Ok((office, start_number, ready)) = self.start_messages.1.try_recv() {
+            let Some(process) =
+                self.processes.get_mut(&office).filter(|process| process.start_number == start_number)
             else {
                 continue;
             };
             process.ready = ready;
-            let Some(lines) = process.ready.as_ref().and_then(|ready| ready.subscribers) else { continue };
-            let stream = TcpStream::connect(lines).map_err(io_error("connecting a subscriber line"))?;
-            self.add(stream, Purpose::Line(office)).map_err(io_error("connecting a subscriber line"))?;
-            // The first starts are told once all are there.
-            if round > u64::from(self.simulation.day().exchanges) {
+            let Some(address) = process.ready.as_ref().and_then(|ready| ready.subscribers) else { continue };
+            let stream = TcpStream::connect(address).map_err(io_error("connecting a subscriber line"))?;
+            self.add_connection(stream, Purpose::Line(office))
+                .map_err(io_error("connecting a subscriber line"))?;
+            // The first start of each controller is reported to the simulation by `run`, once all are ready.
+            if start_number > u64::from(self.simulation.day().exchanges) {
                 let (now, mut actions) = (self.now(), Vec::new());
                 self.clients.exchange_ready(now, office);
                 self.simulation.controller_ready(now, office, self.observer, &mut actions);
@@ -432,7 +440,7 @@
         while let Some((listener, purpose)) = self.listeners.get(&token) {
             let purpose = *purpose;
             let Ok((stream, _)) = listener.accept() else { return Ok(()) };
-            self.add(stream, purpose).map_err(io_error("a connection"))?;
+            self.add_connection(stream, purpose).map_err(io_error("accepting a connection"))?;
             match purpose {
                 Purpose::Link { office, to } => {
                     let (now, mut actions) = (self.now(), Vec::new());
@@ -440,8 +448,8 @@
                     self.carry_out(actions, waker)?;
                 }
                 Purpose::Directory(office) => {
-                    for text in self.waiting.remove(&office).unwrap_or_default() {
-                        self.push(purpose, &[text.as_bytes(), b"\n"]);
+                    for text in self.queued_notifications.remove(&office).unwrap_or_default() {
+                        self.send(purpose, &[text.as_bytes(), b"\n"]);
                     }
                 }
                 Purpose::Line(_) | Purpose::Client(_) => {}
@@ -450,7 +458,7 @@
         Ok(())
     }
 
-    fn push(&mut self, purpose: Purpose, parts: &[&[u8]]) {
+    fn send(&mut self, purpose: Purpose, parts: &[&[u8]]) {
         let token = self.by_purpose.get(&purpose);
         if let Some(connection) = token.and_then(|token| self.connections.get_mut(token)) {
             parts.iter().for_each(|part| connection.out.push(part));
@@ -459,23 +467,23 @@
 
     fn flush(&mut self) {
         for connection in self.connections.values_mut().filter(|connection| connection.out.waiting() > 0) {
-            // A failure shows as the end of the connection when it is read.
+            // If this fails, the next read returns the error or the end of the connection.
             let _ = connection.out.write_to(&mut connection.stream);
         }
     }
 
     fn read(&mut self, token: Token, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
         let mut buffer = [0; 16 << 10];
-        if let Some(connection) = self.connections.get_mut(&token).filter(|connection| connection.dialling)
+        if let Some(connection) = self.connections.get_mut(&token).filter(|connection| connection.connecting)
             && let Ok(to) = connection.stream.peer_addr()
-            && let Purpose::Client(no) = connection.purpose
+            && let Purpose::Client(client) = connection.purpose
         {
-            connection.dialling = false;
+            connection.connecting = false;
             let now = self.now();
-            if let Some(session) = self.clients.session(no) {
+            if let Some(session) = self.clients.session(client) {
                 session.dialled(now, to);
             }
-            self.client_turn(no);
+            self.process_client(client);
         }
         loop {
             let Some(connection) = self.connections.get_mut(&token) else { return Ok(()) };
@@ -483,9 +491,9 @@
                 Ok(count) if count > 0 => self.on_octets(token, &buffer[..count], waker)?,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Not connected yet: told again once it is.
+                // The connection is still being set up; another event follows.
                 Err(error) if error.kind() == io::ErrorKind::NotConnected => return Ok(()),
-                _ => return self.gone(token, waker),
+                _ => return self.connection_lost(token, waker),
             }
         }
     }
@@ -499,47 +507,53 @@
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&token) else { return Ok(()) };
         let purpose = connection.purpose;
-        if let Purpose::Client(no) = purpose {
-            if let Some(session) = self.clients.session(no) {
+        if let Purpose::Client(client) = purpose {
+            if let Some(session) = self.clients.session(client) {
                 session.on_octets(now, octets);
             }
-            self.client_turn(no);
+            self.process_client(client);
             return Ok(());
         }
         if let Purpose::Link { office, to } = purpose {
             self.simulation.on_controller_octets(now, office, to, octets, self.observer);
             return Ok(());
         }
-        connection.cutter.push(octets);
+        connection.decoder.push(octets);
         let mut texts = Vec::new();
-        while let Ok(Some(text)) = connection.cutter.next() {
+        while let Ok(Some(text)) = connection.decoder.next() {
             texts.push(text.to_vec());
         }
         let mut actions = Vec::new();
         for text in texts {
             match purpose {
                 Purpose::Line(office) => match ServerMessage::read(&text) {
-                    Ok(ServerMessage::Answered(a)) => {
+                    Ok(ServerMessage::Answered(result)) => {
                         self.simulation.answered(
                             now,
                             office,
-                            a.call,
-                            a.exchange_call,
-                            a.answer,
+                            result.call,
+                            result.exchange_call,
+                            result.answer,
                             self.observer,
                         );
                     }
-                    Ok(ServerMessage::Ended(note)) => {
-                        self.simulation.call_ended(now, office, note.call, note.how, self.observer)
-                    }
+                    Ok(ServerMessage::Ended(notification)) => self.simulation.call_ended(
+                        now,
+                        office,
+                        notification.call,
+                        notification.how,
+                        self.observer,
+                    ),
                     Ok(
                         ServerMessage::Result { .. }
                         | ServerMessage::News(_)
                         | ServerMessage::Missed(_)
                         | ServerMessage::Other(_),
                     ) => {}
-                    Ok(ServerMessage::Fault { code, message, .. }) => info!(office, code, "{message}"),
-                    Err(error) => warn!(office, "a line makes no sense: {error}"),
+                    Ok(ServerMessage::Fault { code, message, .. }) => {
+                        info!(office, code, "controller answered with an error: {message}")
+                    }
+                    Err(error) => warn!(office, "cannot parse a message on the subscriber line: {error}"),
                 },
                 Purpose::Directory(office) => {
                     if let Ok(ControllerNotification::RequestFullList(request)) =
@@ -556,7 +570,7 @@
         self.carry_out(actions, waker)
     }
 
-    fn gone(&mut self, token: Token, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
+    fn connection_lost(&mut self, token: Token, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
         let Some(connection) = self.connections.remove(&token) else { return Ok(()) };
         let purpose = connection.purpose;
         if self.by_purpose.get(&purpose) != Some(&token) {
@@ -570,14 +584,16 @@
             }
             Purpose::Line(office) => {
                 if let Some(mut process) = self.processes.remove(&office) {
-                    warn!(office, "ended unasked: {:?}", process.child.try_wait());
+                    warn!(office, "controller ended by itself: {:?}", process.child.try_wait());
                     let _ = process.child.kill();
                     let _ = process.child.wait();
                     self.crashes += 1;
                     self.simulation.controller_crashed(now, office, self.observer, &mut actions);
                 }
             }
-            Purpose::Client(no) => session_lost(&mut self.clients, now, no, "closed by the controller"),
+            Purpose::Client(client) => {
+                session_lost(&mut self.clients, now, client, "connection closed by the controller")
+            }
             Purpose::Directory(_) => {}
         }
         self.carry_out(actions, waker)
@@ -603,87 +619,86 @@
                         let _ = process.child.wait();
                     }
                     self.close(Purpose::Line(office));
-                    for no in self.clients.client_ids().into_iter().filter(|no| no.0 == office) {
-                        self.close(Purpose::Client(no));
+                    for client in self.clients.client_ids().into_iter().filter(|client| client.0 == office) {
+                        self.close(Purpose::Client(client));
                     }
                     self.clients.controller_killed(office);
                     self.close(Purpose::Directory(office));
-                    self.waiting.remove(&office);
+                    self.queued_notifications.remove(&office);
                     let links: Vec<u16> = self.endpoints[&office].links.iter().map(|(to, _)| *to).collect();
                     links.into_iter().for_each(|to| self.close(Purpose::Link { office, to }));
                 }
                 Action::LinkUp { .. } => {}
                 Action::LinkDown { office, to } => self.close(Purpose::Link { office, to }),
                 Action::LinkOctets { office, from, octets } => {
-                    self.push(Purpose::Link { office, to: from }, &[&octets])
+                    self.send(Purpose::Link { office, to: from }, &[&octets])
                 }
                 Action::Offer { office, offer } if !self.clients.is_disabled() => {
-                    let (now, no) = (self.now(), self.clients.client_for(office, offer.call));
+                    let (now, client) = (self.now(), self.clients.client_for(office, offer.call));
                     self.clients.offer(now, office, offer);
-                    self.client_turn(no);
+                    self.process_client(client);
                 }
                 Action::HangUp { office, call } if !self.clients.is_disabled() => {
                     self.clients.hang_up(office, call);
-                    self.client_turn(self.clients.client_for(office, call));
+                    self.process_client(self.clients.client_for(office, call));
                 }
                 Action::Offer { office, offer } => {
-                    let asked =
+                    let request =
                         RequestMessage { id: Some(json!(offer.call)), request: Request::Offer(offer) };
-                    self.push(Purpose::Line(office), &[asked.text().as_bytes(), b"\n"]);
+                    self.send(Purpose::Line(office), &[request.text().as_bytes(), b"\n"]);
                 }
                 Action::HangUp { office, call } => {
-                    let asked =
+                    let request =
                         RequestMessage { id: Some(json!(call)), request: Request::Hangup(Hangup { call }) };
-                    self.push(Purpose::Line(office), &[asked.text().as_bytes(), b"\n"]);
+                    self.send(Purpose::Line(office), &[request.text().as_bytes(), b"\n"]);
                 }
                 Action::Membership { office, news } => {
-                    self.feed(office, &DirectoryNotification::Membership(news))
+                    self.notify(office, &DirectoryNotification::Membership(news))
                 }
                 Action::CircuitsInService { office, to, in_service } => {
-                    self.feed(office, &DirectoryNotification::CircuitsInService { to, in_service })
-                }
-                Action::ProcessorReport { office, rate } => {
-                    self.feed(office, &DirectoryNotification::Processor(ProcessorStatus { rate: Some(rate) }))
+                    self.notify(office, &DirectoryNotification::CircuitsInService { to, in_service })
                 }
+                Action::ProcessorReport { office, rate } => self
+                    .notify(office, &DirectoryNotification::Processor(ProcessorStatus { rate: Some(rate) })),
             }
         }
         Ok(())
     }
 
-    fn feed(&mut self, office: u16, note: &DirectoryNotification) {
-        const WAITING: usize = 1000;
+    fn notify(&mut self, office: u16, notification: &DirectoryNotification) {
+        const MAX_QUEUED: usize = 1000;
         if self.by_purpose.contains_key(&Purpose::Directory(office)) {
-            self.push(Purpose::Directory(office), &[note.text().as_bytes(), b"\n"]);
+            self.send(Purpose::Directory(office), &[notification.text().as_bytes(), b"\n"]);
         } else {
-            let waiting = self.waiting.entry(office).or_default();
-            if waiting.len() < WAITING {
-                waiting.push(note.text());
+            let queue = self.queued_notifications.entry(office).or_default();
+            if queue.len() < MAX_QUEUED {
+                queue.push(notification.text());
             }
         }
     }
 }
 
-fn session_lost(clients: &mut ClientPool, now: Duration, no: ClientId, why: &str) {
-    if let Some(session) = clients.session(no) {
+fn session_lost(clients: &mut ClientPool, now: Duration, client: ClientId, why: &str) {
+    if let Some(session) = clients.session(client) {
         session.lost(now, why);
     }
 }
 
-/// Asks a controller's admin port for its status.
+/// Requests the status from a controller's admin port.
 pub fn status(admin: SocketAddr) -> io::Result<Value> {
     admin_request(admin, "status", &Value::Null, None)
 }
 
-/// Asks a controller's admin port.
+/// Sends a request to a controller's admin port and returns the result.
 pub fn admin_request(
     admin: SocketAddr,
     method: &str,
     params: &Value,
     token: Option<&str>,
 ) -> io::Result<Value> {
-    let limit = Duration::from_secs(5);
-    let mut stream = std::net::TcpStream::connect_timeout(&admin, limit)?;
-    stream.set_read_timeout(Some(limit))?;
+    let timeout = Duration::from_secs(5);
+    let mut stream = std::net::TcpStream::connect_timeout(&admin, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
     let request = json!({ "jsonrpc": "2.0", "id": 1, "method": method, "params": params, "token": token });
     stream.write_all(format!("{request}\n").as_bytes())?;
     let mut line = String::new();
