--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -99,8 +99,8 @@
         let result = virtual_day::run(day, &mut observers, &mut virtual_day::PassThrough);
         (
             result.score,
-            result.ended,
-            result.tallies,
+            result.ended_at,
+            result.counters,
             0,
             result.stuck_circuits,
             result.calls_left,
@@ -117,8 +117,8 @@
         removed.map_err(|error| format!("{}: {error}", folder.display()))?;
         (
             result.score,
-            result.ended,
-            result.tallies,
+            result.ended_at,
+            result.counters,
             result.crashes,
             result.stuck_circuits,
             result.calls_left,
--- a/crates/cli/tests/calls.rs
+++ b/crates/cli/tests/calls.rs
@@ -51,7 +51,7 @@
         self.wait_until("no calls and all circuits free", |status| {
             status["calls"] == 0 && status["groups"][0]["free"] == CIRCUITS
         });
-        assert_eq!(self.far.tally().in_use, 0);
+        assert_eq!(self.far.counters().in_use, 0);
     }
 
     fn client(&self) -> Client {
@@ -61,7 +61,7 @@
     /// Checks that the far exchange saw no call with two seizures at a time and none that was sent again too soon, and that the
     /// controller stops in order.
     fn finish(self) {
-        let counters = self.far.tally();
+        let counters = self.far.counters();
         assert_eq!((counters.second_out, counters.too_soon), (0, 0), "{counters:?}");
         assert_eq!(self.controller.stop(), Some(0));
     }
@@ -148,7 +148,7 @@
     site.wait_until("the seizure", |status| status["groups"][0]["seized"] == 1);
     drop(client);
     site.wait_until_idle();
-    assert_eq!(site.far.tally().given_up, 1);
+    assert_eq!(site.far.counters().given_up, 1);
     site.finish();
 }
 
@@ -393,5 +393,5 @@
     assert_eq!(client.receive().unwrap_err().code, 1001);
     assert!(stopped_at.elapsed() < 3 * TIMEOUT, "the stop waited for the caller's time");
     assert_eq!(site.controller.wait(), Some(0));
-    assert_eq!(site.far.tally().in_use, 0, "the seizure was not released before the process ended");
+    assert_eq!(site.far.counters().in_use, 0, "the seizure was not released before the process ended");
 }
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -94,7 +94,7 @@
         let status = request(&mut admin, r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#)["result"].clone();
         status["calls"] == 0 && status["lines"] == 0 && status["groups"][0]["free"] == CIRCUITS
     });
-    let counters = far.tally();
+    let counters = far.counters();
     assert!(idle, "{counters:?}");
     assert_eq!((counters.second_out, counters.too_soon), (0, 0), "{counters:?}");
     assert_eq!(controller.stop(), Some(0));
