--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,5 @@
-//! The blocking client: one thread, one connection, dialled anew as the session asks for it.
+//! The blocking client: runs a [`Session`] in the thread of its caller, and opens its connection whenever the session asks
+//! for one.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,26 +17,26 @@
 
 #[derive(Debug, Error)]
 pub enum ClientError {
-    #[error("no servers are named")]
+    #[error("the list of servers is empty")]
     NoServers,
-    #[error("no session within {0:?}: {1}")]
+    #[error("the session did not open within {0:?}: {1}")]
     NotOpen(Duration, String),
-    #[error("denied: {0}")]
+    #[error("denied by the server: {0}")]
     Denied(String),
     #[error(transparent)]
-    Ask(#[from] RequestError),
+    Request(#[from] RequestError),
     #[error("error {code}: {why}")]
-    Fault { code: i64, why: String },
+    Rpc { code: i64, why: String },
     #[error("no reply within {0:?}")]
     NoReply(Duration),
-    #[error("the reply makes no sense: {0}")]
+    #[error("invalid reply: {0}")]
     Reply(#[from] serde_json::Error),
 }
 
-/// What became of a call.
+/// The outcome of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It stands, under the number that the exchange gave it.
+    /// `exchange_call`: the number that the exchange gave the call.
     Stands {
         exchange_call: u64,
     },
@@ -43,7 +44,7 @@
         retry_after: Duration,
     },
     Fails,
-    /// Nobody can tell: its session is over, or no answer came in time.
+    /// The result is unknown: the session has ended, or no answer came in time.
     Lost,
 }
 
@@ -59,7 +60,7 @@
     }
 }
 
-/// An offer of the first call type and customer; its number is set when it is made.
+/// An offer of call type 0 for customer 0. [`Client::start`] sets its call number.
 pub fn offer(dest: u16, number: u64, time_left: Duration) -> Offer {
     Offer {
         call: 0,
@@ -77,112 +78,115 @@
 pub struct Client {
     session: Session,
     servers: Vec<SocketAddr>,
-    at: usize,
+    /// Failed and lost TCP connections; selects the server to connect to.
+    failures: usize,
     stream: Option<TcpStream>,
     start: Instant,
     last_call: u64,
     welcome: Option<HelloResult>,
-    /// Events that came while another was waited for.
-    kept: Vec<Event>,
-    buffer: Vec<u8>,
+    /// Events that arrived while the client waited for another one.
+    pending_events: Vec<Event>,
+    read_buffer: Vec<u8>,
 }
 
-/// How long a reply to a request other than an offer may take.
-const REPLY_WITHIN: Duration = Duration::from_secs(10);
-const DIAL_WITHIN: Duration = Duration::from_secs(5);
-/// A server that takes nothing for so long is gone.
-const WRITE_WITHIN: Duration = Duration::from_secs(10);
-/// Events kept for an owner that does not ask for them; beyond them news are left out.
-const MOST_KEPT: usize = 10_000;
+/// For requests other than offers.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// A server that reads nothing for this long counts as lost.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Above this number, news events are discarded. Others are always kept.
+const MAX_PENDING_EVENTS: usize = 10_000;
 
 impl Client {
-    /// Connects to the first of the servers that lets it in. Later cuts are mended by themselves, the server of before first.
+    /// Opens a session on the first server that accepts it. After a disconnection the client reconnects by itself, to the same
+    /// server first.
     pub fn connect(
         servers: Vec<SocketAddr>,
-        plan: SessionConfig,
-        within: Duration,
+        config: SessionConfig,
+        timeout: Duration,
     ) -> Result<Self, ClientError> {
         if servers.is_empty() {
             return Err(ClientError::NoServers);
         }
         let mut client = Self {
-            session: Session::new(Duration::ZERO, plan, rand::rng().random()),
+            session: Session::new(Duration::ZERO, config, rand::rng().random()),
             servers,
-            at: 0,
+            failures: 0,
             stream: None,
             start: Instant::now(),
             last_call: 0,
             welcome: None,
-            kept: Vec::new(),
-            buffer: vec![0; 16 << 10],
+            pending_events: Vec::new(),
+            read_buffer: vec![0; 16 << 10],
         };
-        let until = client.now() + within;
-        let mut last = "nothing answers".to_string();
-        while client.now() < until {
-            match client.pump(until) {
+        let deadline = client.now() + timeout;
+        let mut last_error = "no response".to_string();
+        while client.now() < deadline {
+            match client.run_once(deadline) {
                 Some(Event::Connected { .. }) => return Ok(client),
-                Some(Event::Disconnected { why }) => last = why,
+                Some(Event::Disconnected { why }) => last_error = why,
                 Some(Event::Denied { why }) => return Err(ClientError::Denied(why)),
-                Some(event) => client.keep(event),
+                Some(event) => client.push_pending(event),
                 None => {}
             }
         }
-        Err(ClientError::NotOpen(within, last))
+        Err(ClientError::NotOpen(timeout, last_error))
     }
 
     fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// What the server said of itself when the session was last opened.
+    /// The result of the latest `session.hello`.
     pub fn welcome(&self) -> Option<&HelloResult> {
         self.welcome.as_ref()
     }
 
-    /// Asks for a call and waits for its final answer.
+    /// Offers a call and waits for its final answer.
     pub fn call(&mut self, offer: Offer) -> Result<CallOutcome, ClientError> {
         let call = self.start(offer)?;
         self.outcome(call)
     }
 
-    /// Asks for a call, and for the same again while it is refused or fails, as the rules for that allow: within its caller's
-    /// time and after the wait that was told. Returns the last outcome and why there is no further offer, if it does not stand.
+    /// Offers a call, and offers it again while it is refused or fails and the budget allows it: within the caller's time, and
+    /// after the wait that the server asked for. Returns the last outcome and, unless the call stands, why it is not offered
+    /// again.
     pub fn call_with_redial(
         &mut self,
         redial: &mut RedialBudget,
         offer: Offer,
     ) -> Result<(CallOutcome, Option<RedialDenied>), ClientError> {
-        let until = self.now() + Duration::from_millis(offer.time_left_ms.into());
+        let deadline = self.now() + Duration::from_millis(offer.time_left_ms.into());
         redial.on_first_offer();
         let mut offers = 0;
         loop {
-            let left = until.saturating_sub(self.now()).as_millis() as u32;
+            let left = deadline.saturating_sub(self.now()).as_millis() as u32;
             let outcome = self.call(Offer { time_left_ms: left, redial: offers > 0, ..offer.clone() })?;
             offers += 1;
-            let told = match outcome {
+            let retry_after = match outcome {
                 CallOutcome::Stands { .. } => return Ok((outcome, None)),
-                // It may stand unheard: only its caller can tell whether to ask again.
+                // The call may stand without the client knowing: only the caller can decide whether to offer it again.
                 CallOutcome::Lost => return Ok((outcome, Some(RedialDenied::TooLate))),
                 CallOutcome::Refused { retry_after } => Some(retry_after),
                 CallOutcome::Fails => None,
             };
-            match redial.next_offer_at(self.now(), until, offers, told) {
+            match redial.next_offer_at(self.now(), deadline, offers, retry_after) {
                 Err(why) => return Ok((outcome, Some(why))),
-                Ok(at) => self.rest_until(at),
+                Ok(at) => self.run_until(at),
             }
         }
     }
 
-    /// Lets time pass; what happens meanwhile is kept.
-    fn rest_until(&mut self, at: Duration) {
-        while self.now() < at {
-            if let Some(event) = self.pump(at) {
-                self.keep(event);
+    /// Runs the session until then. Its events are kept for later.
+    fn run_until(&mut self, deadline: Duration) {
+        while self.now() < deadline {
+            if let Some(event) = self.run_once(deadline) {
+                self.push_pending(event);
             }
         }
     }
 
-    /// Asks for a call without waiting; its answer comes as an event, or by [`Client::outcome`]. Returns its number.
+    /// Offers a call without waiting, and returns its number. The answer comes as an event or by [`Client::outcome`].
     pub fn start(&mut self, offer: Offer) -> Result<u64, ClientError> {
         self.last_call += 1;
         let call = self.last_call;
@@ -191,124 +195,129 @@
         Ok(call)
     }
 
-    /// Waits for a call's answer. It comes, or is lost, before the caller's time and a grace are up.
+    /// Waits for the answer of a call. The call is answered or lost by the caller's deadline plus [`SessionConfig::grace`].
     pub fn outcome(&mut self, call: u64) -> Result<CallOutcome, ClientError> {
-        let of = move |event: &Event| match event {
+        let is_outcome = move |event: &Event| match event {
             Event::Answered(answered) => answered.call == call,
             Event::Lost { call: lost } => *lost == call,
-            Event::Fault { call: faulty, .. } => *faulty == call,
+            Event::OfferError { call: rejected, .. } => *rejected == call,
             Event::Denied { .. } => true,
             _ => false,
         };
-        match self.wait_for(of, Duration::MAX)? {
+        match self.wait_for(is_outcome, Duration::MAX)? {
             Event::Answered(answered) => Ok(answered.into()),
-            Event::Fault { code, why, .. } => Err(ClientError::Fault { code, why }),
+            Event::OfferError { code, why, .. } => Err(ClientError::Rpc { code, why }),
             Event::Denied { why } => Err(ClientError::Denied(why)),
             _ => Ok(CallOutcome::Lost),
         }
     }
 
-    /// Ends a call that stands, or gives up one that has no answer yet.
+    /// Ends a standing call, or gives up one that has no answer yet.
     pub fn hang_up(&mut self, call: u64) {
         self.session.hang_up(call);
         self.write();
     }
 
-    /// Gives up a call that has no answer yet; its answer, `fails`, still comes.
+    /// Gives up a call that has no answer yet. It is still answered, with `fails`.
     pub fn cancel(&mut self, call: u64) {
         self.session.cancel(call);
         self.write();
     }
 
-    /// Where a call is.
+    /// The state of a call.
     pub fn get(&mut self, call: u64) -> Result<CallState, ClientError> {
         self.ask(Request::Get(Get { call }))
     }
 
-    /// What became of a call, step by step, by the number that its exchange gave it.
+    /// The recorded steps of a call, by the number that its exchange gave it. `origin`: that exchange, if it is not the server's.
     pub fn trace(&mut self, exchange_call: u64, origin: Option<u16>) -> Result<Traced, ClientError> {
         self.ask(Request::TraceGet(TraceGet { exchange_call, origin }))
     }
 
-    /// Asks for news of calls, from now on and through cuts.
+    /// Subscribes to news of calls from now on. The subscription is renewed after a disconnection.
     pub fn watch(&mut self) {
         self.session.watch();
         self.write();
     }
 
     fn ask<R: DeserializeOwned>(&mut self, request: Request) -> Result<R, ClientError> {
-        let ask = self.session.ask(request)?;
+        let request_id = self.session.ask(request)?;
         self.write();
-        let of = move |event: &Event| matches!(event, Event::Reply { ask: of, .. } if *of == ask);
-        match self.wait_for(of, REPLY_WITHIN)? {
+        let is_reply =
+            move |event: &Event| matches!(event, Event::Reply { request_id: id, .. } if *id == request_id);
+        match self.wait_for(is_reply, REPLY_TIMEOUT)? {
             Event::Reply { result: Ok(result), .. } => Ok(serde_json::from_value(result)?),
-            Event::Reply { result: Err((code, why)), .. } => Err(ClientError::Fault { code, why }),
-            _ => Err(ClientError::NoReply(REPLY_WITHIN)),
+            Event::Reply { result: Err((code, why)), .. } => Err(ClientError::Rpc { code, why }),
+            _ => Err(ClientError::NoReply(REPLY_TIMEOUT)),
         }
     }
 
-    fn wait_for(&mut self, which: impl Fn(&Event) -> bool, within: Duration) -> Result<Event, ClientError> {
-        if let Some(at) = self.kept.iter().position(&which) {
-            return Ok(self.kept.remove(at));
+    fn wait_for(
+        &mut self,
+        matches: impl Fn(&Event) -> bool,
+        timeout: Duration,
+    ) -> Result<Event, ClientError> {
+        if let Some(index) = self.pending_events.iter().position(&matches) {
+            return Ok(self.pending_events.remove(index));
         }
-        let until = self.now().saturating_add(within);
-        while self.now() < until {
-            match self.pump(until) {
-                Some(event) if which(&event) => return Ok(event),
-                Some(event) => self.keep(event),
+        let deadline = self.now().saturating_add(timeout);
+        while self.now() < deadline {
+            match self.run_once(deadline) {
+                Some(event) if matches(&event) => return Ok(event),
+                Some(event) => self.push_pending(event),
                 None if self.session.is_closed() => return Err(RequestError::Closed.into()),
                 None => {}
             }
         }
-        Err(ClientError::NoReply(within))
+        Err(ClientError::NoReply(timeout))
     }
 
-    fn keep(&mut self, event: Event) {
-        if self.kept.len() < MOST_KEPT || !matches!(event, Event::News(_)) {
-            self.kept.push(event);
+    fn push_pending(&mut self, event: Event) {
+        if self.pending_events.len() < MAX_PENDING_EVENTS || !matches!(event, Event::News(_)) {
+            self.pending_events.push(event);
         }
     }
 
-    /// The next event, or none within the time.
-    pub fn next_event(&mut self, within: Duration) -> Option<Event> {
-        if !self.kept.is_empty() {
-            return Some(self.kept.remove(0));
+    /// The next event, or `None` if there is none before the timeout or the session is closed.
+    pub fn next_event(&mut self, timeout: Duration) -> Option<Event> {
+        if !self.pending_events.is_empty() {
+            return Some(self.pending_events.remove(0));
         }
-        let until = self.now().saturating_add(within);
+        let deadline = self.now().saturating_add(timeout);
         loop {
-            if let Some(event) = self.pump(until) {
+            if let Some(event) = self.run_once(deadline) {
                 return Some(event);
             }
-            if self.now() >= until || self.session.is_closed() {
+            if self.now() >= deadline || self.session.is_closed() {
                 return None;
             }
         }
     }
 
-    /// Ends the session: what it has in hand is hung up.
+    /// Closes the session. The server hangs up its calls.
     pub fn close(mut self) {
         self.session.close();
         self.write();
-        // The server closes its end once it has read that; what it still says is not wanted.
+        // Discards what the server still sends, until it closes the connection in turn or is silent for 1 s.
         if let Some(mut stream) = self.stream.take() {
             let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
-            while matches!(stream.read(&mut self.buffer), Ok(count) if count > 0) {}
+            while matches!(stream.read(&mut self.read_buffer), Ok(count) if count > 0) {}
         }
     }
 
-    /// One turn: dials, reads or waits, at most until then.
-    fn pump(&mut self, until: Duration) -> Option<Event> {
+    /// Connects, or reads or waits until the next timer, at most until the deadline. Returns an event if there is one.
+    fn run_once(&mut self, deadline: Duration) -> Option<Event> {
         let now = self.now();
         self.session.on_timer(now);
-        if self.session.wants_dial(now) {
-            self.dial();
+        if self.session.should_connect(now) {
+            self.open_connection();
         }
         self.write();
         let mut event = self.session.next_event();
         if event.is_none() {
-            let alarm = self.session.next_timer().unwrap_or(Duration::MAX).min(until);
+            let wake_at = self.session.next_timer().unwrap_or(Duration::MAX).min(deadline);
             let wait =
-                alarm.saturating_sub(self.now()).clamp(Duration::from_millis(1), Duration::from_secs(1));
+                wake_at.saturating_sub(self.now()).clamp(Duration::from_millis(1), Duration::from_secs(1));
             self.read(wait);
             self.write();
             event = self.session.next_event();
@@ -321,51 +330,51 @@
         event
     }
 
-    fn dial(&mut self) {
-        // A server that failed is tried once more before the next one is: a session is taken up where it was opened.
-        let to = self.servers[self.at / 2 % self.servers.len()];
-        match TcpStream::connect_timeout(&to, DIAL_WITHIN) {
+    fn open_connection(&mut self) {
+        // A server that failed is tried once more before the next one: a session can only be resumed where it was opened.
+        let server = self.servers[self.failures / 2 % self.servers.len()];
+        match TcpStream::connect_timeout(&server, CONNECT_TIMEOUT) {
             Ok(stream) => {
-                // Small texts must not wait for each other; where it can't be set, they do.
+                // Without Nagle's delay for small messages. If the option can't be set, they are only slower.
                 let _ = stream.set_nodelay(true);
-                let _ = stream.set_write_timeout(Some(WRITE_WITHIN));
+                let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
                 self.stream = Some(stream);
                 let now = self.now();
-                self.session.dialled(now, to);
+                self.session.on_connected(now, server);
             }
-            Err(error) => self.gone(&format!("{to}: {error}")),
+            Err(error) => self.on_connection_lost(&format!("{server}: {error}")),
         }
     }
 
-    fn gone(&mut self, why: &str) {
+    fn on_connection_lost(&mut self, why: &str) {
         self.stream = None;
-        self.at = self.at.wrapping_add(1);
+        self.failures = self.failures.wrapping_add(1);
         let now = self.now();
-        self.session.lost(now, why);
+        self.session.on_connection_lost(now, why);
     }
 
     fn write(&mut self) {
-        let out = std::mem::take(self.session.out());
+        let output = std::mem::take(self.session.output());
         if let Some(stream) = &mut self.stream
-            && !out.is_empty()
-            && let Err(error) = stream.write_all(&out)
+            && !output.is_empty()
+            && let Err(error) = stream.write_all(&output)
         {
-            self.gone(&error.to_string());
+            self.on_connection_lost(&error.to_string());
         }
     }
 
     fn read(&mut self, wait: Duration) {
         let Some(stream) = &mut self.stream else { return std::thread::sleep(wait) };
-        let read = stream.set_read_timeout(Some(wait)).and_then(|()| stream.read(&mut self.buffer));
-        match read {
-            Ok(0) => self.gone("closed by the server"),
+        let result = stream.set_read_timeout(Some(wait)).and_then(|()| stream.read(&mut self.read_buffer));
+        match result {
+            Ok(0) => self.on_connection_lost("closed by the server"),
             Ok(count) => {
                 let now = self.now();
-                self.session.on_octets(now, &self.buffer[..count]);
+                self.session.on_octets(now, &self.read_buffer[..count]);
             }
             Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            Err(error) => self.gone(&error.to_string()),
+            Err(error) => self.on_connection_lost(&error.to_string()),
         }
     }
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,9 +1,10 @@
-//! Asks a controller for calls over WebSocket, through cuts and restarts.
+//! Client of the call-control API over WebSocket. It reconnects after disconnections and restarts of the controller, resumes
+//! its session and settles its calls.
 //!
 //! | file | holds |
 //! | --- | --- |
-//! | `session` | a session without I/O: dialled anew, taken up, its calls settled; time is an argument |
-//! | `client` | the blocking client around it |
+//! | `session` | the session without I/O: reconnects, resumes, settles its calls; the time is an argument |
+//! | `client` | the blocking client, which runs a session over TCP |
 //!
 //! ```no_run
 //! use std::time::Duration;
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -1,4 +1,4 @@
-//! A session without I/O: octets and the time in, octets and events out.
+//! The session without I/O: received octets and the time go in, octets to send and events come out.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -19,36 +19,37 @@
 use serde_json::{Value, json};
 use thiserror::Error;
 
-/// How a session is kept.
+/// Settings of a session.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SessionConfig {
-    /// What the client calls itself, for the server's log.
+    /// The client's name in the server's log.
     pub client: String,
     pub token: Option<String>,
-    /// Whether a session that was cut is taken up again; otherwise each connection is a session of its own.
-    pub resumes: bool,
+    /// Whether the session is resumed after a disconnection. Otherwise each connection is a session of its own.
+    pub resumable: bool,
     pub reconnect: ReconnectPolicy,
-    /// When a server that says nothing is pinged, and given up.
+    /// When a silent server is pinged, and when its connection is dropped.
     pub timeouts: ConnectionTimeouts,
-    /// Calls in hand at a time.
-    pub most_calls: usize,
-    /// How long after its caller's time an answer may still be on its way, before the call counts as lost.
+    /// Calls in progress at a time.
+    pub max_calls: usize,
+    /// Time after a caller's deadline in which the answer may still arrive. Then the call is reported as lost.
     pub grace: Duration,
 }
 
 impl SessionConfig {
+    /// Default settings for a client of this name.
     pub fn named(client: impl Into<String>) -> Self {
         Self {
             client: client.into(),
             token: None,
-            resumes: true,
+            resumable: true,
             reconnect: ReconnectPolicy::default(),
-            // The server pings sooner: only one that is gone is silent for so long.
+            // Longer than the server's idle timeout: a live server sends a ping before this one expires.
             timeouts: ConnectionTimeouts {
                 idle_timeout: Duration::from_secs(45),
                 ..ConnectionTimeouts::default()
             },
-            most_calls: 10_000,
+            max_calls: 10_000,
             grace: Duration::from_secs(1),
         }
     }
@@ -57,41 +58,41 @@
 /// What happens on a session.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// It is open; `resumed`: it is the session of before.
+    /// The session is open. `resumed`: it is the session of the previous connection.
     Connected {
         resumed: bool,
         welcome: Box<HelloResult>,
     },
-    /// The connection is gone, or was not to be had; it is dialled again by itself.
+    /// The connection was lost, or the attempt failed. The session reconnects by itself.
     Disconnected {
         why: String,
     },
-    /// The server wants nothing of this client: its token is no good. Not dialled again.
+    /// The server rejected `session.hello`, for instance because of the token. The session is closed and does not reconnect.
     Denied {
         why: String,
     },
-    /// A call's one final answer.
+    /// The final answer of a call. Each call gets one at most.
     Answered(OfferResult),
-    /// A standing call ended; `None`: while the connection was gone, how is not known.
+    /// A standing call ended. `None`: it ended during a disconnection, for an unknown reason.
     Ended {
         call: u64,
         how: Option<EndReason>,
     },
-    /// What became of a call can't be told any more: its session is over, or no answer came in time.
+    /// The result of a call is unknown: its session has ended, or no answer came in time.
     Lost {
         call: u64,
     },
-    /// An offer was not accepted: the fault is the client's.
-    Fault {
+    /// The server replied to an offer with an error: the offer is invalid or not allowed.
+    OfferError {
         call: u64,
         code: i64,
         why: String,
     },
     News(CallNewsNotification),
     Missed(NewsMissedNotification),
-    /// What [`Session::ask`] asked for.
+    /// The reply to a request of [`Session::ask`].
     Reply {
-        ask: u64,
+        request_id: u64,
         result: Result<Value, (i64, String)>,
     },
 }
@@ -101,7 +102,7 @@
 pub enum RequestError {
     #[error(transparent)]
     InUse(#[from] CallNumberInUse),
-    #[error("{0} calls are in hand already")]
+    #[error("too many calls or requests in progress: {0}")]
     TooMany(usize),
     #[error("the session is not open")]
     NotOpen,
@@ -109,109 +110,109 @@
     Closed,
 }
 
-enum Link {
-    /// To be dialled then.
-    Down {
-        dial_at: Duration,
+enum ConnectionState {
+    Disconnected {
+        connect_at: Duration,
     },
-    /// Being dialled by the owner.
-    Dialling,
-    Shaking(ClientHandshake),
-    /// Hello was said.
-    Greeting(Box<WebSocketConnection>),
+    /// The owner is opening the TCP connection.
+    Connecting,
+    Handshake(ClientHandshake),
+    HelloSent(Box<WebSocketConnection>),
     Open(Box<WebSocketConnection>),
-    /// For good.
+    /// Closed for good.
     Closed,
 }
 
-/// Octets of the longest text that is taken from a server: a trace has some thousands.
-const LONGEST_TEXT: usize = 1 << 20;
-/// Requests whose reply is waited for.
-const MOST_ASKED: usize = 1_000;
+/// Limit of a text message from the server. A trace has some thousands of octets.
+const MAX_MESSAGE_OCTETS: usize = 1 << 20;
+const MAX_PENDING_REQUESTS: usize = 1_000;
 
 pub struct Session {
-    plan: SessionConfig,
-    link: Link,
-    back: ReconnectBackoff,
-    book: CallTable<Offer>,
-    vigil: ConnectionMonitor<()>,
-    key: Option<String>,
-    /// How long the server keeps it after a cut.
-    kept: Duration,
-    /// What was in hand there when it was taken up, until what is owed has been heard.
-    settling: Option<(usize, BTreeMap<u64, CallState>)>,
-    /// Of the next event, once subscribed.
+    config: SessionConfig,
+    connection: ConnectionState,
+    backoff: ReconnectBackoff,
+    calls: CallTable<Offer>,
+    monitor: ConnectionMonitor<()>,
+    /// The key that resumes the session at the server.
+    session_key: Option<String>,
+    /// How long the server keeps the session after a disconnection.
+    session_kept: Duration,
+    /// Set after the session was resumed, until its calls are reconciled: the countdown of the messages that the server kept
+    /// during the disconnection, and the calls that the server had in progress when it resumed the session.
+    resuming: Option<(usize, BTreeMap<u64, CallState>)>,
+    /// Number of the next news event, once subscribed.
     cursor: Option<u64>,
-    watches: bool,
-    /// Calls given up while there was no connection to say so. Emptied when there is one.
-    cancels: BTreeSet<u64>,
-    /// Asked and not replied to: at most [`MOST_ASKED`]. Emptied by replies and when the connection goes.
-    asked: BTreeMap<u64, Asking>,
-    last_ask: u64,
-    out: Vec<u8>,
+    watching: bool,
+    /// Calls cancelled while the session was not open. Emptied once it is open and its calls are reconciled.
+    pending_cancels: BTreeSet<u64>,
+    /// Requests without a reply, at most [`MAX_PENDING_REQUESTS`]. Emptied by replies and when the connection is lost.
+    pending_requests: BTreeMap<u64, RequestKind>,
+    last_request: u64,
+    output: Vec<u8>,
     events: VecDeque<Event>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asking {
+enum RequestKind {
     Hello,
     Subscribe,
-    /// The owner's.
+    /// Made by [`Session::ask`]: the reply becomes an event.
     Other,
-    /// A call given up: that it is over already is no fault.
-    GiveUp,
+    /// Hang-up or cancel. The reply is ignored: an error only means that the call has ended already.
+    EndCall,
 }
 
 impl Session {
-    /// Dials at once. `seed` sets the jitter apart from that of other clients.
-    pub fn new(now: Duration, plan: SessionConfig, seed: u64) -> Self {
+    /// Wants to connect at once. `seed` makes the jitter differ from that of other clients.
+    pub fn new(now: Duration, config: SessionConfig, seed: u64) -> Self {
         Self {
-            link: Link::Down { dial_at: now },
-            back: ReconnectBackoff::new(plan.reconnect, seed),
-            book: CallTable::new(plan.most_calls, plan.grace),
-            vigil: ConnectionMonitor::new(ConnectionTimeouts { max_handshakes: 1, ..plan.timeouts }),
-            plan,
-            key: None,
-            kept: Duration::ZERO,
-            settling: None,
+            connection: ConnectionState::Disconnected { connect_at: now },
+            backoff: ReconnectBackoff::new(config.reconnect, seed),
+            calls: CallTable::new(config.max_calls, config.grace),
+            monitor: ConnectionMonitor::new(ConnectionTimeouts { max_handshakes: 1, ..config.timeouts }),
+            config,
+            session_key: None,
+            session_kept: Duration::ZERO,
+            resuming: None,
             cursor: None,
-            watches: false,
-            cancels: BTreeSet::new(),
-            asked: BTreeMap::new(),
-            last_ask: 0,
-            out: Vec::new(),
+            watching: false,
+            pending_cancels: BTreeSet::new(),
+            pending_requests: BTreeMap::new(),
+            last_request: 0,
+            output: Vec::new(),
             events: VecDeque::new(),
         }
     }
 
-    // What the owner does.
+    // Connection: called by the owner, which does the I/O.
 
-    /// Whether a connection is to be dialled; once it is told so, the owner says [`Session::dialled`] or
-    /// [`Session::lost`].
-    pub fn wants_dial(&mut self, now: Duration) -> bool {
-        let due = matches!(self.link, Link::Down { dial_at } if dial_at <= now);
+    /// Whether the owner must open a connection now. Returns `true` once per attempt; the owner then reports the result by
+    /// [`Session::on_connected`] or [`Session::on_connection_lost`].
+    pub fn should_connect(&mut self, now: Duration) -> bool {
+        let due =
+            matches!(self.connection, ConnectionState::Disconnected { connect_at } if connect_at <= now);
         if due {
-            self.link = Link::Dialling;
+            self.connection = ConnectionState::Connecting;
         }
         due
     }
 
-    /// The connection is there.
-    pub fn dialled(&mut self, now: Duration, to: SocketAddr) {
-        match ClientHandshake::new(to, LONGEST_TEXT) {
-            Ok((dialled, request)) => {
-                self.out.extend_from_slice(&request);
-                self.link = Link::Shaking(dialled);
-                // It is the only one.
-                let _ = self.vigil.add(now, ());
+    /// The TCP connection to `server` is open.
+    pub fn on_connected(&mut self, now: Duration, server: SocketAddr) {
+        match ClientHandshake::new(server, MAX_MESSAGE_OCTETS) {
+            Ok((handshake, request)) => {
+                self.output.extend_from_slice(&request);
+                self.connection = ConnectionState::Handshake(handshake);
+                // Can't fail: no other connection is in the handshake.
+                let _ = self.monitor.add(now, ());
             }
-            Err(why) => self.lost(now, &why.to_string()),
+            Err(why) => self.on_connection_lost(now, &why.to_string()),
         }
     }
 
-    /// What is to be written; the owner takes it.
-    pub fn out(&mut self) -> &mut Vec<u8> {
-        &mut self.out
+    /// The octets to send. The owner takes them out.
+    pub fn output(&mut self) -> &mut Vec<u8> {
+        &mut self.output
     }
 
     pub fn next_event(&mut self) -> Option<Event> {
@@ -219,272 +220,305 @@
     }
 
     pub fn is_open(&self) -> bool {
-        matches!(self.link, Link::Open(_))
+        matches!(self.connection, ConnectionState::Open(_))
     }
 
-    /// Whether it has gone for good.
+    /// Whether the session is closed for good.
     pub fn is_closed(&self) -> bool {
-        matches!(self.link, Link::Closed)
+        matches!(self.connection, ConnectionState::Closed)
     }
 
-    /// Calls in hand.
+    /// How many calls are in progress.
     pub fn calls(&self) -> usize {
-        self.book.len()
+        self.calls.len()
     }
 
-    /// Their numbers.
-    pub fn in_hand(&self) -> impl Iterator<Item = u64> {
-        self.book.numbers()
+    /// The numbers of the calls in progress.
+    pub fn call_numbers(&self) -> impl Iterator<Item = u64> {
+        self.calls.numbers()
     }
 
-    /// Whether a call has been answered, and stands.
+    /// Whether the call was answered and stands.
     pub fn stands(&self, call: u64) -> bool {
-        self.book.is_standing(call)
+        self.calls.is_standing(call)
     }
 
+    /// How many calls have no answer yet.
     pub fn unanswered(&self) -> usize {
-        self.book.unanswered()
+        self.calls.unanswered()
     }
 
-    /// When [`Session::on_timer`] is next to be called.
+    /// When [`Session::on_timer`] must be called next.
     pub fn next_timer(&self) -> Option<Duration> {
-        let dial = match self.link {
-            Link::Down { dial_at } => Some(dial_at),
+        let connect = match self.connection {
+            ConnectionState::Disconnected { connect_at } => Some(connect_at),
             _ => None,
         };
-        [dial, self.book.next_timer(), self.vigil.next_timer()].into_iter().flatten().min()
+        [connect, self.calls.next_timer(), self.monitor.next_timer()].into_iter().flatten().min()
     }
 
     pub fn on_timer(&mut self, now: Duration) {
-        for call in self.book.on_timer(now) {
-            // Were it to stand all the same, nobody would know of it.
-            self.give_up(call);
+        for call in self.calls.on_timer(now) {
+            // If the call stands at the server, the client would never learn of it.
+            self.send_hangup(call);
             self.events.push_back(Event::Lost { call });
         }
-        for due in self.vigil.on_timer(now) {
-            match due {
+        for action in self.monitor.on_timer(now) {
+            match action {
                 MonitorAction::Ping(()) => {
-                    if let Link::Open(end) | Link::Greeting(end) = &mut self.link {
-                        end.ping();
+                    if let ConnectionState::Open(websocket) | ConnectionState::HelloSent(websocket) =
+                        &mut self.connection
+                    {
+                        websocket.ping();
                     }
                 }
-                MonitorAction::Drop((), lapse) => self.lost(now, &format!("the server {lapse}")),
+                MonitorAction::Drop((), cause) => {
+                    self.on_connection_lost(now, &format!("the server {cause}"))
+                }
             }
         }
-        self.pump();
+        self.collect_output();
     }
 
-    /// The connection is gone, or was not to be had.
-    pub fn lost(&mut self, now: Duration, why: &str) {
-        self.down(now, why, None);
+    /// The connection was lost, or the attempt failed.
+    pub fn on_connection_lost(&mut self, now: Duration, why: &str) {
+        self.disconnect(now, why, None);
     }
 
-    fn down(&mut self, now: Duration, why: &str, told: Option<Duration>) {
-        if matches!(self.link, Link::Closed | Link::Down { .. }) {
+    /// `retry_after`: the wait that the server asked for.
+    fn disconnect(&mut self, now: Duration, why: &str, retry_after: Option<Duration>) {
+        if matches!(self.connection, ConnectionState::Closed | ConnectionState::Disconnected { .. }) {
             return;
         }
-        self.out.clear();
-        self.vigil.remove(());
-        self.settling = None;
-        self.book.on_disconnect();
-        for (ask, asking) in std::mem::take(&mut self.asked) {
-            if asking == Asking::Other {
-                let result = Err((0, format!("no reply came: {why}")));
-                self.events.push_back(Event::Reply { ask, result });
+        self.output.clear();
+        self.monitor.remove(());
+        self.resuming = None;
+        self.calls.on_disconnect();
+        for (request_id, kind) in std::mem::take(&mut self.pending_requests) {
+            if kind == RequestKind::Other {
+                let result = Err((0, format!("no reply: {why}")));
+                self.events.push_back(Event::Reply { request_id, result });
             }
         }
-        let kept = if self.key.is_some() { self.kept } else { Duration::ZERO };
-        self.link = Link::Down { dial_at: self.back.on_failure(now, told, kept) };
+        let kept = if self.session_key.is_some() { self.session_kept } else { Duration::ZERO };
+        self.connection =
+            ConnectionState::Disconnected { connect_at: self.backoff.on_failure(now, retry_after, kept) };
         self.events.push_back(Event::Disconnected { why: why.to_string() });
     }
 
-    /// Octets that came on the connection.
+    /// Processes octets received on the connection.
     pub fn on_octets(&mut self, now: Duration, octets: &[u8]) {
-        let mut heard = Vec::new();
-        match &mut self.link {
-            Link::Shaking(dialled) => match dialled.push(octets) {
+        let mut received = Vec::new();
+        match &mut self.connection {
+            ConnectionState::Handshake(handshake) => match handshake.push(octets) {
                 ClientHandshakeState::Incomplete => return,
                 ClientHandshakeState::Rejected(why) => {
-                    return self.down(now, &why.to_string(), why.retry_after());
+                    return self.disconnect(now, &why.to_string(), why.retry_after());
                 }
-                ClientHandshakeState::Open(mut end) => {
-                    end.on_octets(&[], &mut |event| heard.push(event));
-                    self.vigil.on_open(now, ());
-                    self.link = Link::Greeting(end);
-                    self.greet();
+                ClientHandshakeState::Open(mut websocket) => {
+                    websocket.on_octets(&[], &mut |event| received.push(event));
+                    self.monitor.on_open(now, ());
+                    self.connection = ConnectionState::HelloSent(websocket);
+                    self.send_hello();
                 }
             },
-            Link::Greeting(end) | Link::Open(end) => end.on_octets(octets, &mut |event| heard.push(event)),
-            Link::Down { .. } | Link::Dialling | Link::Closed => return,
+            ConnectionState::HelloSent(websocket) | ConnectionState::Open(websocket) => {
+                websocket.on_octets(octets, &mut |event| received.push(event))
+            }
+            ConnectionState::Disconnected { .. } | ConnectionState::Connecting | ConnectionState::Closed => {
+                return;
+            }
         }
-        self.vigil.on_received(now, ());
-        for event in heard {
+        self.monitor.on_received(now, ());
+        for event in received {
             if let WebSocketEvent::Text(text) = event {
-                self.text(now, &text);
+                self.on_text(now, &text);
             }
         }
-        self.pump();
-        if let Link::Greeting(end) | Link::Open(end) = &self.link
-            && let Some(ended) = end.close_info()
+        self.collect_output();
+        if let ConnectionState::HelloSent(websocket) | ConnectionState::Open(websocket) = &self.connection
+            && let Some(info) = websocket.close_info()
         {
-            let why = match ended.by_far_end {
-                true => format!("closed by the server ({}): {}", ended.code, ended.reason),
-                false => ended.reason.clone(),
+            let why = match info.by_far_end {
+                true => format!("closed by the server ({}): {}", info.code, info.reason),
+                false => info.reason.clone(),
             };
-            let out = std::mem::take(&mut self.out);
-            self.down(now, &why, None);
-            // The closing handshake is completed before the owner closes.
-            self.out = out;
+            let output = std::mem::take(&mut self.output);
+            self.disconnect(now, &why, None);
+            // Kept: it completes the closing handshake before the owner closes the connection.
+            self.output = output;
         }
     }
 
-    fn greet(&mut self) {
+    fn send_hello(&mut self) {
         let hello = Hello {
-            client: self.plan.client.clone(),
-            token: self.plan.token.clone(),
-            resumable: self.plan.resumes,
-            resume: self.key.clone(),
+            client: self.config.client.clone(),
+            token: self.config.token.clone(),
+            resumable: self.config.resumable,
+            resume: self.session_key.clone(),
         };
-        self.say(Asking::Hello, Request::Hello(hello));
+        self.send_request(RequestKind::Hello, Request::Hello(hello));
     }
 
-    fn text(&mut self, now: Duration, text: &str) {
-        let heard = match ServerMessage::read(text.as_bytes()) {
-            Ok(heard) => heard,
+    fn on_text(&mut self, now: Duration, text: &str) {
+        let message = match ServerMessage::read(text.as_bytes()) {
+            Ok(message) => message,
             Err(error) => {
-                if let Link::Greeting(end) | Link::Open(end) = &mut self.link {
-                    end.close(close::PROTOCOL, &format!("a text makes no sense: {error}"));
+                if let ConnectionState::HelloSent(websocket) | ConnectionState::Open(websocket) =
+                    &mut self.connection
+                {
+                    websocket.close(close::PROTOCOL, &format!("a text makes no sense: {error}"));
                 }
                 return;
             }
         };
-        match heard {
-            ServerMessage::Answered(answered) => self.answered(answered),
+        match message {
+            ServerMessage::Answered(result) => self.on_answer(result),
             ServerMessage::Ended(CallEndedNotification { call, how }) => {
-                if self.book.remove(call) {
+                if self.calls.remove(call) {
                     self.events.push_back(Event::Ended { call, how: Some(how) });
                 }
             }
-            ServerMessage::News(note) => {
-                self.cursor = Some(note.number + 1);
-                self.events.push_back(Event::News(note));
+            ServerMessage::News(news) => {
+                self.cursor = Some(news.number + 1);
+                self.events.push_back(Event::News(news));
             }
-            ServerMessage::Missed(note) => self.events.push_back(Event::Missed(note)),
+            ServerMessage::Missed(missed) => self.events.push_back(Event::Missed(missed)),
             ServerMessage::Other(_) => {}
-            ServerMessage::Result { id, result } => self.replied(now, &id, Ok(result)),
+            ServerMessage::Result { id, result } => self.on_reply(now, &id, Ok(result)),
             ServerMessage::Fault { id, code, message, come_back_ms } => match id.as_u64() {
-                Some(call) => self.offer_fault(call, code, message, come_back_ms),
-                None => self.replied(now, &id, Err((code, message))),
+                Some(call) => self.on_offer_error(call, code, message, come_back_ms),
+                None => self.on_reply(now, &id, Err((code, message))),
             },
         }
-        if let Some((owed, _)) = &mut self.settling {
-            match *owed {
-                0 => self.settle(now),
-                _ => *owed -= 1,
+        // Runs for the result of session.hello too, so at 0 the last kept message has just been processed.
+        if let Some((remaining, _)) = &mut self.resuming {
+            match *remaining {
+                0 => self.reconcile(now),
+                _ => *remaining -= 1,
             }
         }
     }
 
-    fn answered(&mut self, answered: OfferResult) {
-        if self.book.on_answer(answered.call, answered.answer == FinalAnswer::Stands) {
-            self.events.push_back(Event::Answered(answered));
+    fn on_answer(&mut self, result: OfferResult) {
+        if self.calls.on_answer(result.call, result.answer == FinalAnswer::Stands) {
+            self.events.push_back(Event::Answered(result));
         }
     }
 
-    fn offer_fault(&mut self, call: u64, code: i64, why: String, come_back_ms: Option<u64>) {
+    fn on_offer_error(&mut self, call: u64, code: i64, why: String, come_back_ms: Option<u64>) {
         if code == i64::from(code::TOO_FAST) {
             let come_back_ms = come_back_ms.map_or(0, |ms| u32::try_from(ms).unwrap_or(u32::MAX));
             let answer = FinalAnswer::Refused { come_back_ms };
-            return self.answered(OfferResult { call, exchange_call: 0, answer });
+            return self.on_answer(OfferResult { call, exchange_call: 0, answer });
         }
-        if self.book.remove(call) {
-            self.events.push_back(Event::Fault { call, code, why });
+        if self.calls.remove(call) {
+            self.events.push_back(Event::OfferError { call, code, why });
         }
     }
 
-    fn replied(&mut self, now: Duration, id: &Value, result: Result<Value, (i64, String)>) {
-        let ask = id.as_str().and_then(|id| id.strip_prefix('a')).and_then(|id| id.parse::<u64>().ok());
-        let Some((ask, asking)) = ask.and_then(|ask| Some((ask, self.asked.remove(&ask)?))) else { return };
-        match (asking, result) {
-            (Asking::Hello, Ok(welcome)) => self.welcome(now, welcome),
-            (Asking::Hello, Err((_, why))) => match self.key.take() {
-                // The session of before is over: this connection begins another.
-                Some(_) => self.greet(),
+    fn on_reply(&mut self, now: Duration, id: &Value, result: Result<Value, (i64, String)>) {
+        let request_id =
+            id.as_str().and_then(|id| id.strip_prefix('a')).and_then(|id| id.parse::<u64>().ok());
+        let Some((request_id, kind)) =
+            request_id.and_then(|request_id| Some((request_id, self.pending_requests.remove(&request_id)?)))
+        else {
+            return;
+        };
+        match (kind, result) {
+            (RequestKind::Hello, Ok(welcome)) => self.on_welcome(now, welcome),
+            (RequestKind::Hello, Err((_, why))) => match self.session_key.take() {
+                // The previous session has ended: open a new one on this connection.
+                Some(_) => self.send_hello(),
                 None => {
                     self.close();
                     self.events.push_back(Event::Denied { why });
                 }
             },
-            (Asking::Subscribe, Ok(result)) => {
+            (RequestKind::Subscribe, Ok(result)) => {
                 if let Ok(Subscribed { cursor }) = serde_json::from_value(result) {
                     self.cursor = Some(cursor);
                 }
             }
-            (Asking::Subscribe, Err((code, why))) => match self.cursor.take() {
-                // Too old, or another server's: from now on, and the gap is told.
+            (RequestKind::Subscribe, Err((code, why))) => match self.cursor.take() {
+                // The cursor is too old or of another server: subscribe from now on, and report the gap.
                 Some(_) if code == i64::from(code::INVALID_PARAMS) => {
                     self.events.push_back(Event::Missed(NewsMissedNotification { count: 0 }));
-                    self.say(Asking::Subscribe, Request::Subscribe(Subscribe { cursor: None }));
+                    self.send_request(RequestKind::Subscribe, Request::Subscribe(Subscribe { cursor: None }));
                 }
                 _ => {
-                    self.watches = false;
-                    self.events.push_back(Event::Reply { ask: 0, result: Err((code, why)) });
+                    self.watching = false;
+                    self.events.push_back(Event::Reply { request_id: 0, result: Err((code, why)) });
                 }
             },
-            (Asking::GiveUp, _) => {}
-            (Asking::Other, result) => self.events.push_back(Event::Reply { ask, result }),
+            (RequestKind::EndCall, _) => {}
+            (RequestKind::Other, result) => self.events.push_back(Event::Reply { request_id, result }),
         }
     }
 
-    fn welcome(&mut self, now: Duration, welcome: Value) {
+    fn on_welcome(&mut self, now: Duration, welcome: Value) {
         let welcome: HelloResult = match serde_json::from_value(welcome) {
             Ok(welcome) => welcome,
-            Err(error) => return self.down(now, &format!("its welcome makes no sense: {error}"), None),
+            Err(error) => {
+                return self.disconnect(now, &format!("invalid result of session.hello: {error}"), None);
+            }
+        };
+        let ConnectionState::HelloSent(websocket) =
+            std::mem::replace(&mut self.connection, ConnectionState::Connecting)
+        else {
+            return;
         };
-        let Link::Greeting(end) = std::mem::replace(&mut self.link, Link::Dialling) else { return };
-        self.link = Link::Open(end);
-        self.back.on_open(now);
-        let resumed = self.key.is_some() && self.key == welcome.session;
-        self.key = welcome.session.clone();
-        self.kept = Duration::from_millis(welcome.limits.kept_ms);
-        let there = welcome.calls.iter().map(|call| (call.call, *call)).collect();
-        let owed = welcome.owed;
+        self.connection = ConnectionState::Open(websocket);
+        self.backoff.on_open(now);
+        let resumed = self.session_key.is_some() && self.session_key == welcome.session;
+        self.session_key = welcome.session.clone();
+        self.session_kept = Duration::from_millis(welcome.limits.kept_ms);
+        let at_server = welcome.calls.iter().map(|call| (call.call, *call)).collect();
+        let remaining = welcome.owed;
         self.events.push_back(Event::Connected { resumed, welcome: Box::new(welcome) });
         match resumed {
-            true => self.settling = Some((owed, there)),
+            true => self.resuming = Some((remaining, at_server)),
             false => {
-                let settled = self.book.on_new_session(now);
-                self.carry_out(now, settled, &BTreeMap::new());
+                let reconciled = self.calls.on_new_session(now);
+                self.apply_reconciled(now, reconciled, &BTreeMap::new());
             }
         }
-        if self.watches {
-            self.say(Asking::Subscribe, Request::Subscribe(Subscribe { cursor: self.cursor }));
+        if self.watching {
+            self.send_request(RequestKind::Subscribe, Request::Subscribe(Subscribe { cursor: self.cursor }));
         }
     }
 
-    /// All that was owed has been heard: what is still in doubt is told by what the server has in hand.
-    fn settle(&mut self, now: Duration) {
-        let Some((_, there)) = self.settling.take() else { return };
-        let in_hand = |state: &CallState| match state.state {
+    /// Settles the calls in doubt by the calls that the server reported. To be called once the messages that the server kept
+    /// during the disconnection have been processed.
+    fn reconcile(&mut self, now: Duration) {
+        let Some((_, at_server)) = self.resuming.take() else { return };
+        let server_state = |state: &CallState| match state.state {
             CallStatus::Stands => ServerCallState::Standing,
             _ => ServerCallState::Unanswered,
         };
-        let states = there.iter().map(|(call, state)| (*call, in_hand(state))).collect();
-        let settled = self.book.on_resumed(now, &states);
-        // Hung up here while there was no connection to say so.
-        let forgotten: Vec<u64> = there.keys().copied().filter(|call| !self.book.contains(*call)).collect();
-        for call in
-            forgotten.into_iter().filter(|call| !settled.ended.contains(call) && !settled.lost.contains(call))
+        let states = at_server.iter().map(|(call, state)| (*call, server_state(state))).collect();
+        let reconciled = self.calls.on_resumed(now, &states);
+        // Calls that were hung up during the disconnection, so that the server does not know of it.
+        let hung_up: Vec<u64> =
+            at_server.keys().copied().filter(|call| !self.calls.contains(*call)).collect();
+        for call in hung_up
+            .into_iter()
+            .filter(|call| !reconciled.ended.contains(call) && !reconciled.lost.contains(call))
         {
-            self.give_up(call);
+            self.send_hangup(call);
         }
-        self.carry_out(now, settled, &there);
+        self.apply_reconciled(now, reconciled, &at_server);
     }
 
-    fn carry_out(&mut self, now: Duration, settled: ReconciledCalls, there: &BTreeMap<u64, CallState>) {
-        let ReconciledCalls { to_send, standing, ended, lost } = settled;
+    fn apply_reconciled(
+        &mut self,
+        now: Duration,
+        reconciled: ReconciledCalls,
+        at_server: &BTreeMap<u64, CallState>,
+    ) {
+        let ReconciledCalls { to_send, standing, ended, lost } = reconciled;
         for call in standing {
-            let exchange_call = there.get(&call).map_or(0, |state| state.exchange_call);
+            let exchange_call = at_server.get(&call).map_or(0, |state| state.exchange_call);
             self.events.push_back(Event::Answered(OfferResult {
                 call,
                 exchange_call,
@@ -493,111 +527,118 @@
         }
         self.events.extend(ended.into_iter().map(|call| Event::Ended { call, how: None }));
         self.events.extend(lost.into_iter().map(|call| Event::Lost { call }));
-        to_send.into_iter().for_each(|call| self.send(now, call));
-        for call in std::mem::take(&mut self.cancels) {
-            if self.book.contains(call) {
-                self.say(Asking::GiveUp, Request::Cancel(Cancel { call }));
+        to_send.into_iter().for_each(|call| self.send_offer(now, call));
+        for call in std::mem::take(&mut self.pending_cancels) {
+            if self.calls.contains(call) {
+                self.send_request(RequestKind::EndCall, Request::Cancel(Cancel { call }));
             }
         }
     }
 
-    // What the client asks.
+    // Calls and requests: called by the owner for its user.
 
-    /// Asks for a call, under a number that is not in hand; `offer.time_left_ms` counts from now. While there is no
-    /// connection it is kept, and sent with the time that is left then.
+    /// Offers a call, under a number that no call in progress has. `offer.time_left_ms` counts from now. While the session is
+    /// not open, the offer is kept and then sent with the time that is left.
     pub fn offer(&mut self, now: Duration, offer: Offer) -> Result<(), RequestError> {
         if self.is_closed() {
             return Err(RequestError::Closed);
         }
-        if self.book.is_full() {
-            return Err(RequestError::TooMany(self.book.len()));
+        if self.calls.is_full() {
+            return Err(RequestError::TooMany(self.calls.len()));
         }
-        let (call, until) = (offer.call, now + Duration::from_millis(offer.time_left_ms.into()));
-        self.book.offer(call, offer, until)?;
-        if self.is_open() && self.settling.is_none() {
-            self.send(now, call);
-            self.pump();
+        let (call, deadline) = (offer.call, now + Duration::from_millis(offer.time_left_ms.into()));
+        self.calls.offer(call, offer, deadline)?;
+        if self.is_open() && self.resuming.is_none() {
+            self.send_offer(now, call);
+            self.collect_output();
         }
         Ok(())
     }
 
-    fn send(&mut self, now: Duration, call: u64) {
-        let Some((offer, left)) = self.book.offer_and_time_left(now, call) else { return };
+    fn send_offer(&mut self, now: Duration, call: u64) {
+        let Some((offer, left)) = self.calls.offer_and_time_left(now, call) else { return };
         let offer = Offer { time_left_ms: left.as_millis() as u32, ..offer.clone() };
-        let Link::Open(end) = &mut self.link else { return };
-        end.send_text(&RequestMessage { id: Some(json!(call)), request: Request::Offer(offer) }.text());
-        self.book.mark_sent(call);
+        let ConnectionState::Open(websocket) = &mut self.connection else { return };
+        websocket.send_text(&RequestMessage { id: Some(json!(call)), request: Request::Offer(offer) }.text());
+        self.calls.mark_sent(call);
     }
 
-    /// Ends a call that stands, or gives it up; without a connection it is forgotten here, and over there when the session
-    /// is taken up or its time is over.
+    /// Ends a standing call, or gives up one that has no answer yet. While disconnected, the call is only removed here; at the
+    /// server it ends when the session is resumed or expires.
     pub fn hang_up(&mut self, call: u64) {
-        self.give_up(call);
-        self.book.remove(call);
-        self.pump();
+        self.send_hangup(call);
+        self.calls.remove(call);
+        self.collect_output();
     }
 
-    /// Gives up a call that has no answer; it gets `fails` at once, or when there is a connection again.
+    /// Gives up a call that has no answer. It is answered with `fails` at once, or, while the session is not open, once it is
+    /// open again.
     pub fn cancel(&mut self, call: u64) {
-        if !self.is_open() || self.settling.is_some() {
-            self.cancels.extend(self.book.contains(call).then_some(call));
+        if !self.is_open() || self.resuming.is_some() {
+            self.pending_cancels.extend(self.calls.contains(call).then_some(call));
             return;
         }
-        self.say(Asking::GiveUp, Request::Cancel(Cancel { call }));
-        self.pump();
+        self.send_request(RequestKind::EndCall, Request::Cancel(Cancel { call }));
+        self.collect_output();
     }
 
-    fn give_up(&mut self, call: u64) {
-        self.say(Asking::GiveUp, Request::Hangup(Hangup { call }));
+    fn send_hangup(&mut self, call: u64) {
+        self.send_request(RequestKind::EndCall, Request::Hangup(Hangup { call }));
     }
 
-    /// Asks for news of calls from now on, through cuts too.
+    /// Subscribes to news of calls from now on. The subscription is renewed after a disconnection.
     pub fn watch(&mut self) {
-        self.watches = true;
+        self.watching = true;
         if self.is_open() {
-            self.say(Asking::Subscribe, Request::Subscribe(Subscribe { cursor: self.cursor }));
-            self.pump();
+            self.send_request(RequestKind::Subscribe, Request::Subscribe(Subscribe { cursor: self.cursor }));
+            self.collect_output();
         }
     }
 
-    /// Any other request; its reply comes as an event under the number returned.
+    /// Sends any other request. Its reply comes as an event with the id returned here.
     pub fn ask(&mut self, request: Request) -> Result<u64, RequestError> {
         if !self.is_open() {
             return Err(RequestError::NotOpen);
         }
-        if self.asked.len() >= MOST_ASKED {
-            return Err(RequestError::TooMany(MOST_ASKED));
+        if self.pending_requests.len() >= MAX_PENDING_REQUESTS {
+            return Err(RequestError::TooMany(MAX_PENDING_REQUESTS));
         }
-        let ask = self.say(Asking::Other, request);
-        self.pump();
-        Ok(ask)
+        let request_id = self.send_request(RequestKind::Other, request);
+        self.collect_output();
+        Ok(request_id)
     }
 
-    fn say(&mut self, asking: Asking, request: Request) -> u64 {
-        self.last_ask += 1;
-        let ask = self.last_ask;
-        let (Link::Greeting(end) | Link::Open(end)) = &mut self.link else { return ask };
-        // Beyond that the reply is not looked for.
-        if self.asked.len() < MOST_ASKED {
-            self.asked.insert(ask, asking);
+    fn send_request(&mut self, kind: RequestKind, request: Request) -> u64 {
+        self.last_request += 1;
+        let request_id = self.last_request;
+        let (ConnectionState::HelloSent(websocket) | ConnectionState::Open(websocket)) = &mut self.connection
+        else {
+            return request_id;
+        };
+        // Above the limit, the reply is ignored.
+        if self.pending_requests.len() < MAX_PENDING_REQUESTS {
+            self.pending_requests.insert(request_id, kind);
         }
-        end.send_text(&RequestMessage { id: Some(json!(format!("a{ask}"))), request }.text());
-        ask
+        websocket.send_text(&RequestMessage { id: Some(json!(format!("a{request_id}"))), request }.text());
+        request_id
     }
 
-    /// Ends the session for good: the server hangs up what it has in hand once the connection is gone.
+    /// Closes the session for good. The server hangs up its calls once the connection is closed.
     pub fn close(&mut self) {
-        if let Link::Greeting(end) | Link::Open(end) = &mut self.link {
-            end.close(close::NORMAL, "done");
+        if let ConnectionState::HelloSent(websocket) | ConnectionState::Open(websocket) = &mut self.connection
+        {
+            websocket.close(close::NORMAL, "done");
         }
-        self.pump();
-        self.vigil.remove(());
-        self.link = Link::Closed;
+        self.collect_output();
+        self.monitor.remove(());
+        self.connection = ConnectionState::Closed;
     }
 
-    fn pump(&mut self) {
-        if let Link::Greeting(end) | Link::Open(end) = &mut self.link {
-            self.out.append(end.output());
+    /// Moves the octets that the WebSocket connection has to send into `output`.
+    fn collect_output(&mut self) {
+        if let ConnectionState::HelloSent(websocket) | ConnectionState::Open(websocket) = &mut self.connection
+        {
+            self.output.append(websocket.output());
         }
     }
 }
--- a/crates/daemon/tests/sessions.rs
+++ b/crates/daemon/tests/sessions.rs
@@ -141,8 +141,8 @@
         let now = self.now;
         let client = &mut self.clients[index];
         client.session.on_timer(now);
-        if client.session.wants_dial(now) {
-            client.session.dialled(now, "127.0.0.1:9".parse().unwrap());
+        if client.session.should_connect(now) {
+            client.session.on_connected(now, "127.0.0.1:9".parse().unwrap());
             client.connections.push(ClientConnection {
                 server: ServerSide::Handshake(ServerHandshake::default()),
                 to_server: VecDeque::new(),
@@ -150,7 +150,7 @@
                 cut: false,
             });
         }
-        let out = std::mem::take(client.session.out());
+        let out = std::mem::take(client.session.output());
         if let Some(connection) =
             client.connections.last_mut().filter(|connection| !connection.cut && !out.is_empty())
         {
@@ -169,7 +169,7 @@
                     assert!(client.standing.remove(&call), "call {call} ended but was not standing");
                     continue;
                 }
-                Event::Fault { call, code, why } => panic!("call {call}: {code} {why}"),
+                Event::OfferError { call, code, why } => panic!("call {call}: {code} {why}"),
                 Event::Denied { why } => panic!("{why}"),
                 _ => continue,
             };
@@ -230,7 +230,7 @@
         let client = &mut self.clients[index];
         if let Some(connection) = client.connections.last_mut().filter(|connection| !connection.cut) {
             connection.cut = true;
-            client.session.lost(self.now, "cut");
+            client.session.on_connection_lost(self.now, "cut");
         }
         self.run_client(index);
     }
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -123,11 +123,11 @@
             self.tally.cuts += 1;
             if gone {
                 self.tally.gone += 1;
-                let calls: Vec<u64> = self.sessions[&no].in_hand().collect();
+                let calls: Vec<u64> = self.sessions[&no].call_numbers().collect();
                 calls.into_iter().for_each(|call| simulation.client_lost(now, no.0, call, observer));
                 self.begin(now, no);
             } else if let Some(session) = self.sessions.get_mut(&no) {
-                session.lost(now, "cut by the script");
+                session.on_connection_lost(now, "cut by the script");
             }
             cut.push(no);
         }
@@ -154,7 +154,7 @@
                 Event::Connected { resumed, .. } => self.tally.taken_up += u64::from(resumed),
                 // The auditor misses their answers, and says so.
                 Event::Lost { call } => info!(office, call, "lost"),
-                Event::Fault { call, code, why } => info!(office, call, code, "{why}"),
+                Event::OfferError { call, code, why } => info!(office, call, code, "{why}"),
                 Event::Denied { why } => info!(office, "denied: {why}"),
                 Event::Disconnected { .. } | Event::News(_) | Event::Missed(_) | Event::Reply { .. } => {}
             }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -570,14 +570,14 @@
             }
         }
         let now = self.now();
-        self.members[at].session.lost(now, "cut by the script");
+        self.members[at].session.on_connection_lost(now, "cut by the script");
         self.touched(at);
     }
 
     /// A session was acted on: what it wants is done, and what happened counted.
     fn touched(&mut self, at: usize) {
         let now = self.now();
-        if self.members[at].session.wants_dial(now) {
+        if self.members[at].session.should_connect(now) {
             self.dial(at);
         }
         while let Some(event) = self.members[at].session.next_event() {
@@ -644,7 +644,7 @@
                     self.tallies[tally].part.lost += 1;
                 }
             }
-            Event::Fault { call, .. } => {
+            Event::OfferError { call, .. } => {
                 if let Some((_, tally)) = member.waits.remove(&call) {
                     self.tallies[tally].part.turned_down += 1;
                 }
@@ -676,7 +676,7 @@
             }
             Err(error) => {
                 let now = self.now();
-                self.members[at].session.lost(now, &error.to_string());
+                self.members[at].session.on_connection_lost(now, &error.to_string());
             }
         }
     }
@@ -693,7 +693,7 @@
             connection.connected = true;
             let _ = connection.stream.set_nodelay(true);
             let now = self.now();
-            self.members[at].session.dialled(now, to);
+            self.members[at].session.on_connected(now, to);
             self.touched(at);
         }
         if writable {
@@ -728,14 +728,14 @@
         let (at, now) = (connection.member, self.now());
         if self.members[at].token == Some(token) {
             self.members[at].token = None;
-            self.members[at].session.lost(now, why);
+            self.members[at].session.on_connection_lost(now, why);
             self.touched(at);
         }
     }
 
     fn write(&mut self, at: usize) {
         let member = &mut self.members[at];
-        let out = std::mem::take(member.session.out());
+        let out = std::mem::take(member.session.output());
         let Some(token) = member.token else { return };
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.out.push(&out);
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -373,7 +373,7 @@
             if session.next_timer().is_some_and(|at| at <= now) {
                 session.on_timer(now);
             }
-            if session.wants_dial(now) {
+            if session.should_connect(now) {
                 let calls = self.processes.get(&no.0).and_then(|process| process.ready.as_ref()?.calls);
                 let stream =
                     calls.ok_or_else(|| io::ErrorKind::NotConnected.into()).and_then(TcpStream::connect);
@@ -392,7 +392,7 @@
         let now = self.now();
         self.clients.events(now, no, &mut self.simulation, self.observer);
         let Some(session) = self.clients.session(no) else { return };
-        let out = std::mem::take(session.out());
+        let out = std::mem::take(session.output());
         if !out.is_empty() {
             self.push(Purpose::Client(no), &[&out]);
         }
@@ -465,7 +465,7 @@
             connection.dialling = false;
             let now = self.now();
             if let Some(session) = self.clients.session(no) {
-                session.dialled(now, to);
+                session.on_connected(now, to);
             }
             self.client_turn(no);
         }
@@ -657,7 +657,7 @@
 
 fn session_lost(clients: &mut ClientPool, now: Duration, no: ClientId, why: &str) {
     if let Some(session) = clients.session(no) {
-        session.lost(now, why);
+        session.on_connection_lost(now, why);
     }
 }
 
