--- a/clients/typescript/examples/monitor.mjs
+++ b/clients/typescript/examples/monitor.mjs
@@ -1,4 +1,4 @@
-// Prints calls as they go, through cuts. node examples/monitor.mjs URL
+// Prints news of calls until it is stopped. Reconnects after disconnections. Usage: node examples/monitor.mjs URL
 import { Client } from "../dist/index.js";
 
 const [url] = process.argv.slice(2);
@@ -10,10 +10,10 @@
 if (!globalThis.WebSocket) options.WebSocket = (await import("ws")).WebSocket;
 if (options.token === undefined) delete options.token;
 const client = new Client(options);
-client.on((happening) => {
-  if (happening.what === "news") console.log(happening.number, JSON.stringify(happening.event));
-  else if (happening.what === "missed") console.log(`${happening.count} events were missed`);
-  else console.error(happening.what, happening.why ?? "");
+client.on((event) => {
+  if (event.what === "news") console.log(event.number, JSON.stringify(event.event));
+  else if (event.what === "missed") console.log(`${event.count} events were missed`);
+  else console.error(event.what, event.why ?? "");
 });
 client.watch();
 process.on("SIGINT", () => client.close());
--- a/clients/typescript/examples/polite.mjs
+++ b/clients/typescript/examples/polite.mjs
@@ -1,4 +1,4 @@
-// Calls a number, and again while it is refused, as politely as the rules ask. node examples/polite.mjs URL DEST NUMBER
+// Calls a number, and redials with back-off while the call is refused or fails. Usage: node examples/polite.mjs URL DEST NUMBER
 import { Client, Redial } from "../dist/index.js";
 
 const [url, dest, number] = process.argv.slice(2);
@@ -10,6 +10,6 @@
 if (!globalThis.WebSocket) options.WebSocket = (await import("ws")).WebSocket;
 if (options.token === undefined) delete options.token;
 const client = new Client(options);
-const wish = { dest: Number(dest), number: Number(number), time_left_ms: 6000 };
-console.log(await client.callPolitely(new Redial(), wish));
+const offer = { dest: Number(dest), number: Number(number), time_left_ms: 6000 };
+console.log(await client.callPolitely(new Redial(), offer));
 client.close();
--- a/clients/typescript/src/client.ts
+++ b/clients/typescript/src/client.ts
@@ -1,6 +1,7 @@
-// A session with a controller: dialled anew when it is cut, taken up again, its calls settled as docs/call-control.md says.
+// A session with a controller: reconnects, resumes and settles its calls as docs/call-control.md says. The rules of back-off
+// and redial are in retry.ts.
 
-import { ComeBack, Redial, type ComeBackPlan } from "./comeback.js";
+import { ComeBack, Redial, type ComeBackPlan } from "./retry.js";
 import {
   subprotocol,
   type Answered,
@@ -15,27 +16,32 @@
 export interface ClientOptions {
   /** `ws://host:port/calls`. */
   url: string;
-  /** What the client calls itself, for the server's log. */
+  /** The client's name in the server's log. */
   name: string;
   token?: string;
+  /** Back-off of connection attempts. */
   comeBack?: ComeBackPlan;
-  /** The platform's own if left out; Node before 22 has none without a flag. */
+  /** By default the one of the platform. Node before 22 has none without a flag. */
   WebSocket?: new (url: string, protocols: string) => WebSocket;
-  /** How long the handshake and the hello may take. Milliseconds. */
+  /** Milliseconds that the handshake and the hello may take together. */
   openWithin?: number;
 }
 
-/** A call to be asked for; its number is set when it is. */
+/** An offer without its call number, which the client sets. */
 export type OfferWish = Omit<Offer, "call">;
 
-/** What became of a call. `lost`: nobody can tell, its session is over or no answer came in time. */
+/** The outcome of an offer. `lost`: the result is unknown, because the session has ended or no answer came in time. */
 export type Outcome =
   | { answer: "stands"; call: number; exchangeCall: number }
   | { answer: "refused"; call: number; comeBackMs: number }
   | { answer: "fails"; call: number }
   | { answer: "lost"; call: number };
 
-/** What else happens on a session. */
+/**
+ * What else happens on a session. `up`: the session is open; `takenUp`: it is the session of the previous connection. `down`: the
+ * connection was lost, or the attempt failed; the client reconnects by itself. `denied`: the server rejected `session.hello`, and
+ * the client is closed. `ended`: a standing call ended; `how` is undefined if that was during a disconnection.
+ */
 export type Happening =
   | { what: "up"; takenUp: boolean; welcome: Welcome }
   | { what: "down"; why: string }
@@ -44,7 +50,7 @@
   | { what: "news"; number: number; event: CallEvent }
   | { what: "missed"; count: number };
 
-class Fault extends Error {
+class RpcError extends Error {
   constructor(
     readonly code: number,
     message: string,
@@ -53,50 +59,62 @@
   }
 }
 
-interface Held {
+interface CallEntry {
   offer: OfferWish;
-  until: number;
+  /** When the caller gives up, by `Date.now()`. */
+  deadline: number;
+  /** `in doubt`: sent on a connection that was lost. */
   progress: "to send" | "sent" | "in doubt" | "stands";
   timer: ReturnType<typeof setTimeout>;
-  settle: (outcome: Outcome) => void;
-  fail: (error: Error) => void;
+  resolve: (outcome: Outcome) => void;
+  reject: (error: Error) => void;
 }
 
-interface Asked {
-  done: (result: unknown) => void;
-  fail: (error: Error) => void;
+interface PendingRequest {
+  resolve: (result: unknown) => void;
+  reject: (error: Error) => void;
 }
 
-/** Past a caller's time the answer may still be on its way for so long. */
+/** Time after a caller's deadline in which the answer may still arrive. Then the call is reported as lost. */
 const GRACE_MS = 1000;
-const MOST_CALLS = 10_000;
+const MAX_CALLS = 10_000;
+/** Error code of an offer that exceeds a rate limit. */
+const TOO_FAST = -32005;
 
 export class Client {
   readonly #options: ClientOptions;
-  readonly #back: ComeBack;
-  readonly #calls = new Map<number, Held>();
-  readonly #asked = new Map<string, Asked>();
-  readonly #listeners = new Set<(happening: Happening) => void>();
+  readonly #backoff: ComeBack;
+  readonly #calls = new Map<number, CallEntry>();
+  readonly #pendingRequests = new Map<string, PendingRequest>();
+  readonly #listeners = new Set<(event: Happening) => void>();
   #socket: WebSocket | undefined;
-  #state: "down" | "greeting" | "open" | "closed" = "down";
-  #key: string | undefined;
-  #kept = 0;
-  #settling: { owed: number; there: Map<number, CallState> } | undefined;
+  #state: "disconnected" | "hello sent" | "open" | "closed" = "disconnected";
+  /** The key that resumes the session at the server. */
+  #sessionKey: string | undefined;
+  /** How long the server keeps the session after a disconnection. Milliseconds. */
+  #sessionKept = 0;
+  /**
+   * Set after the session was resumed, until its calls are reconciled: how many messages that the server kept during the
+   * disconnection are still to come, and the calls that the server had in progress when it resumed the session.
+   */
+  #resuming: { remaining: number; atServer: Map<number, CallState> } | undefined;
+  /** Number of the next news event, once subscribed. */
   #cursor: number | undefined;
-  #watches = false;
+  #watching = false;
   #lastCall = 0;
-  #lastAsk = 0;
+  #lastRequest = 0;
+  /** For the next connection attempt, or for the handshake and the hello. */
   #timer: ReturnType<typeof setTimeout> | undefined;
 
-  /** Dials at once. */
+  /** Connects at once. */
   constructor(options: ClientOptions) {
     this.#options = options;
-    this.#back = new ComeBack(options.comeBack);
-    this.#dial();
+    this.#backoff = new ComeBack(options.comeBack);
+    this.#connect();
   }
 
-  /** Hears what happens from now on; returns what ends it. */
-  on(listener: (happening: Happening) => void): () => void {
+  /** Adds a listener for the events of the session. Returns a function that removes it. */
+  on(listener: (event: Happening) => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   }
@@ -105,217 +123,234 @@
     return this.#state === "open";
   }
 
-  /** Calls in hand. */
+  /** How many calls are in progress. */
   get calls(): number {
     return this.#calls.size;
   }
 
-  /** Waits until the session is open. */
+  /** Resolves once the session is open; rejects if the server denies it. */
   opened(): Promise<void> {
     if (this.isOpen) return Promise.resolve();
-    return new Promise((done, fail) => {
-      const stop = this.on((happening) => {
-        if (happening.what === "up") done();
-        else if (happening.what === "denied") fail(new Error(happening.why));
+    return new Promise((resolve, reject) => {
+      const removeListener = this.on((event) => {
+        if (event.what === "up") resolve();
+        else if (event.what === "denied") reject(new Error(event.why));
         else return;
-        stop();
+        removeListener();
       });
     });
   }
 
-  /** Asks for a call; resolves with its one final answer, or `lost`. Kept while there is no connection, for the caller's time. */
-  call(wish: OfferWish): Promise<Outcome> {
-    return this.start(wish).outcome;
+  /**
+   * Offers a call. Resolves with its final answer, or `lost`. While the session is not open, the offer is kept and then sent with
+   * the time that is left.
+   */
+  call(offer: OfferWish): Promise<Outcome> {
+    return this.start(offer).outcome;
   }
 
-  /** The same, with the call's number at once: to cancel it, for one. */
-  start(wish: OfferWish): { call: number; outcome: Promise<Outcome> } {
+  /** Like `call`, but returns the call's number at once, for instance for `cancel`. */
+  start(offer: OfferWish): { call: number; outcome: Promise<Outcome> } {
     const call = ++this.#lastCall;
-    const outcome = new Promise<Outcome>((settle, fail) => {
-      if (this.#state === "closed") return fail(new Error("the session is closed"));
-      if (this.#calls.size >= MOST_CALLS) return fail(new Error(`${MOST_CALLS} calls are in hand already`));
-      const until = Date.now() + wish.time_left_ms;
+    const outcome = new Promise<Outcome>((resolve, reject) => {
+      if (this.#state === "closed") return reject(new Error("the session is closed"));
+      if (this.#calls.size >= MAX_CALLS) return reject(new Error(`too many calls in progress: ${MAX_CALLS}`));
+      const deadline = Date.now() + offer.time_left_ms;
       const timer = setTimeout(() => {
-        // Were it to stand all the same, nobody would know of it.
+        // If the call stands at the server, the client would never learn of it.
         this.hangUp(call);
-        settle({ answer: "lost", call });
-      }, wish.time_left_ms + GRACE_MS);
-      this.#calls.set(call, { offer: wish, until, progress: "to send", timer, settle, fail });
-      if (this.#state === "open" && !this.#settling) this.#send(call);
+        resolve({ answer: "lost", call });
+      }, offer.time_left_ms + GRACE_MS);
+      this.#calls.set(call, { offer, deadline, progress: "to send", timer, resolve, reject });
+      if (this.#state === "open" && !this.#resuming) this.#sendOffer(call);
     });
     return { call, outcome };
   }
 
-  /** Asks for a call, and again while it is refused or fails, as the rules for that allow. */
-  async callPolitely(redial: Redial, wish: OfferWish): Promise<Outcome> {
-    const until = Date.now() + wish.time_left_ms;
+  /**
+   * Offers a call, and offers it again while it is refused or fails and the budget allows it: within the caller's time, and after
+   * the wait that the server asked for.
+   */
+  async callPolitely(redial: Redial, offer: OfferWish): Promise<Outcome> {
+    const deadline = Date.now() + offer.time_left_ms;
     redial.firstOffer();
     for (let offers = 1; ; offers += 1) {
-      const left = until - Date.now();
-      const outcome = await this.call({ ...wish, time_left_ms: Math.max(0, left), redial: offers > 1 });
+      const left = deadline - Date.now();
+      const outcome = await this.call({ ...offer, time_left_ms: Math.max(0, left), redial: offers > 1 });
       if (outcome.answer === "stands" || outcome.answer === "lost") return outcome;
-      const told = outcome.answer === "refused" ? outcome.comeBackMs : 0;
-      const wait = redial.again(until - Date.now(), offers, told);
-      if (wait === undefined) return outcome;
-      await new Promise((done) => setTimeout(done, wait));
+      const retryAfter = outcome.answer === "refused" ? outcome.comeBackMs : 0;
+      const delay = redial.again(deadline - Date.now(), offers, retryAfter);
+      if (delay === undefined) return outcome;
+      await new Promise((resolve) => setTimeout(resolve, delay));
     }
   }
 
-  /** Ends a call that stands, or gives up one that has no answer yet. */
+  /** Ends a standing call, or gives up one that has no answer yet. */
   hangUp(call: number): void {
     void this.ask("call.hangup", { call }).catch(() => undefined);
-    this.#forget(call);
+    this.#remove(call);
   }
 
-  /** Gives up a call that has no answer; its outcome is `fails`. */
+  /** Gives up a call that has no answer yet. It is still answered, with `fails`. Has no effect while the session is not open. */
   cancel(call: number): void {
     void this.ask("call.cancel", { call }).catch(() => undefined);
   }
 
+  /** The state of a call. */
   get(call: number): Promise<CallState> {
     return this.ask("call.get", { call });
   }
 
+  /** The recorded steps of a call, by the number that its exchange gave it. `origin`: that exchange, if it is not the server's. */
   trace(exchangeCall: number, origin?: number): Promise<Traced> {
     return this.ask("trace.get", { exchange_call: exchangeCall, ...(origin === undefined ? {} : { origin }) });
   }
 
-  /** Hears news of calls from now on, through cuts too. */
+  /** Subscribes to news of calls from now on. The subscription is renewed after a disconnection. */
   watch(): void {
-    this.#watches = true;
+    this.#watching = true;
     if (this.isOpen) this.#subscribe();
   }
 
-  /** Any request but an offer or a hello. */
+  /** Sends any request other than an offer or a hello. */
   ask<M extends Exclude<keyof Methods, "call.offer" | "session.hello">>(
     method: M,
     params: Methods[M]["params"],
   ): Promise<Methods[M]["result"]> {
-    return new Promise((done, fail) => {
-      if (this.#state !== "open") return fail(new Error("the session is not open"));
-      const id = `a${++this.#lastAsk}`;
-      this.#asked.set(id, { done: (result) => done(result as Methods[M]["result"]), fail });
-      this.#say({ id, method, params });
+    return new Promise((resolve, reject) => {
+      if (this.#state !== "open") return reject(new Error("the session is not open"));
+      const id = `a${++this.#lastRequest}`;
+      this.#pendingRequests.set(id, { resolve: (result) => resolve(result as Methods[M]["result"]), reject });
+      this.#sendRequest({ id, method, params });
     });
   }
 
-  /** Ends the session for good: what it has in hand is hung up. */
+  /** Closes the session for good. The server hangs up its calls. */
   close(): void {
     this.#state = "closed";
     clearTimeout(this.#timer);
     this.#socket?.close(1000, "done");
-    this.#drop("the session is closed");
-    for (const call of [...this.#calls.keys()]) this.#end(call, { answer: "lost", call });
+    this.#disconnect("the session is closed");
+    for (const call of [...this.#calls.keys()]) this.#finish(call, { answer: "lost", call });
   }
 
-  #tell(happening: Happening): void {
-    for (const listener of [...this.#listeners]) listener(happening);
+  #emit(event: Happening): void {
+    for (const listener of [...this.#listeners]) listener(event);
   }
 
-  #dial(): void {
+  #connect(): void {
     const Socket = this.#options.WebSocket ?? globalThis.WebSocket;
-    if (!Socket) throw new Error("this platform has no WebSocket: give one in the options");
+    if (!Socket) throw new Error("this platform has no WebSocket: pass one in the options");
     const socket = new Socket(this.#options.url, subprotocol);
     this.#socket = socket;
-    this.#timer = setTimeout(() => this.#lost(socket, "does not open"), this.#options.openWithin ?? 10_000);
-    socket.onopen = () => this.#greet();
+    const onTimeout = () => this.#onConnectionLost(socket, "the server has not opened in time");
+    this.#timer = setTimeout(onTimeout, this.#options.openWithin ?? 10_000);
+    socket.onopen = () => this.#sendHello();
     socket.onmessage = ({ data }) => {
-      if (this.#socket === socket) this.#hear(String(data));
+      if (this.#socket === socket) this.#onText(String(data));
     };
-    // The reason follows in the close.
+    // A close event with the reason follows.
     socket.onerror = () => undefined;
-    socket.onclose = ({ code, reason }) => this.#lost(socket, `closed (${code}) ${reason}`.trim());
+    socket.onclose = ({ code, reason }) => this.#onConnectionLost(socket, `connection closed (${code}) ${reason}`.trim());
   }
 
-  #lost(socket: WebSocket, why: string): void {
+  #onConnectionLost(socket: WebSocket, why: string): void {
     if (this.#socket !== socket) return;
-    this.#drop(why);
+    this.#disconnect(why);
     socket.close();
     if (this.#state === "closed") return;
-    this.#state = "down";
-    for (const held of this.#calls.values()) if (held.progress === "sent") held.progress = "in doubt";
-    this.#tell({ what: "down", why });
-    this.#timer = setTimeout(() => this.#dial(), this.#back.failed(Date.now(), 0, this.#key === undefined ? 0 : this.#kept));
+    this.#state = "disconnected";
+    for (const entry of this.#calls.values()) if (entry.progress === "sent") entry.progress = "in doubt";
+    this.#emit({ what: "down", why });
+    const kept = this.#sessionKey === undefined ? 0 : this.#sessionKept;
+    this.#timer = setTimeout(() => this.#connect(), this.#backoff.failed(Date.now(), 0, kept));
   }
 
-  #drop(why: string): void {
+  #disconnect(why: string): void {
     this.#socket = undefined;
-    this.#settling = undefined;
+    this.#resuming = undefined;
     clearTimeout(this.#timer);
-    const asked = [...this.#asked.values()];
-    this.#asked.clear();
-    for (const { fail } of asked) fail(new Error(why));
+    const pending = [...this.#pendingRequests.values()];
+    this.#pendingRequests.clear();
+    for (const { reject } of pending) reject(new Error(why));
   }
 
-  #say(request: { id: string | number; method: string; params: unknown }): void {
+  #sendRequest(request: { id: string | number; method: string; params: unknown }): void {
     if (this.#socket?.readyState === 1) this.#socket.send(JSON.stringify({ jsonrpc: "2.0", ...request }));
   }
 
-  #greet(): void {
-    this.#state = "greeting";
+  #sendHello(): void {
+    this.#state = "hello sent";
     const { name, token } = this.#options;
     const hello = {
       client: name,
       resumable: true,
       ...(token === undefined ? {} : { token }),
-      ...(this.#key === undefined ? {} : { resume: this.#key }),
+      ...(this.#sessionKey === undefined ? {} : { resume: this.#sessionKey }),
     };
-    const id = `a${++this.#lastAsk}`;
-    const denied = (error: Error) => {
-      if (!(error instanceof Fault)) return;
-      if (this.#key !== undefined) {
-        // The session of before is over: this connection begins another.
-        this.#key = undefined;
-        return this.#greet();
+    const id = `a${++this.#lastRequest}`;
+    const onError = (error: Error) => {
+      if (!(error instanceof RpcError)) return;
+      if (this.#sessionKey !== undefined) {
+        // The previous session has ended: open a new one on this connection.
+        this.#sessionKey = undefined;
+        return this.#sendHello();
       }
       this.close();
-      this.#tell({ what: "denied", why: error.message });
+      this.#emit({ what: "denied", why: error.message });
     };
-    // At once, not by a promise: what follows the welcome may come in the same go.
-    this.#asked.set(id, { done: (welcome) => this.#welcome(welcome as Welcome), fail: denied });
-    this.#say({ id, method: "session.hello", params: hello });
+    // Called directly, not through a promise: messages that follow the welcome may arrive in the same read.
+    this.#pendingRequests.set(id, { resolve: (welcome) => this.#onWelcome(welcome as Welcome), reject: onError });
+    this.#sendRequest({ id, method: "session.hello", params: hello });
   }
 
-  #welcome(welcome: Welcome): void {
+  #onWelcome(welcome: Welcome): void {
     clearTimeout(this.#timer);
     this.#state = "open";
-    this.#back.opened(Date.now());
-    const takenUp = this.#key !== undefined && welcome.session === this.#key;
-    this.#key = welcome.session ?? undefined;
-    this.#kept = welcome.limits.kept_ms;
-    this.#tell({ what: "up", takenUp, welcome });
+    this.#backoff.opened(Date.now());
+    const takenUp = this.#sessionKey !== undefined && welcome.session === this.#sessionKey;
+    this.#sessionKey = welcome.session ?? undefined;
+    this.#sessionKept = welcome.limits.kept_ms;
+    this.#emit({ what: "up", takenUp, welcome });
     if (takenUp) {
-      this.#settling = { owed: welcome.owed, there: new Map(welcome.calls.map((state) => [state.call, state])) };
-      this.#settle();
+      this.#resuming = {
+        remaining: welcome.owed,
+        atServer: new Map(welcome.calls.map((state) => [state.call, state])),
+      };
+      this.#reconcile();
     } else {
-      for (const [call, held] of [...this.#calls]) {
-        if (held.progress === "stands") this.#ended(call, undefined);
-        else if (held.progress === "to send" && held.until > Date.now()) this.#send(call);
-        else this.#end(call, { answer: "lost", call });
+      for (const [call, entry] of [...this.#calls]) {
+        if (entry.progress === "stands") this.#onCallEnded(call, undefined);
+        else if (entry.progress === "to send" && entry.deadline > Date.now()) this.#sendOffer(call);
+        else this.#finish(call, { answer: "lost", call });
       }
     }
-    if (this.#watches) this.#subscribe();
-  }
-
-  /** Once all that was owed has been heard, what is in doubt is told by what the server has in hand. */
-  #settle(): void {
-    if (!this.#settling || this.#settling.owed > 0) return;
-    const { there } = this.#settling;
-    this.#settling = undefined;
-    for (const state of there.values()) if (!this.#calls.has(state.call)) this.hangUp(state.call);
-    for (const [call, held] of [...this.#calls]) {
-      const state = there.get(call);
-      if (held.progress === "stands") {
-        if (!state) this.#ended(call, undefined);
+    if (this.#watching) this.#subscribe();
+  }
+
+  /**
+   * Settles the calls in doubt by the calls that the server reported, once the messages that the server kept during the
+   * disconnection have been processed.
+   */
+  #reconcile(): void {
+    if (!this.#resuming || this.#resuming.remaining > 0) return;
+    const { atServer } = this.#resuming;
+    this.#resuming = undefined;
+    // Calls that were hung up during the disconnection, so that the server does not know of it.
+    for (const state of atServer.values()) if (!this.#calls.has(state.call)) this.hangUp(state.call);
+    for (const [call, entry] of [...this.#calls]) {
+      const state = atServer.get(call);
+      if (entry.progress === "stands") {
+        if (!state) this.#onCallEnded(call, undefined);
       } else if (state?.state === "stands") {
-        this.#answered({ call, exchange_call: state.exchange_call, answer: "stands" });
+        this.#onAnswer({ call, exchange_call: state.exchange_call, answer: "stands" });
       } else if (state) {
-        held.progress = "sent";
-      } else if (held.progress === "to send" && held.until <= Date.now()) {
-        this.#end(call, { answer: "lost", call });
+        entry.progress = "sent";
+      } else if (entry.progress === "to send" && entry.deadline <= Date.now()) {
+        this.#finish(call, { answer: "lost", call });
       } else {
-        // With no time left it only asks for the answer that was lost: no call comes of it.
-        this.#send(call);
+        // Also with no time left: the server then only repeats the lost answer and sets up no call.
+        this.#sendOffer(call);
       }
     }
   }
@@ -325,95 +360,96 @@
     this.ask("calls.subscribe", cursor === undefined ? {} : { cursor }).then(
       (result) => (this.#cursor ??= result.cursor),
       (error: Error) => {
-        if (!(error instanceof Fault) || cursor === undefined) return;
-        // Too old, or another server's: from now on, and the gap is told.
+        if (!(error instanceof RpcError) || cursor === undefined) return;
+        // The cursor is too old or of another server: subscribe from now on, and report the gap.
         this.#cursor = undefined;
-        this.#tell({ what: "missed", count: 0 });
+        this.#emit({ what: "missed", count: 0 });
         this.#subscribe();
       },
     );
   }
 
-  #send(call: number): void {
-    const held = this.#calls.get(call);
-    if (!held) return;
-    held.progress = "sent";
-    const left = Math.max(0, Math.floor(held.until - Date.now()));
-    this.#say({ id: call, method: "call.offer", params: { ...held.offer, call, time_left_ms: left } });
+  #sendOffer(call: number): void {
+    const entry = this.#calls.get(call);
+    if (!entry) return;
+    entry.progress = "sent";
+    const left = Math.max(0, Math.floor(entry.deadline - Date.now()));
+    this.#sendRequest({ id: call, method: "call.offer", params: { ...entry.offer, call, time_left_ms: left } });
   }
 
-  #hear(text: string): void {
-    let heard: any;
+  #onText(text: string): void {
+    let message: any;
     try {
-      heard = JSON.parse(text);
+      message = JSON.parse(text);
     } catch {
       return this.#socket?.close(3000, "a text makes no sense");
     }
-    const settling = this.#settling;
-    if (typeof heard.method === "string") this.#notice(heard.method, heard.params);
-    else if (typeof heard.id === "number") this.#reply(heard.id, heard);
+    const resuming = this.#resuming;
+    if (typeof message.method === "string") this.#onNotification(message.method, message.params);
+    else if (typeof message.id === "number") this.#onOfferReply(message.id, message);
     else {
-      const asked = this.#asked.get(heard.id);
-      this.#asked.delete(heard.id);
-      if (heard.error) asked?.fail(new Fault(heard.error.code, heard.error.message));
-      else asked?.done(heard.result);
+      const pending = this.#pendingRequests.get(message.id);
+      this.#pendingRequests.delete(message.id);
+      if (message.error) pending?.reject(new RpcError(message.error.code, message.error.message));
+      else pending?.resolve(message.result);
     }
-    if (settling && settling === this.#settling) {
-      settling.owed -= 1;
-      this.#settle();
+    // Not for the welcome, which only starts the resumption.
+    if (resuming && resuming === this.#resuming) {
+      resuming.remaining -= 1;
+      this.#reconcile();
     }
   }
 
-  #notice(method: string, params: any): void {
+  #onNotification(method: string, params: any): void {
     if (method === "call.ended") {
-      if (this.#calls.has(params.call)) this.#ended(params.call, params.how);
+      if (this.#calls.has(params.call)) this.#onCallEnded(params.call, params.how);
     } else if (method === "call.news") {
       this.#cursor = params.number + 1;
-      this.#tell({ what: "news", number: params.number, event: params.event });
+      this.#emit({ what: "news", number: params.number, event: params.event });
     } else if (method === "call.news.missed") {
-      this.#tell({ what: "missed", count: params.count });
+      this.#emit({ what: "missed", count: params.count });
     }
   }
 
-  #reply(call: number, heard: { result?: Answered; error?: { code: number; message: string; data?: any } }): void {
-    if (heard.result) return this.#answered(heard.result);
-    const held = this.#calls.get(call);
-    if (!heard.error || !held) return;
-    if (heard.error.code === -32005) {
-      return this.#end(call, { answer: "refused", call, comeBackMs: heard.error.data?.come_back_ms ?? 0 });
+  #onOfferReply(call: number, reply: { result?: Answered; error?: { code: number; message: string; data?: any } }): void {
+    if (reply.result) return this.#onAnswer(reply.result);
+    const entry = this.#calls.get(call);
+    if (!reply.error || !entry) return;
+    if (reply.error.code === TOO_FAST) {
+      return this.#finish(call, { answer: "refused", call, comeBackMs: reply.error.data?.come_back_ms ?? 0 });
     }
-    this.#forget(call);
-    held.fail(new Fault(heard.error.code, heard.error.message));
-  }
-
-  #answered(answered: Answered): void {
-    const { call } = answered;
-    const held = this.#calls.get(call);
-    if (!held || held.progress === "stands") return;
-    if (answered.answer === "stands") {
-      clearTimeout(held.timer);
-      held.progress = "stands";
-      held.settle({ answer: "stands", call, exchangeCall: answered.exchange_call });
-    } else if (answered.answer === "refused") {
-      this.#end(call, { answer: "refused", call, comeBackMs: answered.come_back_ms });
+    this.#remove(call);
+    entry.reject(new RpcError(reply.error.code, reply.error.message));
+  }
+
+  #onAnswer(result: Answered): void {
+    const { call } = result;
+    const entry = this.#calls.get(call);
+    if (!entry || entry.progress === "stands") return;
+    if (result.answer === "stands") {
+      clearTimeout(entry.timer);
+      entry.progress = "stands";
+      entry.resolve({ answer: "stands", call, exchangeCall: result.exchange_call });
+    } else if (result.answer === "refused") {
+      this.#finish(call, { answer: "refused", call, comeBackMs: result.come_back_ms });
     } else {
-      this.#end(call, { answer: "fails", call });
+      this.#finish(call, { answer: "fails", call });
     }
   }
 
-  #ended(call: number, how: "hung_up" | "released" | "cut" | undefined): void {
-    this.#forget(call);
-    this.#tell({ what: "ended", call, how });
+  #onCallEnded(call: number, how: "hung_up" | "released" | "cut" | undefined): void {
+    this.#remove(call);
+    this.#emit({ what: "ended", call, how });
   }
 
-  #end(call: number, outcome: Outcome): void {
-    const held = this.#calls.get(call);
-    this.#forget(call);
-    // One that stands has had its outcome.
-    if (held && held.progress !== "stands") held.settle(outcome);
+  #finish(call: number, outcome: Outcome): void {
+    const entry = this.#calls.get(call);
+    this.#remove(call);
+    // A standing call has its outcome already.
+    if (entry && entry.progress !== "stands") entry.resolve(outcome);
   }
 
-  #forget(call: number): void {
+  #remove(call: number): void {
     clearTimeout(this.#calls.get(call)?.timer);
     this.#calls.delete(call);
   }
--- a/clients/typescript/test/client.test.mjs
+++ b/clients/typescript/test/client.test.mjs
@@ -1,22 +1,22 @@
-// The client against a controller of its own process, and against a server that says what it is told to.
+// Tests the client against a controller process, and against a scripted server.
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { WebSocket, WebSocketServer } from "ws";
 import { Client, ComeBack, Redial, subprotocol } from "../dist/index.js";
-import { rest, site } from "./site.mjs";
+import { sleep, startControllerAndExchange } from "./processes.mjs";
 
-const wish = (more = {}) => ({ dest: 2, number: 5551000, time_left_ms: 5000, ...more });
+const offer = (more = {}) => ({ dest: 2, number: 5551000, time_left_ms: 5000, ...more });
 
-test("a call stands, is asked for, traced, watched and hung up", async () => {
-  const { client: dial, stop, exited, status } = await site();
-  const client = dial();
+test("a standing call can be queried, traced, watched and hung up, and ends with its controller", async () => {
+  const { newClient, stop, exited, status } = await startControllerAndExchange();
+  const client = newClient();
   const events = [];
-  client.on((happening) => events.push(happening));
+  client.on((event) => events.push(event));
   await client.opened();
   client.watch();
-  const outcome = await client.call(wish());
+  const outcome = await client.call(offer());
   assert.equal(outcome.answer, "stands");
-  assert.ok(Number.isSafeInteger(outcome.exchangeCall), "read whole");
+  assert.ok(Number.isSafeInteger(outcome.exchangeCall), "received without loss of precision");
   assert.equal((await client.get(outcome.call)).state, "stands");
   const { traces } = await client.trace(outcome.exchangeCall);
   assert.deepEqual(traces[0].steps.map(({ step }) => step), ["offered", "seized", "stands", "answered"]);
@@ -25,45 +25,46 @@
   client.hangUp(outcome.call);
   await assert.rejects(client.get(99), { code: -32001 });
   assert.equal((await status()).calls, 0);
-  const standing = await client.call(wish());
+  const standing = await client.call(offer());
   stop();
   await exited;
-  await rest(50);
+  await sleep(50);
   assert.ok(events.some(({ what, call }) => what === "ended" && call === standing.call));
   client.close();
 });
 
 test("a call that is cancelled fails at once", async () => {
-  const { client: dial, stop } = await site({ silent: 1 });
-  const client = dial();
+  const { newClient, stop } = await startControllerAndExchange({ silent: 1 });
+  const client = newClient();
   await client.opened();
-  const { call, outcome } = client.start(wish());
-  await rest(100);
-  const asked = Date.now();
+  const { call, outcome } = client.start(offer());
+  await sleep(100);
+  const cancelledAt = Date.now();
   client.cancel(call);
   assert.deepEqual(await outcome, { answer: "fails", call });
-  assert.ok(Date.now() - asked < 2000);
+  assert.ok(Date.now() - cancelledAt < 2000);
   client.close();
   stop();
 });
 
-/** A server whose every connection is handed to `serve`, which says what it likes. */
-async function server(serve) {
+/** A server that passes each request, with the index of its connection, to `onRequest`, which sends the replies. */
+async function startServer(onRequest) {
   const wss = new WebSocketServer({ port: 0, host: "127.0.0.1", handleProtocols: () => subprotocol });
-  await new Promise((done) => wss.once("listening", done));
-  let no = 0;
+  await new Promise((resolve) => wss.once("listening", resolve));
+  let connections = 0;
   wss.on("connection", (socket) => {
-    const at = no++;
+    const connection = connections++;
     socket.on("message", (data) => {
       const { id, method, params } = JSON.parse(data);
-      const say = (...texts) => texts.forEach((text) => socket.send(JSON.stringify({ jsonrpc: "2.0", ...text })));
-      serve({ at, id, method, params, say, socket });
+      const send = (...messages) =>
+        messages.forEach((message) => socket.send(JSON.stringify({ jsonrpc: "2.0", ...message })));
+      onRequest({ connection, id, method, params, send, socket });
     });
   });
   const { port } = wss.address();
   const options = { url: `ws://127.0.0.1:${port}/calls`, name: "test", WebSocket };
   const comeBack = { first: 20, last: 40, steady: 1000 };
-  return { client: () => new Client({ ...options, comeBack }), close: () => wss.close() };
+  return { newClient: () => new Client({ ...options, comeBack }), close: () => wss.close() };
 }
 
 const limits = {
@@ -74,97 +75,101 @@
   server: "test", version: "0", exchange: 1, limits, session, calls, owed,
 });
 
-test("a session that is taken up settles what was in doubt", async () => {
+test("resuming a session settles the offers in doubt", async () => {
   const offers = [];
-  const { client: dial, close } = await server(({ at, id, method, params, say, socket }) => {
+  const { newClient, close } = await startServer(({ connection, id, method, params, send, socket }) => {
     if (method === "session.hello") {
-      if (at === 0) return say({ id, result: welcome() });
+      if (connection === 0) return send({ id, result: welcome() });
       assert.equal(params.resume, "k1");
-      const there = [
+      const callsAtServer = [
         { call: 1, exchange_call: 11, state: "stands" },
         { call: 2, exchange_call: 12, state: "offered" },
       ];
-      // The welcome and what is owed come in one go.
-      say(
-        { id, result: welcome(there, 1) },
+      // The welcome and the kept message arrive in the same read.
+      send(
+        { id, result: welcome(callsAtServer, 1) },
         { id: 4, result: { call: 4, exchange_call: 14, answer: "fails" } },
       );
-      setTimeout(() => say({ id: 2, result: { call: 2, exchange_call: 12, answer: "fails" } }), 50);
+      setTimeout(() => send({ id: 2, result: { call: 2, exchange_call: 12, answer: "fails" } }), 50);
     } else if (method === "call.offer") {
-      offers.push([at, params.call]);
-      if (at === 1) say({ id, result: { call: id, exchange_call: 99, answer: "stands" } });
+      offers.push([connection, params.call]);
+      if (connection === 1) send({ id, result: { call: id, exchange_call: 99, answer: "stands" } });
       else if (params.call === 4) socket.terminate();
     }
   });
-  const client = dial();
+  const client = newClient();
   await client.opened();
-  const outcomes = await Promise.all([1, 2, 3, 4].map(() => client.call(wish())));
+  const outcomes = await Promise.all([1, 2, 3, 4].map(() => client.call(offer())));
   assert.deepEqual(
     outcomes.map(({ answer, exchangeCall }) => [answer, exchangeCall]),
     [["stands", 11], ["fails", undefined], ["stands", 99], ["fails", undefined]],
   );
-  // Only the one that the server never had is offered again.
-  assert.deepEqual(offers.filter(([at]) => at === 1), [[1, 3]]);
+  // Only the call that the server never received is offered again.
+  assert.deepEqual(offers.filter(([connection]) => connection === 1), [[1, 3]]);
   client.close();
   close();
 });
 
-test("a session that is over has lost its calls and says so", async () => {
-  const { client: dial, close } = await server(({ at, id, method, params, say, socket }) => {
+test("the calls of an ended session are lost or ended", async () => {
+  const { newClient, close } = await startServer(({ connection, id, method, params, send, socket }) => {
     if (method === "session.hello" && params.resume) {
-      say({ id, error: { code: -32004, message: "no such session is kept" } });
+      send({ id, error: { code: -32004, message: "no such session is kept" } });
     } else if (method === "session.hello") {
-      say({ id, result: welcome([], 0, `k${at}`) });
-    } else if (method === "call.offer" && at === 0) {
-      if (params.call === 1) say({ id, result: { call: 1, exchange_call: 1, answer: "stands" } });
+      send({ id, result: welcome([], 0, `k${connection}`) });
+    } else if (method === "call.offer" && connection === 0) {
+      if (params.call === 1) send({ id, result: { call: 1, exchange_call: 1, answer: "stands" } });
       else socket.terminate();
     }
   });
-  const client = dial();
-  const happened = [];
-  client.on((happening) => happened.push(happening));
+  const client = newClient();
+  const events = [];
+  client.on((event) => events.push(event));
   await client.opened();
-  assert.equal((await client.call(wish())).answer, "stands");
-  assert.equal((await client.call(wish())).answer, "lost");
-  await rest(20);
-  assert.ok(happened.some(({ what, call }) => what === "ended" && call === 1));
+  assert.equal((await client.call(offer())).answer, "stands");
+  assert.equal((await client.call(offer())).answer, "lost");
+  await sleep(20);
+  assert.ok(events.some(({ what, call }) => what === "ended" && call === 1));
   assert.equal(client.calls, 0);
   client.close();
   close();
 });
 
-test("a client that is denied does not come back", async () => {
+test("a client that is denied does not reconnect", async () => {
   let hellos = 0;
-  const { client: dial, close } = await server(({ id, say }) => {
+  const { newClient, close } = await startServer(({ id, send }) => {
     hellos += 1;
-    say({ id, error: { code: -32004, message: "no token" } });
+    send({ id, error: { code: -32004, message: "no token" } });
   });
-  const client = dial();
+  const client = newClient();
   await assert.rejects(client.opened(), /no token/);
-  await rest(150);
+  await sleep(150);
   assert.equal(hellos, 1);
   close();
 });
 
-test("waits grow, keep to what was told, and are forgotten only after a steady connection", () => {
-  const back = new ComeBack(undefined, () => 1);
-  assert.deepEqual([0, 0, 0].map(() => back.failed(0)), [100, 200, 400]);
-  assert.equal(back.failed(0, 3000), 3800);
-  back.opened(0);
-  assert.equal(back.failed(500), 1600);
-  back.opened(1000);
-  assert.equal(back.failed(12_000), 100);
-  back.opened(12_100);
-  assert.deepEqual([0, 0, 0].map(() => back.failed(12_200, 0, 1000)), [200, 250, 250], "the session is kept for a second");
+test("delays grow, the wait of the server is kept, and only a stable connection resets the failures", () => {
+  const backoff = new ComeBack(undefined, () => 1);
+  assert.deepEqual([0, 0, 0].map(() => backoff.failed(0)), [100, 200, 400]);
+  assert.equal(backoff.failed(0, 3000), 3800);
+  backoff.opened(0);
+  assert.equal(backoff.failed(500), 1600);
+  backoff.opened(1000);
+  assert.equal(backoff.failed(12_000), 100);
+  backoff.opened(12_100);
+  assert.deepEqual(
+    [0, 0, 0].map(() => backoff.failed(12_200, 0, 1000)),
+    [200, 250, 250],
+    "at most a quarter of the second for which the session is kept",
+  );
 });
 
-test("what is offered again is bounded by number, time and credit", () => {
+test("redials are limited by count, time left and credit", () => {
   const plan = { offers: 3, first: 250, earned: 0.5, mostSaved: 1, leastLeft: 300 };
   const redial = new Redial(plan, () => 0);
   assert.equal(redial.again(5000, 3), undefined);
   assert.equal(redial.again(1000, 1, 900), undefined);
-  assert.equal(redial.again(5000, 1, 900), 900 + 125, "a draw behind the told wait");
-  assert.equal(redial.again(5000, 1), undefined, "spent");
+  assert.equal(redial.again(5000, 1, 900), 900 + 125, "the jittered delay is added to the wait of the server");
+  assert.equal(redial.again(5000, 1), undefined, "no credit is left");
   redial.firstOffer();
   redial.firstOffer();
   assert.equal(redial.again(5000, 1), 125);
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -184,7 +184,7 @@
         }
     }
 
-    // Connection: called by the owner, which does the I/O.
+    // Connection. The owner does the I/O.
 
     /// Whether the owner must open a connection now. Returns `true` once per attempt; the owner then reports the result by
     /// [`Session::on_connected`] or [`Session::on_connection_lost`].
@@ -535,7 +535,7 @@
         }
     }
 
-    // Calls and requests: called by the owner for its user.
+    // Calls and requests.
 
     /// Offers a call, under a number that no call in progress has. `offer.time_left_ms` counts from now. While the session is
     /// not open, the offer is kept and then sent with the time that is left.
