--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -128,11 +128,11 @@
             self.counters.cuts += 1;
             if gone {
                 self.counters.gone += 1;
-                let calls: Vec<u64> = self.sessions[&client].in_hand().collect();
+                let calls: Vec<u64> = self.sessions[&client].call_numbers().collect();
                 calls.into_iter().for_each(|call| simulation.client_lost(now, client.0, call, observer));
                 self.start_session(now, client);
             } else if let Some(session) = self.sessions.get_mut(&client) {
-                session.lost(now, "cut by the script");
+                session.on_connection_lost(now, "cut by the script");
             }
             cut.push(client);
         }
@@ -162,7 +162,7 @@
                     office,
                     call, "outcome of the call unknown: its session ended or no answer came in time"
                 ),
-                Event::Fault { call, code, why } => {
+                Event::OfferError { call, code, why } => {
                     info!(office, call, code, "controller answered with an error: {why}")
                 }
                 Event::Denied { why } => info!(office, "controller denied the session: {why}"),
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -608,7 +608,7 @@
             }
         }
         let now = self.now();
-        self.clients[index].session.lost(now, "cut by the script");
+        self.clients[index].session.on_connection_lost(now, "cut by the script");
         self.process_session(index);
     }
 
@@ -616,7 +616,7 @@
     /// its timer.
     fn process_session(&mut self, index: usize) {
         let now = self.now();
-        if self.clients[index].session.wants_dial(now) {
+        if self.clients[index].session.should_connect(now) {
             self.dial(index);
         }
         while let Some(event) = self.clients[index].session.next_event() {
@@ -683,7 +683,7 @@
                     self.collectors[collector].result.lost += 1;
                 }
             }
-            Event::Fault { call, .. } => {
+            Event::OfferError { call, .. } => {
                 if let Some((_, collector)) = client.waiting.remove(&call) {
                     self.collectors[collector].result.rejected += 1;
                 }
@@ -715,7 +715,7 @@
             }
             Err(error) => {
                 let now = self.now();
-                self.clients[index].session.lost(now, &error.to_string());
+                self.clients[index].session.on_connection_lost(now, &error.to_string());
             }
         }
     }
@@ -732,7 +732,7 @@
             connection.connected = true;
             let _ = connection.stream.set_nodelay(true);
             let now = self.now();
-            self.clients[index].session.dialled(now, to);
+            self.clients[index].session.on_connected(now, to);
             self.process_session(index);
         }
         if writable {
@@ -767,14 +767,14 @@
         let (index, now) = (connection.client, self.now());
         if self.clients[index].token == Some(token) {
             self.clients[index].token = None;
-            self.clients[index].session.lost(now, why);
+            self.clients[index].session.on_connection_lost(now, why);
             self.process_session(index);
         }
     }
 
     fn write(&mut self, index: usize) {
         let client = &mut self.clients[index];
-        let out = std::mem::take(client.session.out());
+        let out = std::mem::take(client.session.output());
         let Some(token) = client.token else { return };
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.out.push(&out);
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -387,7 +387,7 @@
             if session.next_timer().is_some_and(|at| at <= now) {
                 session.on_timer(now);
             }
-            if session.wants_dial(now) {
+            if session.should_connect(now) {
                 let address = self.processes.get(&client.0).and_then(|process| process.ready.as_ref()?.calls);
                 let stream =
                     address.ok_or_else(|| io::ErrorKind::NotConnected.into()).and_then(TcpStream::connect);
@@ -406,7 +406,7 @@
         let now = self.now();
         self.clients.process_events(now, client, &mut self.simulation, self.observer);
         let Some(session) = self.clients.session(client) else { return };
-        let out = std::mem::take(session.out());
+        let out = std::mem::take(session.output());
         if !out.is_empty() {
             self.send(Purpose::Client(client), &[&out]);
         }
@@ -481,7 +481,7 @@
             connection.connecting = false;
             let now = self.now();
             if let Some(session) = self.clients.session(client) {
-                session.dialled(now, to);
+                session.on_connected(now, to);
             }
             self.process_client(client);
         }
@@ -680,7 +680,7 @@
 
 fn session_lost(clients: &mut ClientPool, now: Duration, client: ClientId, why: &str) {
     if let Some(session) = clients.session(client) {
-        session.lost(now, why);
+        session.on_connection_lost(now, why);
     }
 }
 
