--- a/clients/typescript/src/messages.ts
+++ b/clients/typescript/src/messages.ts
@@ -22,7 +22,7 @@
       answer: "fails";
     };
 /**
- * What `call.news` tells of a call.
+ * An event of a call, as sent in `call.news`.
  */
 export type CallEvent = CallEvent1 & {
   customer: number;
@@ -52,12 +52,12 @@
  */
 export type How = "hung_up" | "released" | "cut";
 /**
- * The result of `call.get`, and what `session.hello` tells of each call taken up.
+ * The result of `call.get`; `session.hello` also lists one for each call resumed with the session.
  */
 export type CallState = {
   call: number;
   /**
-   * The number that the exchange gave it; 0 while it waits for its turn.
+   * The number that the exchange gave the call; 0 while the call is queued for admission.
    */
   exchange_call: number;
 } & CallState1;
@@ -100,33 +100,33 @@
   Welcome?: Welcome;
 }
 /**
- * A call's way through one exchange.
+ * The trace of a call through one exchange.
  */
 export interface CallTrace {
   /**
-   * The number of the call here.
+   * The number of the call at this exchange.
    */
   call: number;
   customer: number;
   dest: number;
   /**
-   * Steps that there was no room for.
+   * How many steps were not recorded for lack of room.
    */
   left_out: number;
   number: number;
   /**
-   * The exchange that took it, and the number it gave it.
+   * The exchange to which the call was offered; `origin_call` is the number that it gave the call.
    */
   origin: number;
   origin_call: number;
   /**
-   * Each has `step`, its name, `at_ms`, milliseconds since the first, and what belongs to it.
+   * Each step has its name in `step`, the milliseconds since the first step in `at_ms`, and fields of its own.
    */
   steps: unknown[];
   type: number;
 }
 /**
- * `call.cancel`: gives up a call that has no answer yet; it gets its answer, `fails`, at once.
+ * `call.cancel`: gives up an unanswered call; its final answer is `fails` and is sent at once.
  */
 export interface Cancel {
   call: number;
@@ -145,37 +145,37 @@
   how: How;
 }
 /**
- * `call.get`: asks where a call is.
+ * `call.get`: requests the state of a call.
  */
 export interface Get {
   call: number;
 }
 /**
- * `call.hangup`: the caller gives up, or ends a call that stands.
+ * `call.hangup`: the caller gives up an unanswered call, or ends a standing one.
  */
 export interface Hangup {
   call: number;
 }
 /**
- * `session.hello`: says who asks, where the controller wants to know.
+ * `session.hello`: identifies the client, where the controller requires it, and sets up or resumes a session.
  */
 export interface Hello {
   /**
-   * What the client calls itself, for the log.
+   * The client's name for the log.
    */
   client: string;
   /**
-   * Keep the session for a while after a cut: the result tells its key.
+   * Asks that the session be kept for some time after a lost connection. The result carries the session's key.
    */
   resumable?: boolean;
   /**
-   * The key of a session that was cut, to be taken up here; nothing may have been asked for before.
+   * The key of a session to resume here after a lost connection. Must come before any other request.
    */
   resume?: string | null;
   token?: string | null;
 }
 /**
- * Notification `call.news.missed`: so many events were more than are kept for a slow reader.
+ * Notification `call.news.missed`: `count` events were dropped because the client read too slowly.
  */
 export interface MissedNote {
   count: number;
@@ -186,28 +186,28 @@
 export interface NewsNote {
   event: CallEvent;
   /**
-   * One more than that of the event before, whether or not this session may see that one.
+   * One more than the number of the previous event, even if this session may not see that event.
    */
   number: number;
 }
 /**
- * `call.offer`: asks for a call. Its result is the call's one final answer.
+ * `call.offer`: requests a call. The result is the call's only final answer.
  */
 export interface Offer {
   /**
-   * The tandem that a centre advises.
+   * The tandem exchange that a routing centre advises.
    */
   advised?: number | null;
   /**
-   * The client's own number for it, not in use on this line.
+   * The client's own number for the call. No other call of the session may be using it.
    */
   call: number;
   /**
-   * Which customer's subscriber calls.
+   * The customer to which the calling subscriber belongs.
    */
   customer?: number;
   /**
-   * It stood, was cut, and comes again.
+   * The call was standing, was cut, and is offered again.
    */
   cut?: boolean;
   /**
@@ -215,79 +215,85 @@
    */
   dest: number;
   /**
-   * The number dialled there.
+   * The number dialled at the destination exchange.
    */
   number: number;
   /**
-   * Its caller dials again.
+   * The caller redials.
    */
   redial?: boolean;
   /**
-   * How long the caller waits for the final answer, milliseconds.
+   * How long the caller waits for the final answer, in milliseconds.
    */
   time_left_ms: number;
   /**
-   * Position in the configuration's list of call types.
+   * Index in the configuration's list of call types.
    */
   type?: number;
 }
 /**
- * What a session may do here; beyond it, errors and refusals say so.
+ * The limits of a session at this exchange. Requests beyond them are answered by errors or by refused calls.
  */
 export interface SessionLimits {
+  /**
+   * Calls in hand per customer.
+   */
   calls_a_customer: number;
   /**
-   * Calls in hand in one session, and of one customer.
+   * Calls in hand per session.
    */
   calls_a_session: number;
   /**
-   * How long a resumable session is kept after a cut, milliseconds.
+   * How long a resumable session is kept after its connection is lost, in milliseconds.
    */
   kept_ms: number;
   /**
-   * Offers, and requests of any kind, a second.
+   * Offers per second.
    */
   offers_per_s: number;
   /**
-   * How long an answer is remembered for an offer that comes again under its number, milliseconds.
+   * How long a final answer is kept for an offer that is repeated under the same number, in milliseconds.
    */
   repeat_ms: number;
+  /**
+   * Requests of any kind per second, offers included.
+   */
   requests_per_s: number;
   /**
-   * Octets of the longest text.
+   * The maximum length of a message in octets.
    */
   text_octets: number;
 }
 /**
- * `calls.subscribe`: what happens to calls is told as `call.news` from now on, or from a cursor.
+ * `calls.subscribe`: subscribes to the events of calls, sent as `call.news`, from now on or from a cursor.
  */
 export interface Subscribe {
   /**
-   * The number of the first event wanted: one more than the last that was heard.
+   * The number of the first event wanted: one more than that of the last event received.
    */
   cursor?: number | null;
 }
 /**
- * The result of `calls.subscribe`: the number of the first event that will be told.
+ * The result of `calls.subscribe`: the number of the first event that will be sent.
  */
 export interface Subscribed {
   cursor: number;
 }
 /**
- * `trace.get`: asks what became of a call, step by step.
+ * `trace.get`: requests the recorded steps of a call.
  */
 export interface TraceGet {
   /**
-   * The number that the exchange which took it gave it.
+   * The number given to the call by the exchange to which it was offered.
    */
   exchange_call: number;
   /**
-   * That exchange, if another.
+   * The number of that exchange, if it is not this one.
    */
   origin?: number | null;
 }
 /**
- * The result of `trace.get`: what became of the call here, oldest step first.
+ * The result of `trace.get`: the steps of the call at this exchange, oldest first.
  */
 export interface Traced {
   traces: CallTrace[];
@@ -297,22 +303,22 @@
  */
 export interface Welcome {
   /**
-   * Calls in hand that were taken up with the session.
+   * Calls in hand that were resumed with the session.
    */
   calls: CallState[];
   exchange: number;
   limits: SessionLimits;
   /**
-   * Texts that were to be said while it was cut: so many follow this one.
+   * How many messages became due while the connection was lost. They follow this result.
    */
   owed: number;
   server: string;
   /**
-   * The session's key, where it is resumable.
+   * The session's key, if the session is resumable.
    */
   session?: string | null;
   /**
-   * The token's name, where one was presented.
+   * The name of the token, if the client presented one.
    */
   token?: string | null;
   version: string;
