--- a/crates/lab/tests/second_tries.rs
+++ b/crates/lab/tests/second_tries.rs
@@ -55,7 +55,7 @@
         panic!("{why}");
     }
     fn answer(&mut self, _: CallId, _: Answer) {}
-    fn ended(&mut self, _: CallId, _: CallEnd) {}
+    fn call_ended(&mut self, _: CallId, _: CallEnd) {}
     fn log_info(&mut self, _: &str) {}
 }
 
@@ -109,9 +109,10 @@
         let news = json!({ "version": 1, "entries": [entry(1), entry(2), entry(3), entry(4)] });
         let note =
             mintstall_membership::DirectoryNotification::Membership(serde_json::from_value(news).unwrap());
-        first.feed_note(START, &mut wires, &note);
-        let tandem =
-            |no: u16| CallControl::new(START, &config(no, &[(1, 310), (DEST, 310)]).plan(), 1, no.into());
+        first.on_directory_notification(START, &mut wires, &note);
+        let tandem = |no: u16| {
+            CallControl::new(START, &config(no, &[(1, 310), (DEST, 310)]).call_control_config(), 1, no.into())
+        };
         let (tandems, set_ups) = (TANDEMS.map(|no| (no, tandem(no))).into(), BTreeMap::new());
         let mut net = Self { now: START, first, tandems, wires, far, line, set_ups };
         for to in [DEST, TANDEMS[0], TANDEMS[1]] {
@@ -120,7 +121,7 @@
         for no in TANDEMS {
             net.wires.from = no;
             let office = net.tandems.get_mut(&no).unwrap();
-            office.roster(START, &mut net.wires, &lines);
+            office.on_membership(START, &mut net.wires, &lines);
             [1, DEST].iter().for_each(|to| office.link_up(START, &mut net.wires, ExchangeNumber(*to)));
         }
         net.carry();
@@ -234,7 +235,7 @@
         };
         let text = RequestMessage { id: Some(json!(call)), request: Request::Offer(offer) }.text();
         let now = self.now;
-        self.first.line_text(now, &mut self.wires, self.line, text.as_bytes());
+        self.first.line_message(now, &mut self.wires, self.line, text.as_bytes());
         self.carry();
     }
 }
@@ -267,7 +268,7 @@
             (wish.offers, wish.at) = (wish.offers + 1, Duration::MAX);
             let (left, again) = (wish.until.saturating_sub(net.now), wish.offers > 1);
             if !again {
-                redial.first_offer();
+                redial.on_first_offer();
             }
             let name = no + u64::from(wish.offers);
             of_call.entry(no).or_default().0 += 1;
@@ -285,7 +286,7 @@
                 FinalAnswer::Refused { come_back_ms } => Some(Duration::from_millis(come_back_ms.into())),
                 FinalAnswer::Fails => None,
             };
-            match redial.again(net.now, wish.until, wish.offers, told) {
+            match redial.next_offer_at(net.now, wish.until, wish.offers, told) {
                 Ok(at) => wish.at = at,
                 Err(_) => _ = wishes.remove(&no),
             }
