--- a/crates/lab/tests/retry_bounds.rs
+++ b/crates/lab/tests/retry_bounds.rs
@@ -274,7 +274,8 @@
     const CALLS: u64 = 300;
     let mut network = Network::new(dest_behavior, direct_circuits);
     let mut redial_budget = RedialBudget::new(RedialPolicy::default(), 1);
-    // Both maps are keyed by the client's call; keys are multiples of 10. An offer's number is the key plus the count of offers.
+    // Both maps are keyed by the client's call; keys are multiples of 10. An offer's number is the key plus the count of
+    // offers.
     let mut waiting: BTreeMap<u64, ClientCall> = BTreeMap::new();
     // Numbers of offers, of set-ups by exchange 1 and of onward set-ups.
     let mut attempts: BTreeMap<u64, (u32, u32, u32)> = BTreeMap::new();
@@ -288,7 +289,8 @@
     while let Some((key, at)) =
         waiting.iter().map(|(key, call)| (*key, call.next_offer_at)).min_by_key(|(_, at)| *at)
     {
-        // Time advances in steps of at most 10 ms, so that answers that arrive before the next offer are handled when they arrive.
+        // Time advances in steps of at most 10 ms, so that an answer that arrives before the next offer is handled soon after
+        // its arrival.
         let step = (network.now + Duration::from_millis(10)).min(at);
         network.run_until(step.max(network.now));
         if network.now >= at {
--- a/crates/lab/tests/rule_checker.rs
+++ b/crates/lab/tests/rule_checker.rs
@@ -71,8 +71,8 @@
     assert_passed(&checked(&day, &mut PassThrough));
 }
 
-/// Sends a second set-up for some of an exchange's own calls. With `at_once`, it follows a set-up directly, each time set-ups have
-/// been sent on 40 circuits; otherwise it directly follows the release of a seizure that timed out.
+/// Sends a second set-up for some of an exchange's own calls. With `at_once` it directly follows a set-up, each time set-ups
+/// have been sent on 40 circuits; otherwise it directly follows the release of a seizure that timed out.
 struct ExtraSetUps {
     at_once: bool,
     /// The set-up sent last on each circuit, by exchange, destination and CIC.
