--- a/crates/lab/src/far.rs
+++ b/crates/lab/src/far.rs
@@ -40,7 +40,7 @@
     }
 
     pub fn counters(&self) -> FarCounters {
-        lock(&self.far).tally
+        lock(&self.far).counters
     }
 
     /// Changes the plan for set-ups that arrive from now on.
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -528,7 +528,7 @@
             match purpose {
                 Purpose::Line(office) => match ServerMessage::read(&text) {
                     Ok(ServerMessage::Answered(result)) => {
-                        self.simulation.answered(
+                        self.simulation.call_answered(
                             now,
                             office,
                             result.call,
--- a/crates/lab/src/rule_checker.rs
+++ b/crates/lab/src/rule_checker.rs
@@ -624,8 +624,8 @@
             Observation::Answered { office, call, exchange_call, answer } => {
                 self.on_answer(at, office, call, exchange_call, answer);
             }
-            Observation::MembershipDelivered { office, whole, entries } => {
-                self.on_membership(at, office, whole, entries)
+            Observation::MembershipDelivered { office, is_full, entries } => {
+                self.on_membership(at, office, is_full, entries)
             }
             Observation::Started { office } => self.controller_started(office),
             Observation::Killed { office } => self.controller_killed(at, office),
