--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -24,6 +24,7 @@
     pub passed: bool,
     /// Revenue of calls that stood within their target and were not cut, over the revenue offered.
     pub service: f64,
+    /// The lowest share of revenue served in a window of 10 s.
     pub worst_window: f64,
     pub score: Score,
     pub verdict: Verdict,
