--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -355,7 +355,7 @@
                         controller.calls.remove(&number);
                     }
                     for _ in 0..self.interceptor.answer_copies(now, office, number) {
-                        self.simulation.answered(now, office, number, call.0, answer, observer);
+                        self.simulation.call_answered(now, office, number, call.0, answer, observer);
                     }
                 }
                 Output::Ended(call, end) => {
