--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -157,8 +157,12 @@
         let day = Day::default();
         let report = |rule_broken: bool| {
             let mut rule_checker = RuleChecker::new(&day.rules, Duration::ZERO, Duration::ZERO);
-            let answer =
-                Observation::Answered { office: 1, call: 1, exchange_call: 1, answer: FinalAnswer::Fails };
+            let answer = Observation::Answered {
+                exchange_number: 1,
+                call: 1,
+                exchange_call: 1,
+                answer: FinalAnswer::Fails,
+            };
             if rule_broken {
                 rule_checker.observe(Duration::ZERO, answer);
             }
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -84,7 +84,7 @@
 }
 
 fn config(exchange: SocketAddr, bus: SocketAddr) -> Value {
-    let target = |uid: &str, office: u16, at: SocketAddr| json!({"uid": uid, "endpoint": at, "az": "east", "pod_group": office, "state": "in_service", "boot_ms": 0});
+    let target = |uid: &str, exchange_number: u16, at: SocketAddr| json!({"uid": uid, "endpoint": at, "az": "east", "pod_group": exchange_number, "state": "in_service", "boot_ms": 0});
     let targets = [target("own", 0, exchange), target("one", 1, exchange)];
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "bus": bus,
--- a/crates/daemon/src/exchange.rs
+++ b/crates/daemon/src/exchange.rs
@@ -165,7 +165,7 @@
 pub fn exchange_entries(members: &[mintstall_membership::Member]) -> Vec<ExchangeEntry> {
     let entry = |member: &mintstall_membership::Member| ExchangeEntry {
         id: ExchangeId(member.entry.exchange),
-        number: ExchangeNumber(member.entry.office),
+        number: ExchangeNumber(member.entry.exchange_number),
         zone: Zone(member.entry.region),
         status: match member.entry.status {
             MemberStatus::Ready => ExchangeStatus::Ready,
@@ -884,7 +884,7 @@
         self.directory_decoder = LineDecoder::new(MAX_DIRECTORY_MESSAGE_OCTETS);
         transport.send_to_directory(
             &ControllerNotification::RequestFullList(FullListRequest {
-                office: self.call_control.own().0,
+                exchange_number: self.call_control.own().0,
                 held_version: self.membership.version(),
             })
             .text(),
@@ -910,9 +910,9 @@
                     }
                     Err(error) => {
                         transport.log_info(&format!("directory: ignoring an invalid notification: {error}"));
-                        let (office, why) = (self.call_control.own().0, error.to_string());
+                        let (exchange_number, why) = (self.call_control.own().0, error.to_string());
                         transport.send_to_directory(
-                            &ControllerNotification::Rejected { office, version: 0, why }.text(),
+                            &ControllerNotification::Rejected { exchange_number, version: 0, why }.text(),
                         );
                     }
                 },
@@ -934,21 +934,26 @@
     ) -> bool {
         match notification {
             DirectoryNotification::Membership(update) => {
-                let office = self.call_control.own().0;
+                let exchange_number = self.call_control.own().0;
                 let (outcome, change) = self.membership.apply(now, update);
                 match outcome {
-                    UpdateOutcome::Accepted { version } => transport
-                        .send_to_directory(&ControllerNotification::Accepted { office, version }.text()),
+                    UpdateOutcome::Accepted { version } => transport.send_to_directory(
+                        &ControllerNotification::Accepted { exchange_number, version }.text(),
+                    ),
                     UpdateOutcome::Rejected { version, reason } => {
                         transport.log_info(&format!("membership version {version} rejected: {reason}"));
                         transport.send_to_directory(
-                            &ControllerNotification::Rejected { office, version, why: reason.to_string() }
-                                .text(),
+                            &ControllerNotification::Rejected {
+                                exchange_number,
+                                version,
+                                why: reason.to_string(),
+                            }
+                            .text(),
                         );
                         if matches!(reason, RejectReason::Gap { .. } | RejectReason::NoBaseVersion { .. }) {
                             transport.send_to_directory(
                                 &ControllerNotification::RequestFullList(FullListRequest {
-                                    office,
+                                    exchange_number,
                                     held_version: None,
                                 })
                                 .text(),
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -437,9 +437,9 @@
         let now = self.now();
         if config.directory.is_none() {
             let all = config.signalling.links.iter().map(|link| link.to).chain([config.exchange]);
-            let entry = |office: u16| mintstall_membership::MemberEntry {
-                exchange: office.into(),
-                office,
+            let entry = |exchange_number: u16| mintstall_membership::MemberEntry {
+                exchange: exchange_number.into(),
+                exchange_number,
                 region: 0,
                 status: mintstall_membership::MemberStatus::Ready,
                 age_ms: None,
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -24,8 +24,7 @@
 
 /// Membership with both exchanges ready.
 pub fn membership() -> DirectoryNotification {
-    let entry =
-        |office: u16| json!({ "exchange": office, "office": office, "region": 0, "standing": "ready" });
+    let entry = |exchange_number: u16| json!({ "exchange": exchange_number, "office": exchange_number, "region": 0, "standing": "ready" });
     let update = json!({ "version": 1, "entries": [entry(1), entry(2)] });
     DirectoryNotification::Membership(serde_json::from_value(update).unwrap())
 }
--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -142,17 +142,17 @@
         let time_left = caller.deadline.saturating_sub(now);
         let is_current = caller.state == State::Attempting { offered: false }
             && offer.call == call_number(id, caller.attempts);
-        let office = caller.from;
-        if !is_current || time_left.is_zero() || !self.exchanges[usize::from(office) - 1].running {
+        let exchange_number = caller.from;
+        if !is_current || time_left.is_zero() || !self.exchanges[usize::from(exchange_number) - 1].running {
             return;
         }
         caller.state = State::Attempting { offered: true };
         offer.time_left_ms = time_left.as_millis() as u32;
         if self.day.advice {
-            offer.advised = self.advice(now, office, offer.dest);
+            offer.advised = self.advice(now, exchange_number, offer.dest);
         }
-        observer.observe(now, Observation::Offered { office, offer: &offer });
-        actions.push(Action::Offer { office, offer });
+        observer.observe(now, Observation::Offered { exchange_number, offer: &offer });
+        actions.push(Action::Offer { exchange_number, offer });
     }
 
     /// The caller gives up its attempt, unless it ended before.
@@ -166,9 +166,9 @@
     ) {
         let Some(caller) = self.callers.get(&id).filter(|caller| caller.attempts == attempt) else { return };
         let State::Attempting { offered } = caller.state else { return };
-        let (office, call) = (caller.from, call_number(id, attempt));
+        let (exchange_number, call) = (caller.from, call_number(id, attempt));
         if offered {
-            self.send_hang_up(now, office, call, observer, actions);
+            self.send_hang_up(now, exchange_number, call, observer, actions);
         }
         self.on_attempt_failed(
             now,
@@ -218,13 +218,13 @@
     pub fn call_answered(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         call: u64,
         exchange_call: u64,
         answer: FinalAnswer,
         observer: &mut dyn Observer,
     ) {
-        observer.observe(now, Observation::Answered { office, call, exchange_call, answer });
+        observer.observe(now, Observation::Answered { exchange_number, call, exchange_call, answer });
         let (id, draw) = (call >> 8, self.rng.random::<f64>());
         let Some(caller) = self.callers.get_mut(&id) else { return };
         if call != call_number(id, caller.attempts) || caller.state != (State::Attempting { offered: true }) {
@@ -253,14 +253,14 @@
     fn send_hang_up(
         &self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         call: u64,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        if self.exchanges[usize::from(office) - 1].running {
-            observer.observe(now, Observation::HungUp { office, call });
-            actions.push(Action::HangUp { office, call });
+        if self.exchanges[usize::from(exchange_number) - 1].running {
+            observer.observe(now, Observation::HungUp { exchange_number, call });
+            actions.push(Action::HangUp { exchange_number, call });
         }
     }
 
@@ -277,8 +277,8 @@
         if caller.state != State::Standing {
             return;
         }
-        let (office, late) = (caller.from, caller.earned < caller.revenue);
-        self.send_hang_up(now, office, call_number(id, attempt), observer, actions);
+        let (exchange_number, late) = (caller.from, caller.earned < caller.revenue);
+        self.send_hang_up(now, exchange_number, call_number(id, attempt), observer, actions);
         self.finish_caller(id, if late { Outcome::Late } else { Outcome::Served });
     }
 
@@ -287,12 +287,12 @@
     pub fn call_ended(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         call: u64,
         how: EndReason,
         observer: &mut dyn Observer,
     ) {
-        observer.observe(now, Observation::Ended { office, call, how });
+        observer.observe(now, Observation::Ended { exchange_number, call, how });
         self.on_call_cut(now, call >> 8, Some(call));
     }
 
@@ -315,8 +315,14 @@
     }
 
     /// The client that offered a call disconnected for good.
-    pub fn client_lost(&mut self, now: Duration, office: u16, call: u64, observer: &mut dyn Observer) {
-        observer.observe(now, Observation::ClientLost { office, call });
+    pub fn client_lost(
+        &mut self,
+        now: Duration,
+        exchange_number: u16,
+        call: u64,
+        observer: &mut dyn Observer,
+    ) {
+        observer.observe(now, Observation::ClientLost { exchange_number, call });
         let caller =
             self.callers.get(&(call >> 8)).filter(|caller| call_number(call >> 8, caller.attempts) == call);
         match caller.map(|caller| caller.state) {
@@ -327,8 +333,8 @@
     }
 
     /// A controller was killed: its callers get no answer, and its standing calls are cut.
-    pub(crate) fn cut_standing_calls(&mut self, now: Duration, office: u16) {
-        let is_standing = |caller: &Caller| caller.from == office && caller.state == State::Standing;
+    pub(crate) fn cut_standing_calls(&mut self, now: Duration, exchange_number: u16) {
+        let is_standing = |caller: &Caller| caller.from == exchange_number && caller.state == State::Standing;
         let standing = self.callers.iter().filter(|(_, caller)| is_standing(caller));
         let standing: Vec<u64> = standing.map(|(id, _)| *id).collect();
         standing.into_iter().for_each(|id| self.on_call_cut(now, id, None));
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -5,37 +5,37 @@
 use mintstall_callapi::{EndReason, FinalAnswer, Offer};
 use mintstall_membership::MemberEntry;
 
-/// One observed message or event. `office`, `to` and `from` are exchange numbers, which are also point codes.
+/// One observed message or event. `exchange_number`, `to` and `from` are exchange numbers, which are also point codes.
 #[derive(Clone, Copy, Debug)]
 pub enum Observation<'a> {
     /// A controller sent a frame on its link to another exchange.
-    FrameSent { office: u16, to: u16, frame: &'a [u8] },
+    FrameSent { exchange_number: u16, to: u16, frame: &'a [u8] },
     /// A controller received a frame on its link to another exchange.
-    FrameReceived { office: u16, from: u16, frame: &'a [u8] },
+    FrameReceived { exchange_number: u16, from: u16, frame: &'a [u8] },
     /// A controller's link to another exchange was opened.
-    LinkUp { office: u16, to: u16 },
+    LinkUp { exchange_number: u16, to: u16 },
     /// A controller's link to another exchange was lost.
-    LinkDown { office: u16, to: u16 },
+    LinkDown { exchange_number: u16, to: u16 },
     /// A caller's call was offered to a controller.
-    Offered { office: u16, offer: &'a Offer },
+    Offered { exchange_number: u16, offer: &'a Offer },
     /// A controller gave a call its final answer.
-    Answered { office: u16, call: u64, exchange_call: u64, answer: FinalAnswer },
+    Answered { exchange_number: u16, call: u64, exchange_call: u64, answer: FinalAnswer },
     /// A caller hung up, before or after the final answer.
-    HungUp { office: u16, call: u64 },
+    HungUp { exchange_number: u16, call: u64 },
     /// The client that offered a call disconnected for good. If the call has no final answer yet, nobody receives it.
-    ClientLost { office: u16, call: u64 },
+    ClientLost { exchange_number: u16, call: u64 },
     /// A standing call ended, but not by its caller.
-    Ended { office: u16, call: u64, how: EndReason },
+    Ended { exchange_number: u16, call: u64, how: EndReason },
     /// A controller received entries of the membership list, all of them if `is_full`.
-    MembershipDelivered { office: u16, is_full: bool, entries: &'a [MemberEntry] },
+    MembershipDelivered { exchange_number: u16, is_full: bool, entries: &'a [MemberEntry] },
     /// A controller accepts calls from now on.
-    Started { office: u16 },
+    Started { exchange_number: u16 },
     /// A controller was killed or crashed.
-    Killed { office: u16 },
+    Killed { exchange_number: u16 },
     /// A processor started cold. When warm, it handles `set_ups` set-ups a second.
-    ColdStart { office: u16, set_ups: f64 },
+    ColdStart { exchange_number: u16, set_ups: f64 },
     /// A set-up from another exchange reached a processor.
-    SetUpArrived { office: u16, from: u16 },
+    SetUpArrived { exchange_number: u16, from: u16 },
     /// A fault of the script begins or ends.
     Fault { name: &'static str, begins: bool },
 }
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -23,25 +23,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// The controller starts; `incarnation` grows with each start.
-    Start { office: u16, incarnation: u32 },
+    Start { exchange_number: u16, incarnation: u32 },
     /// The controller is killed without notice.
-    Kill { office: u16 },
+    Kill { exchange_number: u16 },
     /// The controller's link to another exchange opens; only with [`LinkMode::InProcess`].
-    LinkUp { office: u16, to: u16 },
+    LinkUp { exchange_number: u16, to: u16 },
     /// The controller's link to another exchange is lost.
-    LinkDown { office: u16, to: u16 },
+    LinkDown { exchange_number: u16, to: u16 },
     /// The controller receives octets on a link.
-    LinkOctets { office: u16, from: u16, octets: Vec<u8> },
+    LinkOctets { exchange_number: u16, from: u16, octets: Vec<u8> },
     /// A caller's call is offered to the controller.
-    Offer { office: u16, offer: Offer },
+    Offer { exchange_number: u16, offer: Offer },
     /// The caller of a call hangs up.
-    HangUp { office: u16, call: u64 },
+    HangUp { exchange_number: u16, call: u64 },
     /// The controller receives a membership update.
-    Membership { office: u16, news: MembershipUpdate },
+    Membership { exchange_number: u16, news: MembershipUpdate },
     /// The number of circuits in service in a trunk group has changed.
-    CircuitsInService { office: u16, to: u16, in_service: u16 },
+    CircuitsInService { exchange_number: u16, to: u16, in_service: u16 },
     /// The exchange's processor reports how many set-ups it accepts a second.
-    ProcessorReport { office: u16, rate: f64 },
+    ProcessorReport { exchange_number: u16, rate: f64 },
 }
 
 /// Who opens the links between exchanges.
@@ -60,16 +60,16 @@
     GivesUp { caller: u64, attempt: u8 },
     HangsUp { caller: u64, attempt: u8 },
     FrameArrives { to: u16, from: u16, epoch: u32, frame: Vec<u8> },
-    JobDone { office: u16, generation: u64 },
-    DeliverJob { office: u16, job: Job },
+    JobDone { exchange_number: u16, generation: u64 },
+    DeliverJob { exchange_number: u16, job: Job },
     ConnectLink { a: u16, b: u16 },
-    SendMembership { office: u16 },
+    SendMembership { exchange_number: u16 },
     ProcessorReports,
     TrafficDrift,
     FaultBegins(usize),
     FaultEnds(usize),
-    StartController { office: u16 },
-    ReplaceMachine { office: u16 },
+    StartController { exchange_number: u16 },
+    ReplaceMachine { exchange_number: u16 },
     RestoreCircuits { a: u16, b: u16 },
 }
 
@@ -199,10 +199,10 @@
     pub fn new(day: &Day, link_mode: LinkMode) -> Self {
         let stream = |number: u64| Pcg64Mcg::seed_from_u64(day.seed.wrapping_mul(31).wrapping_add(number));
         let mut setup_rng = stream(1);
-        let offices: Vec<u16> = (1..=day.exchanges).collect();
-        let pairs: Vec<(u16, u16)> = offices
+        let exchange_numbers: Vec<u16> = (1..=day.exchanges).collect();
+        let pairs: Vec<(u16, u16)> = exchange_numbers
             .iter()
-            .flat_map(|a| offices.iter().map(move |b| (*a, *b)))
+            .flat_map(|a| exchange_numbers.iter().map(move |b| (*a, *b)))
             .filter(|(a, b)| a != b)
             .collect();
         let weights: Vec<f64> = pairs.iter().map(|_| setup_rng.random_range(0.4..1.6)).collect();
@@ -231,17 +231,17 @@
             .map(|(a, b, rate)| (*a, *b, rate * setup_rng.random_range(1.0 - miss..=1.0 + miss)))
             .collect();
         let work = &day.processor;
-        let exchanges = offices.iter().map(|office| {
+        let exchanges = exchange_numbers.iter().map(|exchange_number| {
             let rate_by = |end: fn(&(u16, u16, f64)) -> u16| {
-                planned.iter().filter(|flow| end(flow) == *office).map(|flow| flow.2).sum::<f64>()
+                planned.iter().filter(|flow| end(flow) == *exchange_number).map(|flow| flow.2).sum::<f64>()
             };
             let (outgoing, incoming) = (rate_by(|flow| flow.0), rate_by(|flow| flow.1));
             let work_ms = outgoing * (work.look_ms + work.set_up_ms + work.answer_ms)
                 + incoming * (work.set_up_ms + work.release_ms);
-            let true_speed = day.speeds[(usize::from(*office) - 1) % day.speeds.len()];
+            let true_speed = day.speeds[(usize::from(*exchange_number) - 1) % day.speeds.len()];
             Exchange {
-                id: u32::from(*office) * 100,
-                region: (usize::from(*office) - 1) % day.regions.len(),
+                id: u32::from(*exchange_number) * 100,
+                region: (usize::from(*exchange_number) - 1) % day.regions.len(),
                 processor: Processor::new((work_ms / 1e3 / work.busy).max(1e-6) * true_speed),
                 running: false,
                 incarnation: 0,
@@ -251,18 +251,19 @@
         });
         let exchanges: Vec<Exchange> = exchanges.collect();
         let mut link_directions: Vec<LinkDirection> =
-            (0..offices.len() * offices.len()).map(|_| LinkDirection::default()).collect();
+            (0..exchange_numbers.len() * exchange_numbers.len()).map(|_| LinkDirection::default()).collect();
         for (a, b) in &pairs {
             let same_region = exchanges[usize::from(*a) - 1].region == exchanges[usize::from(*b) - 1].region;
             let [min, max] = if same_region { day.network.same_ms } else { day.network.cross_ms };
             let delay = seconds((min + (max - min) * setup_rng.random::<f64>()) / 1e3);
-            link_directions[(usize::from(*a) - 1) * offices.len() + usize::from(*b) - 1].delay = delay;
+            link_directions[(usize::from(*a) - 1) * exchange_numbers.len() + usize::from(*b) - 1].delay =
+                delay;
         }
         let entry = |(index, exchange): (usize, &Exchange)| {
-            let (office, region) = (index as u16 + 1, exchange.region as u8);
+            let (exchange_number, region) = (index as u16 + 1, exchange.region as u8);
             let entry = MemberEntry {
                 exchange: exchange.id,
-                office,
+                exchange_number,
                 region,
                 status: MemberStatus::Ready,
                 age_ms: None,
@@ -281,7 +282,7 @@
             exchanges,
             in_service: groups.clone(),
             groups,
-            circuits_in_use: vec![0; offices.len() * offices.len()],
+            circuits_in_use: vec![0; exchange_numbers.len() * exchange_numbers.len()],
             free_circuits: (Duration::ZERO, Vec::new()),
             link_directions,
             hidden_release_completes: BTreeSet::new(),
@@ -302,8 +303,9 @@
         };
         simulation.update_cumulative_rates();
         if link_mode == LinkMode::InProcess {
-            offices.iter().for_each(|office| {
-                simulation.schedule(Duration::ZERO, Event::StartController { office: *office })
+            exchange_numbers.iter().for_each(|exchange_number| {
+                simulation
+                    .schedule(Duration::ZERO, Event::StartController { exchange_number: *exchange_number })
             });
         }
         // Links and trunk groups need time to open.
@@ -360,20 +362,24 @@
                     self.on_frame_arrival(at, to, from, frame, observer, actions);
                 }
             }
-            Event::JobDone { office, generation } => {
-                self.on_job_done(at, office, generation, observer, actions)
+            Event::JobDone { exchange_number, generation } => {
+                self.on_job_done(at, exchange_number, generation, observer, actions)
+            }
+            Event::DeliverJob { exchange_number, job } => {
+                self.deliver_job(at, exchange_number, job, observer, actions)
             }
-            Event::DeliverJob { office, job } => self.deliver_job(at, office, job, observer, actions),
             Event::ConnectLink { a, b } => {
                 if self.is_link_usable(a, b) && !self.direction(a, b).connected {
-                    for (office, to) in [(a, b), (b, a)] {
-                        self.direction(office, to).connected = true;
-                        observer.observe(at, Observation::LinkUp { office, to });
-                        actions.push(Action::LinkUp { office, to });
+                    for (exchange_number, to) in [(a, b), (b, a)] {
+                        self.direction(exchange_number, to).connected = true;
+                        observer.observe(at, Observation::LinkUp { exchange_number, to });
+                        actions.push(Action::LinkUp { exchange_number, to });
                     }
                 }
             }
-            Event::SendMembership { office } => self.send_membership(at, office, observer, actions),
+            Event::SendMembership { exchange_number } => {
+                self.send_membership(at, exchange_number, observer, actions)
+            }
             Event::ProcessorReports => self.send_processor_reports(at, actions),
             Event::TrafficDrift => {
                 self.change_traffic();
@@ -381,8 +387,12 @@
             }
             Event::FaultBegins(index) => self.begin_fault(at, index, observer, actions),
             Event::FaultEnds(index) => self.end_fault(at, index, observer, actions),
-            Event::StartController { office } => self.start_controller(at, office, observer, actions),
-            Event::ReplaceMachine { office } => self.replace_machine(at, office, observer, actions),
+            Event::StartController { exchange_number } => {
+                self.start_controller(at, exchange_number, observer, actions)
+            }
+            Event::ReplaceMachine { exchange_number } => {
+                self.replace_machine(at, exchange_number, observer, actions)
+            }
             Event::RestoreCircuits { a, b } => {
                 self.set_circuits(a, b, self.groups.get(&(a, b)).copied().unwrap_or(0), actions)
             }
@@ -461,31 +471,31 @@
     pub fn link_connected(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         to: u16,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        if !self.is_link_usable(office, to) {
-            return actions.push(Action::LinkDown { office, to });
+        if !self.is_link_usable(exchange_number, to) {
+            return actions.push(Action::LinkDown { exchange_number, to });
         }
-        self.direction(office, to).connected = true;
-        observer.observe(now, Observation::LinkUp { office, to });
-        let held_frames = std::mem::take(&mut self.direction(to, office).held_frames);
-        held_frames.into_iter().for_each(|frame| self.send_frame(now, to, office, frame));
+        self.direction(exchange_number, to).connected = true;
+        observer.observe(now, Observation::LinkUp { exchange_number, to });
+        let held_frames = std::mem::take(&mut self.direction(to, exchange_number).held_frames);
+        held_frames.into_iter().for_each(|frame| self.send_frame(now, to, exchange_number, frame));
     }
 
     /// A controller closed its link to another exchange, or ended.
     pub fn link_disconnected(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         to: u16,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        if self.direction(office, to).connected {
-            self.break_link(now, office, to, observer, actions);
+        if self.direction(exchange_number, to).connected {
+            self.break_link(now, exchange_number, to, observer, actions);
         }
     }
 
@@ -497,17 +507,17 @@
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        for (office, to) in [(a, b), (b, a)] {
-            let direction = self.direction(office, to);
+        for (exchange_number, to) in [(a, b), (b, a)] {
+            let direction = self.direction(exchange_number, to);
             direction.epoch += 1;
             direction.deframer = Deframer::default();
             direction.held_frames.clear();
             let was_connected = std::mem::take(&mut direction.connected);
-            self.exchanges[usize::from(to) - 1].processor.discard_frames_from(office);
+            self.exchanges[usize::from(to) - 1].processor.discard_frames_from(exchange_number);
             if was_connected {
-                observer.observe(now, Observation::LinkDown { office, to });
-                if self.exchanges[usize::from(office) - 1].running {
-                    actions.push(Action::LinkDown { office, to });
+                observer.observe(now, Observation::LinkDown { exchange_number, to });
+                if self.exchanges[usize::from(exchange_number) - 1].running {
+                    actions.push(Action::LinkDown { exchange_number, to });
                 }
             }
         }
@@ -530,28 +540,28 @@
     pub fn on_controller_octets(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         to: u16,
         octets: &[u8],
         observer: &mut dyn Observer,
     ) {
-        if !self.direction(office, to).connected {
+        if !self.direction(exchange_number, to).connected {
             return;
         }
-        let mut deframer = std::mem::take(&mut self.direction(office, to).deframer);
+        let mut deframer = std::mem::take(&mut self.direction(exchange_number, to).deframer);
         deframer.push(octets);
         while let Ok(Some(frame)) = deframer.next() {
-            observer.observe(now, Observation::FrameSent { office, to, frame });
+            observer.observe(now, Observation::FrameSent { exchange_number, to, frame });
             if type_and_circuit(frame).is_some_and(|(kind, _)| kind == IAM) {
                 // Sending a set-up costs the own processor `set_up_ms`, too. A refused call costs it only `look_ms`.
                 let work = self.day.processor.set_up_ms / 1e3;
                 let job = Job { work, payload: Payload::Nothing, set_up: None };
-                self.exchanges[usize::from(office) - 1].processor.push(job, false);
-                self.start_next_job(now, office);
+                self.exchanges[usize::from(exchange_number) - 1].processor.push(job, false);
+                self.start_next_job(now, exchange_number);
             }
-            self.send_frame(now, office, to, frame.to_vec());
+            self.send_frame(now, exchange_number, to, frame.to_vec());
         }
-        self.direction(office, to).deframer = deframer;
+        self.direction(exchange_number, to).deframer = deframer;
     }
 
     fn send_frame(&mut self, now: Duration, from: u16, to: u16, frame: Vec<u8>) {
@@ -599,7 +609,7 @@
         let frame_of = |frame| Payload::Frame { from, frame };
         match type_and_circuit(&frame) {
             Some((IAM, cic)) => {
-                observer.observe(now, Observation::SetUpArrived { office: to, from });
+                observer.observe(now, Observation::SetUpArrived { exchange_number: to, from });
                 if processor.wait(now) > max_wait && !processor.hung {
                     return self.reject_set_up(now, to, from, cic);
                 }
@@ -658,55 +668,59 @@
     fn deliver_frame(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         from: u16,
         frame: Vec<u8>,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        if self.exchanges[usize::from(office) - 1].running && self.direction(office, from).connected {
-            observer.observe(now, Observation::FrameReceived { office, from, frame: &frame });
-            actions.push(Action::LinkOctets { office, from, octets: frame });
+        if self.exchanges[usize::from(exchange_number) - 1].running
+            && self.direction(exchange_number, from).connected
+        {
+            observer.observe(now, Observation::FrameReceived { exchange_number, from, frame: &frame });
+            actions.push(Action::LinkOctets { exchange_number, from, octets: frame });
         }
     }
 
     // Processors
 
-    fn start_next_job(&mut self, now: Duration, office: u16) {
-        let processor = &mut self.exchanges[usize::from(office) - 1].processor;
+    fn start_next_job(&mut self, now: Duration, exchange_number: u16) {
+        let processor = &mut self.exchanges[usize::from(exchange_number) - 1].processor;
         if let Some(duration) = processor.start(now) {
             let generation = processor.generation;
-            self.schedule(now + duration, Event::JobDone { office, generation });
+            self.schedule(now + duration, Event::JobDone { exchange_number, generation });
         }
     }
 
     fn on_job_done(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         generation: u64,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        let processor = &mut self.exchanges[usize::from(office) - 1].processor;
+        let processor = &mut self.exchanges[usize::from(exchange_number) - 1].processor;
         if processor.generation != generation || processor.hung {
             return;
         }
         let job = processor.finish();
-        job.into_iter().for_each(|job| self.deliver_job(now, office, job, observer, actions));
-        self.start_next_job(now, office);
+        job.into_iter().for_each(|job| self.deliver_job(now, exchange_number, job, observer, actions));
+        self.start_next_job(now, exchange_number);
     }
 
     fn deliver_job(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         job: Job,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
         match job.payload {
-            Payload::Frame { from, frame } => self.deliver_frame(now, office, from, frame, observer, actions),
+            Payload::Frame { from, frame } => {
+                self.deliver_frame(now, exchange_number, from, frame, observer, actions)
+            }
             Payload::Offer { caller, offer } => self.deliver_offer(now, caller, offer, observer, actions),
             Payload::Nothing => {}
         }
@@ -732,7 +746,7 @@
             let wait = exchange.processor.wait(now);
             let free_share = (1.0 - wait * 1e3 / plan.full_wait_ms).clamp(0.05, 1.0);
             let rate = exchange.processor.pace(now) / (plan.set_up_ms / 1e3) * free_share;
-            actions.push(Action::ProcessorReport { office: index as u16 + 1, rate });
+            actions.push(Action::ProcessorReport { exchange_number: index as u16 + 1, rate });
         }
         if now < self.length {
             self.schedule(now + seconds(0.5), Event::ProcessorReports);
@@ -745,14 +759,14 @@
     fn update_directory(&mut self, now: Duration, entry: MemberEntry, started: Duration) {
         self.version += 1;
         self.entries.insert(entry.exchange, (self.version, entry, started));
-        for office in 1..=self.day.exchanges {
+        for exchange_number in 1..=self.day.exchanges {
             let [min, max] = self.day.directory.late_ms;
             let delay = seconds((min + (max - min) * self.rng.random::<f64>()) / 1e3) + self.directory_delay;
-            let exchange = &mut self.exchanges[usize::from(office) - 1];
+            let exchange = &mut self.exchanges[usize::from(exchange_number) - 1];
             let at = (now + delay).max(exchange.last_update_arrival);
             exchange.last_update_arrival = at;
             if exchange.running {
-                self.schedule(at, Event::SendMembership { office });
+                self.schedule(at, Event::SendMembership { exchange_number });
             }
         }
     }
@@ -761,11 +775,11 @@
     fn send_membership(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        let exchange = &self.exchanges[usize::from(office) - 1];
+        let exchange = &self.exchanges[usize::from(exchange_number) - 1];
         if !exchange.running {
             return;
         }
@@ -782,34 +796,40 @@
         }
         observer.observe(
             now,
-            Observation::MembershipDelivered { office, is_full: since.is_none(), entries: &entries },
+            Observation::MembershipDelivered { exchange_number, is_full: since.is_none(), entries: &entries },
         );
         let news = MembershipUpdate { version: self.version, since, entries };
-        self.exchanges[usize::from(office) - 1].delivered_version = self.version;
-        actions.push(Action::Membership { office, news });
+        self.exchanges[usize::from(exchange_number) - 1].delivered_version = self.version;
+        actions.push(Action::Membership { exchange_number, news });
     }
 
     /// A controller rejected an update: sends it the full list.
     pub fn resend_membership(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        if let Some(exchange) = self.exchanges.get_mut(usize::from(office).wrapping_sub(1)) {
+        if let Some(exchange) = self.exchanges.get_mut(usize::from(exchange_number).wrapping_sub(1)) {
             exchange.delivered_version = 0;
             // The controller would reject a full list of the version it has as outdated.
             self.version += 1;
-            self.send_membership(now, office, observer, actions);
+            self.send_membership(now, exchange_number, observer, actions);
         }
     }
 
-    fn set_member_status(&mut self, now: Duration, office: u16, status: MemberStatus, started: Duration) {
-        let exchange = &self.exchanges[usize::from(office) - 1];
+    fn set_member_status(
+        &mut self,
+        now: Duration,
+        exchange_number: u16,
+        status: MemberStatus,
+        started: Duration,
+    ) {
+        let exchange = &self.exchanges[usize::from(exchange_number) - 1];
         let entry = MemberEntry {
             exchange: exchange.id,
-            office,
+            exchange_number,
             region: exchange.region as u8,
             status,
             age_ms: None,
@@ -823,39 +843,41 @@
     fn kill_controllers(
         &mut self,
         now: Duration,
-        offices: &[u16],
+        exchange_numbers: &[u16],
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        let running = |office: &u16| self.exchanges[usize::from(*office) - 1].running;
-        let killed: Vec<u16> = offices.iter().copied().filter(running).collect();
-        for office in &killed {
-            self.exchanges[usize::from(*office) - 1].running = false;
-            observer.observe(now, Observation::Killed { office: *office });
-            actions.push(Action::Kill { office: *office });
+        let running = |exchange_number: &u16| self.exchanges[usize::from(*exchange_number) - 1].running;
+        let killed: Vec<u16> = exchange_numbers.iter().copied().filter(running).collect();
+        for exchange_number in &killed {
+            self.exchanges[usize::from(*exchange_number) - 1].running = false;
+            observer.observe(now, Observation::Killed { exchange_number: *exchange_number });
+            actions.push(Action::Kill { exchange_number: *exchange_number });
         }
-        for office in killed {
-            let others: Vec<_> = (1..=self.day.exchanges).filter(|other| *other != office).collect();
-            others.into_iter().for_each(|other| self.break_link(now, office, other, observer, actions));
-            self.cut_standing_calls(now, office);
+        for exchange_number in killed {
+            let others: Vec<_> = (1..=self.day.exchanges).filter(|other| *other != exchange_number).collect();
+            others
+                .into_iter()
+                .for_each(|other| self.break_link(now, exchange_number, other, observer, actions));
+            self.cut_standing_calls(now, exchange_number);
         }
     }
 
     fn start_controller(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        let exchange = &mut self.exchanges[usize::from(office) - 1];
+        let exchange = &mut self.exchanges[usize::from(exchange_number) - 1];
         if exchange.running {
             return;
         }
         exchange.incarnation += 1;
-        actions.push(Action::Start { office, incarnation: exchange.incarnation * 2 });
+        actions.push(Action::Start { exchange_number, incarnation: exchange.incarnation * 2 });
         if self.link_mode == LinkMode::InProcess {
-            self.controller_ready(now, office, observer, actions);
+            self.controller_ready(now, exchange_number, observer, actions);
         }
     }
 
@@ -863,59 +885,61 @@
     pub fn controller_ready(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        let exchange = &mut self.exchanges[usize::from(office) - 1];
+        let exchange = &mut self.exchanges[usize::from(exchange_number) - 1];
         exchange.running = true;
         // A restarted controller has its last list, and gets the full list as a new version.
         exchange.delivered_version = 0;
         self.version += u64::from(exchange.incarnation > 1);
-        observer.observe(now, Observation::Started { office });
-        self.send_membership(now, office, observer, actions);
-        for (a, b) in self.in_service.keys().copied().filter(|(a, b)| *a == office || *b == office) {
-            let (to, in_service) = (if a == office { b } else { a }, self.in_service[&(a, b)]);
+        observer.observe(now, Observation::Started { exchange_number });
+        self.send_membership(now, exchange_number, observer, actions);
+        for (a, b) in
+            self.in_service.keys().copied().filter(|(a, b)| *a == exchange_number || *b == exchange_number)
+        {
+            let (to, in_service) = (if a == exchange_number { b } else { a }, self.in_service[&(a, b)]);
             if in_service < self.groups[&(a, b)] {
-                actions.push(Action::CircuitsInService { office, to, in_service });
+                actions.push(Action::CircuitsInService { exchange_number, to, in_service });
             }
         }
-        self.connect_all(now, |a, b| a == office || b == office);
+        self.connect_all(now, |a, b| a == exchange_number || b == exchange_number);
     }
 
     /// An exchange's processor starts cold, with an empty queue and without faults.
-    fn start_cold(&mut self, now: Duration, office: u16, observer: &mut dyn Observer) {
+    fn start_cold(&mut self, now: Duration, exchange_number: u16, observer: &mut dyn Observer) {
         let rules = &self.day.rules;
         let (share, warm_up) = (rules.cold_share, Duration::from_millis(rules.warm_up_ms));
-        let processor = &mut self.exchanges[usize::from(office) - 1].processor;
+        let processor = &mut self.exchanges[usize::from(exchange_number) - 1].processor;
         processor.drain();
         (processor.hung, processor.slowdown, processor.ageing) = (false, 1.0, None);
         processor.cold = Some(ColdStart { started: now, share, warm_up });
         let set_ups = processor.speed / (self.day.processor.set_up_ms / 1e3);
-        observer.observe(now, Observation::ColdStart { office, set_ups });
+        observer.observe(now, Observation::ColdStart { exchange_number, set_ups });
     }
 
     /// Stops an exchange's machine and starts a new one in its place.
     fn replace_machine(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        self.kill_controllers(now, &[office], observer, actions);
-        self.set_member_status(now, office, MemberStatus::Gone, Duration::ZERO);
-        self.exchanges[usize::from(office) - 1].id += 1;
-        self.start_cold(now, office, observer);
-        self.set_member_status(now, office, MemberStatus::Ready, now);
-        self.start_controller(now, office, observer, actions);
+        self.kill_controllers(now, &[exchange_number], observer, actions);
+        self.set_member_status(now, exchange_number, MemberStatus::Gone, Duration::ZERO);
+        self.exchanges[usize::from(exchange_number) - 1].id += 1;
+        self.start_cold(now, exchange_number, observer);
+        self.set_member_status(now, exchange_number, MemberStatus::Ready, now);
+        self.start_controller(now, exchange_number, observer, actions);
     }
 
     fn set_circuits(&mut self, a: u16, b: u16, in_service: u16, actions: &mut Vec<Action>) {
         self.in_service.insert((a, b), in_service);
-        for (office, to) in [(a, b), (b, a)] {
-            if self.exchanges[usize::from(office) - 1].running {
-                actions.push(Action::CircuitsInService { office, to, in_service });
+        for (exchange_number, to) in [(a, b), (b, a)] {
+            if self.exchanges[usize::from(exchange_number) - 1].running {
+                actions.push(Action::CircuitsInService { exchange_number, to, in_service });
             }
         }
     }
@@ -938,7 +962,7 @@
 
     /// The trunk groups between a region and the others.
     fn groups_across(&self, region: usize) -> Vec<(u16, u16)> {
-        let inside = |office: u16| self.exchanges[usize::from(office) - 1].region == region;
+        let inside = |exchange_number: u16| self.exchanges[usize::from(exchange_number) - 1].region == region;
         self.groups.keys().copied().filter(|(a, b)| inside(*a) != inside(*b)).collect()
     }
 
@@ -953,19 +977,20 @@
         observer.observe(now, Observation::Fault { name: fault.what.name(), begins: true });
         match fault.what {
             Fault::Slow { exchanges, factor } => {
-                for office in self.select_affected(index, &exchanges) {
-                    self.exchanges[usize::from(office) - 1].processor.slowdown = factor;
+                for exchange_number in self.select_affected(index, &exchanges) {
+                    self.exchanges[usize::from(exchange_number) - 1].processor.slowdown = factor;
                 }
             }
             Fault::Ageing { exchanges, factor } => {
                 let until = now + seconds(fault.for_s);
-                for office in self.select_affected(index, &exchanges) {
-                    self.exchanges[usize::from(office) - 1].processor.ageing = Some((now, until, factor));
+                for exchange_number in self.select_affected(index, &exchanges) {
+                    self.exchanges[usize::from(exchange_number) - 1].processor.ageing =
+                        Some((now, until, factor));
                 }
             }
             Fault::Hang { exchanges } => {
-                for office in self.select_affected(index, &exchanges) {
-                    self.exchanges[usize::from(office) - 1].processor.hung = true;
+                for exchange_number in self.select_affected(index, &exchanges) {
+                    self.exchanges[usize::from(exchange_number) - 1].processor.hung = true;
                 }
             }
             Fault::Burst { factor } => self.arrival_factor = factor,
@@ -992,20 +1017,22 @@
                 }
             }
             Fault::Replaced { exchanges, drain_s } => {
-                for (position, office) in self.select_affected(index, &exchanges).into_iter().enumerate() {
-                    self.set_member_status(now, office, MemberStatus::Draining, Duration::ZERO);
+                for (position, exchange_number) in
+                    self.select_affected(index, &exchanges).into_iter().enumerate()
+                {
+                    self.set_member_status(now, exchange_number, MemberStatus::Draining, Duration::ZERO);
                     self.schedule(
                         now + seconds(drain_s + 3.0 * position as f64),
-                        Event::ReplaceMachine { office },
+                        Event::ReplaceMachine { exchange_number },
                     );
                 }
             }
             Fault::MassRestart { exchanges } => {
                 let affected = self.select_affected(index, &exchanges);
                 self.kill_controllers(now, &affected, observer, actions);
-                for office in affected {
-                    self.exchanges[usize::from(office) - 1].processor.drain();
-                    self.set_member_status(now, office, MemberStatus::Gone, Duration::ZERO);
+                for exchange_number in affected {
+                    self.exchanges[usize::from(exchange_number) - 1].processor.drain();
+                    self.set_member_status(now, exchange_number, MemberStatus::Gone, Duration::ZERO);
                 }
             }
             Fault::ControllersKilled { exchanges } => {
@@ -1034,17 +1061,17 @@
         let affected = self.affected.remove(&index).unwrap_or_default();
         match fault.what {
             Fault::Slow { .. } | Fault::Ageing { .. } => {
-                for office in affected {
-                    let processor = &mut self.exchanges[usize::from(office) - 1].processor;
+                for exchange_number in affected {
+                    let processor = &mut self.exchanges[usize::from(exchange_number) - 1].processor;
                     (processor.slowdown, processor.ageing) = (1.0, None);
                 }
             }
             Fault::Hang { .. } => {
-                for office in affected {
-                    let processor = &mut self.exchanges[usize::from(office) - 1].processor;
+                for exchange_number in affected {
+                    let processor = &mut self.exchanges[usize::from(exchange_number) - 1].processor;
                     processor.hung = false;
                     for job in processor.drain() {
-                        self.schedule(now, Event::DeliverJob { office, job });
+                        self.schedule(now, Event::DeliverJob { exchange_number, job });
                     }
                 }
             }
@@ -1060,15 +1087,15 @@
                 }
             }
             Fault::MassRestart { .. } => {
-                for office in affected {
-                    self.start_cold(now, office, observer);
-                    self.start_controller(now, office, observer, actions);
-                    self.set_member_status(now, office, MemberStatus::Ready, now);
+                for exchange_number in affected {
+                    self.start_cold(now, exchange_number, observer);
+                    self.start_controller(now, exchange_number, observer, actions);
+                    self.set_member_status(now, exchange_number, MemberStatus::Ready, now);
                 }
             }
-            Fault::ControllersKilled { .. } => {
-                affected.into_iter().for_each(|office| self.start_controller(now, office, observer, actions))
-            }
+            Fault::ControllersKilled { .. } => affected
+                .into_iter()
+                .for_each(|exchange_number| self.start_controller(now, exchange_number, observer, actions)),
             Fault::DirectoryLate { .. } => self.directory_delay = Duration::ZERO,
             Fault::MessagesLost { .. } => self.message_loss_share = 0.0,
             Fault::RedialAtOnce => self.redial_at_once = false,
@@ -1084,13 +1111,13 @@
     pub fn controller_crashed(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         observer: &mut dyn Observer,
         actions: &mut Vec<Action>,
     ) {
-        self.kill_controllers(now, &[office], observer, actions);
-        actions.retain(|action| *action != Action::Kill { office });
-        self.schedule(now + seconds(0.5), Event::StartController { office });
+        self.kill_controllers(now, &[exchange_number], observer, actions);
+        actions.retain(|action| *action != Action::Kill { exchange_number });
+        self.schedule(now + seconds(0.5), Event::StartController { exchange_number });
     }
 }
 
--- a/crates/lab/benches/ordinary_call.rs
+++ b/crates/lab/benches/ordinary_call.rs
@@ -463,9 +463,9 @@
     let mut now = Duration::from_secs(3600);
     let unused = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let mut exchange = Exchange::new(now, &config(unused), 2, 1);
-    let entry = |office: u16| mintstall_membership::MemberEntry {
-        exchange: office.into(),
-        office,
+    let entry = |exchange_number: u16| mintstall_membership::MemberEntry {
+        exchange: exchange_number.into(),
+        exchange_number,
         region: 0,
         status: mintstall_membership::MemberStatus::Ready,
         age_ms: None,
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -70,13 +70,13 @@
     }
 
     /// Starts the sessions of an exchange whose controller accepts calls.
-    pub fn exchange_ready(&mut self, now: Duration, office: u16) {
-        (0..self.plan.sessions).for_each(|index| self.start_session(now, (office, index)));
+    pub fn exchange_ready(&mut self, now: Duration, exchange_number: u16) {
+        (0..self.plan.sessions).for_each(|index| self.start_session(now, (exchange_number, index)));
     }
 
     /// Drops every session of a killed controller.
-    pub fn controller_killed(&mut self, office: u16) {
-        self.sessions.retain(|(exchange, _), _| *exchange != office);
+    pub fn controller_killed(&mut self, exchange_number: u16) {
+        self.sessions.retain(|(exchange, _), _| *exchange != exchange_number);
     }
 
     pub fn session(&mut self, client: ClientId) -> Option<&mut Session> {
@@ -88,21 +88,21 @@
     }
 
     /// The client that offers a call and hangs it up; depends only on the exchange and the call number.
-    pub fn client_for(&self, office: u16, call: u64) -> ClientId {
-        (office, ((call >> 8) % u64::from(self.plan.sessions.max(1))) as u16)
+    pub fn client_for(&self, exchange_number: u16, call: u64) -> ClientId {
+        (exchange_number, ((call >> 8) % u64::from(self.plan.sessions.max(1))) as u16)
     }
 
-    pub fn offer(&mut self, now: Duration, office: u16, offer: Offer) {
-        let client = self.client_for(office, offer.call);
+    pub fn offer(&mut self, now: Duration, exchange_number: u16, offer: Offer) {
+        let client = self.client_for(exchange_number, offer.call);
         if let Some(session) = self.sessions.get_mut(&client)
             && let Err(error) = session.offer(now, offer)
         {
-            info!(office, "client rejected an offer: {error}");
+            info!(office = exchange_number, "client rejected an offer: {error}");
         }
     }
 
-    pub fn hang_up(&mut self, office: u16, call: u64) {
-        let client = self.client_for(office, call);
+    pub fn hang_up(&mut self, exchange_number: u16, call: u64) {
+        let client = self.client_for(exchange_number, call);
         let Some(session) = self.sessions.get_mut(&client) else { return };
         match session.stands(call) {
             true => session.hang_up(call),
@@ -147,25 +147,27 @@
         simulation: &mut Simulation,
         observer: &mut dyn Observer,
     ) {
-        let office = client.0;
+        let exchange_number = client.0;
         while let Some(event) = self.sessions.get_mut(&client).and_then(Session::next_event) {
             match event {
                 Event::Answered(OfferResult { call, exchange_call, answer }) => {
-                    simulation.call_answered(now, office, call, exchange_call, answer, observer);
+                    simulation.call_answered(now, exchange_number, call, exchange_call, answer, observer);
                 }
                 Event::Ended { call, how } => {
-                    simulation.call_ended(now, office, call, how.unwrap_or(EndReason::Cut), observer)
+                    simulation.call_ended(now, exchange_number, call, how.unwrap_or(EndReason::Cut), observer)
                 }
                 Event::Connected { resumed, .. } => self.counters.resumed += u64::from(resumed),
                 // The rule checker reports the missing answer.
                 Event::Lost { call } => info!(
-                    office,
+                    exchange_number,
                     call, "outcome of the call unknown: its session ended or no answer came in time"
                 ),
                 Event::OfferError { call, code, why } => {
-                    info!(office, call, code, "controller answered with an error: {why}")
+                    info!(office = exchange_number, call, code, "controller answered with an error: {why}")
+                }
+                Event::Denied { why } => {
+                    info!(office = exchange_number, "controller denied the session: {why}")
                 }
-                Event::Denied { why } => info!(office, "controller denied the session: {why}"),
                 Event::Disconnected { .. } | Event::News(_) | Event::Missed(_) | Event::Reply { .. } => {}
             }
         }
--- a/crates/lab/src/controller_config.rs
+++ b/crates/lab/src/controller_config.rs
@@ -21,11 +21,12 @@
 }
 
 /// Builds the configuration of one exchange's controller.
-pub fn build(simulation: &Simulation, office: u16, endpoints: &Endpoints) -> Config {
+pub fn build(simulation: &Simulation, exchange_number: u16, endpoints: &Endpoints) -> Config {
     let day: &Day = simulation.day();
-    let groups = simulation.groups().iter().filter(|((a, b), _)| *a == office || *b == office);
+    let groups =
+        simulation.groups().iter().filter(|((a, b), _)| *a == exchange_number || *b == exchange_number);
     let links = groups.map(|((a, b), circuits)| {
-        let to = if *a == office { *b } else { *a };
+        let to = if *a == exchange_number { *b } else { *a };
         let connect = endpoints.links.iter().find(|(other, _)| *other == to).map(|(_, addr)| *addr);
         Link { to, circuits: *circuits, connect }
     });
@@ -38,7 +39,9 @@
         mean_hold_ms: (call_type.hold_s * 1e3) as u64,
     });
     let crowd_number = |fault: &mintstall_emulator::FaultAt| match fault.what {
-        Fault::Crowd { exchange, number, lines, .. } if exchange == office => Some(Number { number, lines }),
+        Fault::Crowd { exchange, number, lines, .. } if exchange == exchange_number => {
+            Some(Number { number, lines })
+        }
         _ => None,
     };
     let mut numbers: Vec<Number> = day.faults.iter().filter_map(crowd_number).collect();
@@ -46,7 +49,7 @@
     numbers.dedup_by_key(|number| number.number);
     let rules = &day.rules;
     Config {
-        exchange: office,
+        exchange: exchange_number,
         signalling: Signalling { listen: None, links: links.collect() },
         subscribers: Subscribers { listen: endpoints.subscribers },
         calls: CallApiConfig { listen: endpoints.calls, ..CallApiConfig::default() },
@@ -88,6 +91,6 @@
         },
         most_calls: 20_000,
         traces: 1000,
-        seed: Some(day.seed.wrapping_mul(1009).wrapping_add(office.into())),
+        seed: Some(day.seed.wrapping_mul(1009).wrapping_add(exchange_number.into())),
     }
 }
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -33,8 +33,8 @@
 pub enum LoopbackError {
     #[error("{what}: {error}")]
     Io { what: String, error: io::Error },
-    #[error("controller of exchange {office} was not ready within {within:?}")]
-    NotReady { office: u16, within: Duration },
+    #[error("controller of exchange {exchange_number} was not ready within {within:?}")]
+    NotReady { exchange_number: u16, within: Duration },
 }
 
 fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> LoopbackError {
@@ -75,7 +75,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Purpose {
-    Link { office: u16, to: u16 },
+    Link { exchange_number: u16, to: u16 },
     Line(u16),
     Client(ClientId),
     Directory(u16),
@@ -180,17 +180,17 @@
         let waker = Waker::new(self.poll.registry(), WAKER).map_err(io_error("event loop"))?;
         let waker = std::sync::Arc::new(waker);
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        for office in 1..=day.exchanges {
+        for exchange_number in 1..=day.exchanges {
             let pairs: Vec<(u16, u16)> = self.simulation.groups().keys().copied().collect();
-            let others = pairs.iter().filter(|(a, b)| *a == office || *b == office);
+            let others = pairs.iter().filter(|(a, b)| *a == exchange_number || *b == exchange_number);
             let mut links = Vec::new();
-            for to in others.map(|(a, b)| if *a == office { *b } else { *a }) {
-                links.push((to, self.listen(Purpose::Link { office, to })?));
+            for to in others.map(|(a, b)| if *a == exchange_number { *b } else { *a }) {
+                links.push((to, self.listen(Purpose::Link { exchange_number, to })?));
             }
-            let directory = Some(self.listen(Purpose::Directory(office))?);
-            let membership_file = Some(self.folder.join(format!("roster-{office}.json")));
+            let directory = Some(self.listen(Purpose::Directory(exchange_number))?);
+            let membership_file = Some(self.folder.join(format!("roster-{exchange_number}.json")));
             self.endpoints.insert(
-                office,
+                exchange_number,
                 Endpoints {
                     links,
                     subscribers: Some(any),
@@ -201,25 +201,26 @@
                 },
             );
         }
-        for office in 1..=day.exchanges {
-            self.spawn(office, &waker)?;
+        for exchange_number in 1..=day.exchanges {
+            self.spawn(exchange_number, &waker)?;
         }
         // The day's clock starts once all controllers accept calls.
         let mut events = Events::with_capacity(1024);
-        while (1..=day.exchanges).any(|office| self.line_token(office).is_none()) {
+        while (1..=day.exchanges).any(|exchange_number| self.line_token(exchange_number).is_none()) {
             if self.start.elapsed() > READY_TIMEOUT {
-                let office =
-                    (1..=day.exchanges).find(|office| self.line_token(*office).is_none()).unwrap_or(0);
-                return Err(LoopbackError::NotReady { office, within: READY_TIMEOUT });
+                let exchange_number = (1..=day.exchanges)
+                    .find(|exchange_number| self.line_token(*exchange_number).is_none())
+                    .unwrap_or(0);
+                return Err(LoopbackError::NotReady { exchange_number, within: READY_TIMEOUT });
             }
             self.run_once(&mut events, Some(Duration::from_millis(50)), &waker)?;
         }
         self.start = Instant::now();
-        for office in 1..=day.exchanges {
+        for exchange_number in 1..=day.exchanges {
             let mut actions = Vec::new();
             let now = self.now();
-            self.clients.exchange_ready(now, office);
-            self.simulation.controller_ready(now, office, self.observer, &mut actions);
+            self.clients.exchange_ready(now, exchange_number);
+            self.simulation.controller_ready(now, exchange_number, self.observer, &mut actions);
             self.carry_out(actions, &waker)?;
         }
         let day_end = Duration::from_secs_f64(day.length_s) + MAX_OVERRUN;
@@ -284,13 +285,17 @@
             }
         }
         let deadline = Instant::now() + Duration::from_secs(10);
-        for (office, process) in &mut self.processes {
+        for (exchange_number, process) in &mut self.processes {
             loop {
                 match process.child.try_wait() {
                     Ok(Some(status)) if status.success() => break,
                     Ok(None) if Instant::now() < deadline => std::thread::sleep(Duration::from_millis(5)),
                     other => {
-                        warn!(office, ?other, "controller did not exit with success after SIGTERM");
+                        warn!(
+                            office = exchange_number,
+                            ?other,
+                            "controller did not exit with success after SIGTERM"
+                        );
                         self.crashes += 1;
                         break;
                     }
@@ -299,9 +304,10 @@
         }
     }
 
-    fn spawn(&mut self, office: u16, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
-        let config = controller_config::build(&self.simulation, office, &self.endpoints[&office]);
-        let path = self.folder.join(format!("exchange-{office}.json"));
+    fn spawn(&mut self, exchange_number: u16, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
+        let config =
+            controller_config::build(&self.simulation, exchange_number, &self.endpoints[&exchange_number]);
+        let path = self.folder.join(format!("exchange-{exchange_number}.json"));
         let text = serde_json::to_string_pretty(&config).unwrap_or_default();
         std::fs::write(&path, text).map_err(io_error(path.display().to_string()))?;
         let mut child = Command::new(self.program)
@@ -320,17 +326,17 @@
                 let mut lines = BufReader::new(stdout).lines();
                 let ready =
                     lines.next().and_then(Result::ok).and_then(|line| serde_json::from_str(&line).ok());
-                let _ = sender.send((office, start_number, ready));
+                let _ = sender.send((exchange_number, start_number, ready));
                 let _ = waker.wake();
                 lines.for_each(drop);
             });
         }
-        self.processes.insert(office, Process { child, start_number, ready: None });
+        self.processes.insert(exchange_number, Process { child, start_number, ready: None });
         Ok(())
     }
 
-    fn line_token(&self, office: u16) -> Option<Token> {
-        self.by_purpose.get(&Purpose::Line(office)).copied()
+    fn line_token(&self, exchange_number: u16) -> Option<Token> {
+        self.by_purpose.get(&Purpose::Line(exchange_number)).copied()
     }
 
     fn add_connection(&mut self, mut stream: TcpStream, purpose: Purpose) -> io::Result<()> {
@@ -414,22 +420,24 @@
 
     /// Handles the start messages of controllers that now accept calls: connects their subscriber lines.
     fn handle_start_messages(&mut self, waker: &std::sync::Arc<Waker>) -> Result<(), LoopbackError> {
-        while let Ok((office, start_number, ready)) = self.start_messages.1.try_recv() {
-            let Some(process) =
-                self.processes.get_mut(&office).filter(|process| process.start_number == start_number)
+        while let Ok((exchange_number, start_number, ready)) = self.start_messages.1.try_recv() {
+            let Some(process) = self
+                .processes
+                .get_mut(&exchange_number)
+                .filter(|process| process.start_number == start_number)
             else {
                 continue;
             };
             process.ready = ready;
             let Some(address) = process.ready.as_ref().and_then(|ready| ready.subscribers) else { continue };
             let stream = TcpStream::connect(address).map_err(io_error("connecting a subscriber line"))?;
-            self.add_connection(stream, Purpose::Line(office))
+            self.add_connection(stream, Purpose::Line(exchange_number))
                 .map_err(io_error("connecting a subscriber line"))?;
             // The first start of each controller is reported to the simulation by `run`, once all are ready.
             if start_number > u64::from(self.simulation.day().exchanges) {
                 let (now, mut actions) = (self.now(), Vec::new());
-                self.clients.exchange_ready(now, office);
-                self.simulation.controller_ready(now, office, self.observer, &mut actions);
+                self.clients.exchange_ready(now, exchange_number);
+                self.simulation.controller_ready(now, exchange_number, self.observer, &mut actions);
                 self.carry_out(actions, waker)?;
             }
         }
@@ -442,13 +450,13 @@
             let Ok((stream, _)) = listener.accept() else { return Ok(()) };
             self.add_connection(stream, purpose).map_err(io_error("accepting a connection"))?;
             match purpose {
-                Purpose::Link { office, to } => {
+                Purpose::Link { exchange_number, to } => {
                     let (now, mut actions) = (self.now(), Vec::new());
-                    self.simulation.link_connected(now, office, to, self.observer, &mut actions);
+                    self.simulation.link_connected(now, exchange_number, to, self.observer, &mut actions);
                     self.carry_out(actions, waker)?;
                 }
-                Purpose::Directory(office) => {
-                    for text in self.queued_notifications.remove(&office).unwrap_or_default() {
+                Purpose::Directory(exchange_number) => {
+                    for text in self.queued_notifications.remove(&exchange_number).unwrap_or_default() {
                         self.send(purpose, &[text.as_bytes(), b"\n"]);
                     }
                 }
@@ -514,8 +522,8 @@
             self.process_client(client);
             return Ok(());
         }
-        if let Purpose::Link { office, to } = purpose {
-            self.simulation.on_controller_octets(now, office, to, octets, self.observer);
+        if let Purpose::Link { exchange_number, to } = purpose {
+            self.simulation.on_controller_octets(now, exchange_number, to, octets, self.observer);
             return Ok(());
         }
         connection.decoder.push(octets);
@@ -526,11 +534,11 @@
         let mut actions = Vec::new();
         for text in texts {
             match purpose {
-                Purpose::Line(office) => match ServerMessage::read(&text) {
+                Purpose::Line(exchange_number) => match ServerMessage::read(&text) {
                     Ok(ServerMessage::Answered(result)) => {
                         self.simulation.call_answered(
                             now,
-                            office,
+                            exchange_number,
                             result.call,
                             result.exchange_call,
                             result.answer,
@@ -539,7 +547,7 @@
                     }
                     Ok(ServerMessage::Ended(notification)) => self.simulation.call_ended(
                         now,
-                        office,
+                        exchange_number,
                         notification.call,
                         notification.how,
                         self.observer,
@@ -551,17 +559,20 @@
                         | ServerMessage::Other(_),
                     ) => {}
                     Ok(ServerMessage::Error { code, message, .. }) => {
-                        info!(office, code, "controller answered with an error: {message}")
+                        info!(office = exchange_number, code, "controller answered with an error: {message}")
                     }
-                    Err(error) => warn!(office, "cannot parse a message on the subscriber line: {error}"),
+                    Err(error) => warn!(
+                        office = exchange_number,
+                        "cannot parse a message on the subscriber line: {error}"
+                    ),
                 },
-                Purpose::Directory(office) => {
+                Purpose::Directory(exchange_number) => {
                     if let Ok(ControllerNotification::RequestFullList(request)) =
                         ControllerNotification::read(&text)
                         && request.held_version.is_none()
-                        && self.processes.get(&office).is_some_and(|process| process.ready.is_some())
+                        && self.processes.get(&exchange_number).is_some_and(|process| process.ready.is_some())
                     {
-                        self.simulation.resend_membership(now, office, self.observer, &mut actions);
+                        self.simulation.resend_membership(now, exchange_number, self.observer, &mut actions);
                     }
                 }
                 Purpose::Link { .. } | Purpose::Client(_) => {}
@@ -579,16 +590,20 @@
         self.by_purpose.remove(&purpose);
         let (now, mut actions) = (self.now(), Vec::new());
         match purpose {
-            Purpose::Link { office, to } => {
-                self.simulation.link_disconnected(now, office, to, self.observer, &mut actions)
+            Purpose::Link { exchange_number, to } => {
+                self.simulation.link_disconnected(now, exchange_number, to, self.observer, &mut actions)
             }
-            Purpose::Line(office) => {
-                if let Some(mut process) = self.processes.remove(&office) {
-                    warn!(office, "controller ended by itself: {:?}", process.child.try_wait());
+            Purpose::Line(exchange_number) => {
+                if let Some(mut process) = self.processes.remove(&exchange_number) {
+                    warn!(
+                        office = exchange_number,
+                        "controller ended by itself: {:?}",
+                        process.child.try_wait()
+                    );
                     let _ = process.child.kill();
                     let _ = process.child.wait();
                     self.crashes += 1;
-                    self.simulation.controller_crashed(now, office, self.observer, &mut actions);
+                    self.simulation.controller_crashed(now, exchange_number, self.observer, &mut actions);
                 }
             }
             Purpose::Client(client) => {
@@ -612,65 +627,70 @@
     ) -> Result<(), LoopbackError> {
         for action in actions {
             match action {
-                Action::Start { office, .. } => self.spawn(office, waker)?,
-                Action::Kill { office } => {
-                    if let Some(mut process) = self.processes.remove(&office) {
+                Action::Start { exchange_number, .. } => self.spawn(exchange_number, waker)?,
+                Action::Kill { exchange_number } => {
+                    if let Some(mut process) = self.processes.remove(&exchange_number) {
                         let _ = process.child.kill();
                         let _ = process.child.wait();
                     }
-                    self.close(Purpose::Line(office));
-                    for client in self.clients.client_ids().into_iter().filter(|client| client.0 == office) {
+                    self.close(Purpose::Line(exchange_number));
+                    for client in
+                        self.clients.client_ids().into_iter().filter(|client| client.0 == exchange_number)
+                    {
                         self.close(Purpose::Client(client));
                     }
-                    self.clients.controller_killed(office);
-                    self.close(Purpose::Directory(office));
-                    self.queued_notifications.remove(&office);
-                    let links: Vec<u16> = self.endpoints[&office].links.iter().map(|(to, _)| *to).collect();
-                    links.into_iter().for_each(|to| self.close(Purpose::Link { office, to }));
+                    self.clients.controller_killed(exchange_number);
+                    self.close(Purpose::Directory(exchange_number));
+                    self.queued_notifications.remove(&exchange_number);
+                    let links: Vec<u16> =
+                        self.endpoints[&exchange_number].links.iter().map(|(to, _)| *to).collect();
+                    links.into_iter().for_each(|to| self.close(Purpose::Link { exchange_number, to }));
                 }
                 Action::LinkUp { .. } => {}
-                Action::LinkDown { office, to } => self.close(Purpose::Link { office, to }),
-                Action::LinkOctets { office, from, octets } => {
-                    self.send(Purpose::Link { office, to: from }, &[&octets])
+                Action::LinkDown { exchange_number, to } => self.close(Purpose::Link { exchange_number, to }),
+                Action::LinkOctets { exchange_number, from, octets } => {
+                    self.send(Purpose::Link { exchange_number, to: from }, &[&octets])
                 }
-                Action::Offer { office, offer } if !self.clients.is_disabled() => {
-                    let (now, client) = (self.now(), self.clients.client_for(office, offer.call));
-                    self.clients.offer(now, office, offer);
+                Action::Offer { exchange_number, offer } if !self.clients.is_disabled() => {
+                    let (now, client) = (self.now(), self.clients.client_for(exchange_number, offer.call));
+                    self.clients.offer(now, exchange_number, offer);
                     self.process_client(client);
                 }
-                Action::HangUp { office, call } if !self.clients.is_disabled() => {
-                    self.clients.hang_up(office, call);
-                    self.process_client(self.clients.client_for(office, call));
+                Action::HangUp { exchange_number, call } if !self.clients.is_disabled() => {
+                    self.clients.hang_up(exchange_number, call);
+                    self.process_client(self.clients.client_for(exchange_number, call));
                 }
-                Action::Offer { office, offer } => {
+                Action::Offer { exchange_number, offer } => {
                     let request =
                         RequestMessage { id: Some(json!(offer.call)), request: Request::Offer(offer) };
-                    self.send(Purpose::Line(office), &[request.text().as_bytes(), b"\n"]);
+                    self.send(Purpose::Line(exchange_number), &[request.text().as_bytes(), b"\n"]);
                 }
-                Action::HangUp { office, call } => {
+                Action::HangUp { exchange_number, call } => {
                     let request =
                         RequestMessage { id: Some(json!(call)), request: Request::Hangup(Hangup { call }) };
-                    self.send(Purpose::Line(office), &[request.text().as_bytes(), b"\n"]);
+                    self.send(Purpose::Line(exchange_number), &[request.text().as_bytes(), b"\n"]);
                 }
-                Action::Membership { office, news } => {
-                    self.notify(office, &DirectoryNotification::Membership(news))
+                Action::Membership { exchange_number, news } => {
+                    self.notify(exchange_number, &DirectoryNotification::Membership(news))
                 }
-                Action::CircuitsInService { office, to, in_service } => {
-                    self.notify(office, &DirectoryNotification::CircuitsInService { to, in_service })
+                Action::CircuitsInService { exchange_number, to, in_service } => {
+                    self.notify(exchange_number, &DirectoryNotification::CircuitsInService { to, in_service })
                 }
-                Action::ProcessorReport { office, rate } => self
-                    .notify(office, &DirectoryNotification::Processor(ProcessorStatus { rate: Some(rate) })),
+                Action::ProcessorReport { exchange_number, rate } => self.notify(
+                    exchange_number,
+                    &DirectoryNotification::Processor(ProcessorStatus { rate: Some(rate) }),
+                ),
             }
         }
         Ok(())
     }
 
-    fn notify(&mut self, office: u16, notification: &DirectoryNotification) {
+    fn notify(&mut self, exchange_number: u16, notification: &DirectoryNotification) {
         const MAX_QUEUED: usize = 1000;
-        if self.by_purpose.contains_key(&Purpose::Directory(office)) {
-            self.send(Purpose::Directory(office), &[notification.text().as_bytes(), b"\n"]);
+        if self.by_purpose.contains_key(&Purpose::Directory(exchange_number)) {
+            self.send(Purpose::Directory(exchange_number), &[notification.text().as_bytes(), b"\n"]);
         } else {
-            let queue = self.queued_notifications.entry(office).or_default();
+            let queue = self.queued_notifications.entry(exchange_number).or_default();
             if queue.len() < MAX_QUEUED {
                 queue.push(notification.text());
             }
--- a/crates/lab/src/rule_checker.rs
+++ b/crates/lab/src/rule_checker.rs
@@ -25,7 +25,8 @@
     pub rule: u8,
     /// Seconds since the start of the day.
     pub at_s: f64,
-    pub office: u16,
+    #[serde(rename = "office")]
+    pub exchange_number: u16,
     /// The number of the call at its exchange; in violations about the answer to a subscriber, the subscriber's number.
     pub call: Option<u64>,
     pub what: String,
@@ -33,7 +34,7 @@
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "rule {} at {:.3} s, exchange {}", self.rule, self.at_s, self.office)?;
+        write!(f, "rule {} at {:.3} s, exchange {}", self.rule, self.at_s, self.exchange_number)?;
         self.call.iter().try_for_each(|call| write!(f, ", call {call:#x}"))?;
         write!(f, ": {}", self.what)
     }
@@ -190,9 +191,9 @@
         }
     }
 
-    fn violation(&mut self, rule: u8, at: Duration, office: u16, call: Option<u64>, what: String) {
+    fn violation(&mut self, rule: u8, at: Duration, exchange_number: u16, call: Option<u64>, what: String) {
         if self.violations.len() < MAX_LISTED_VIOLATIONS {
-            self.violations.push(Violation { rule, at_s: at.as_secs_f64(), office, call, what });
+            self.violations.push(Violation { rule, at_s: at.as_secs_f64(), exchange_number, call, what });
         } else {
             self.unlisted += 1;
         }
@@ -200,9 +201,9 @@
 
     /// Ends the check: calls whose answer is overdue now are violations.
     pub fn finish(mut self, at: Duration) -> Verdict {
-        for (office, exchange) in std::mem::take(&mut self.exchanges) {
+        for (exchange_number, exchange) in std::mem::take(&mut self.exchanges) {
             if exchange.running {
-                self.check_overdue(at, office, &exchange, "never answered");
+                self.check_overdue(at, exchange_number, &exchange, "never answered");
             }
         }
         let Self { checked, violations, unlisted, cold_peak, .. } = self;
@@ -210,13 +211,13 @@
     }
 
     /// Reports the calls whose answer is overdue.
-    fn check_overdue(&mut self, at: Duration, office: u16, exchange: &ExchangeRecord, what: &str) {
+    fn check_overdue(&mut self, at: Duration, exchange_number: u16, exchange: &ExchangeRecord, what: &str) {
         let grace = ms(self.rules.answer_grace_ms) + self.slack;
         for (call, open) in &exchange.open_calls {
             let deadline = open.gave_up.unwrap_or(open.deadline).min(open.deadline);
             if deadline + grace < at {
                 let text = format!("{what}: its time expired at {:.3} s", deadline.as_secs_f64());
-                self.violation(1, at, office, Some(*call), text);
+                self.violation(1, at, exchange_number, Some(*call), text);
             }
         }
         for ((from, cic), (deadline, call, _)) in &exchange.transit_calls {
@@ -225,20 +226,27 @@
                     "call in transit from {from}, circuit {cic}, {what} by {:.3} s",
                     deadline.as_secs_f64()
                 );
-                self.violation(1, at, office, Some(*call), text);
+                self.violation(1, at, exchange_number, Some(*call), text);
             }
         }
     }
 
-    fn on_answer(&mut self, at: Duration, office: u16, call: u64, exchange_call: u64, answer: FinalAnswer) {
+    fn on_answer(
+        &mut self,
+        at: Duration,
+        exchange_number: u16,
+        call: u64,
+        exchange_call: u64,
+        answer: FinalAnswer,
+    ) {
         let grace = ms(self.rules.answer_grace_ms) + self.slack;
-        let exchange = self.exchanges.entry(office).or_default();
+        let exchange = self.exchanges.entry(exchange_number).or_default();
         let stands = answer == FinalAnswer::Stands;
         let Some(open) = exchange.open_calls.remove(&call) else {
             let repeated = exchange.answered.contains(&call);
             let what =
                 if repeated { "a second final answer" } else { "an answer to a call that was never offered" };
-            return self.violation(1, at, office, Some(call), format!("{what}: {answer:?}"));
+            return self.violation(1, at, exchange_number, Some(call), format!("{what}: {answer:?}"));
         };
         exchange.answered.insert(call);
         exchange.answer_times.push_back((at, call, exchange_call));
@@ -248,45 +256,51 @@
             return self.violation(
                 1,
                 at,
-                office,
+                exchange_number,
                 Some(call),
                 format!("answered {late:.3} s after its caller gave up"),
             );
         }
         if at > open.deadline + grace {
             let late = (at - open.deadline).as_secs_f64();
-            self.violation(1, at, office, Some(call), format!("answered {late:.3} s after its time expired"));
+            self.violation(
+                1,
+                at,
+                exchange_number,
+                Some(call),
+                format!("answered {late:.3} s after its time expired"),
+            );
         }
     }
 
-    fn on_frame_sent(&mut self, at: Duration, office: u16, to: u16, frame: &[u8]) {
+    fn on_frame_sent(&mut self, at: Duration, exchange_number: u16, to: u16, frame: &[u8]) {
         let Some(message) = read_message(frame) else { return };
         let cic = message.cic.0;
         match message.body {
-            Body::Iam(iam) => self.set_up_sent(at, office, to, cic, &iam),
-            Body::Anm { .. } => _ = self.end_transit_call(at, office, (to, cic)),
+            Body::Iam(iam) => self.set_up_sent(at, exchange_number, to, cic, &iam),
+            Body::Anm { .. } => _ = self.end_transit_call(at, exchange_number, (to, cic)),
             Body::Rel(_) => {
-                self.end_transit_call(at, office, (to, cic));
-                self.exchange(office).closing.insert((to, cic));
-                self.end_seizure(at, office, (to, cic), Some("time-out or cancel"));
+                self.end_transit_call(at, exchange_number, (to, cic));
+                self.exchange(exchange_number).closing.insert((to, cic));
+                self.end_seizure(at, exchange_number, (to, cic), Some("time-out or cancel"));
             }
             Body::Rsc => {
-                self.exchange(office).forget_transit(to, cic);
-                self.exchange(office).closing.insert((to, cic));
-                self.end_seizure(at, office, (to, cic), Some("reset"));
+                self.exchange(exchange_number).forget_transit(to, cic);
+                self.exchange(exchange_number).closing.insert((to, cic));
+                self.end_seizure(at, exchange_number, (to, cic), Some("reset"));
             }
             Body::Grs { count } => {
                 for cic in circuit_range(cic, count) {
-                    self.exchange(office).forget_transit(to, cic);
-                    self.exchange(office).closing.insert((to, cic));
+                    self.exchange(exchange_number).forget_transit(to, cic);
+                    self.exchange(exchange_number).closing.insert((to, cic));
                 }
             }
-            Body::Cgb { kind: 1, range } => self.circuits_failed(at, office, to, cic, range),
+            Body::Cgb { kind: 1, range } => self.circuits_failed(at, exchange_number, to, cic, range),
             _ => {}
         }
     }
 
-    fn on_frame_received(&mut self, at: Duration, office: u16, from: u16, frame: &[u8]) {
+    fn on_frame_received(&mut self, at: Duration, exchange_number: u16, from: u16, frame: &[u8]) {
         let Some(message) = read_message(frame) else { return };
         let cic = message.cic.0;
         let ended_circuits = match &message.body {
@@ -297,13 +311,13 @@
             _ => Vec::new(),
         };
         if !self.crossing.is_zero() {
-            let exchange = self.exchange(office);
+            let exchange = self.exchange(exchange_number);
             ended_circuits.into_iter().for_each(|cic| _ = exchange.crossing_received.insert((from, cic), at));
         }
         match message.body {
-            Body::Iam(iam) => self.set_up_received(at, office, from, cic, &iam),
+            Body::Iam(iam) => self.set_up_received(at, exchange_number, from, cic, &iam),
             Body::Anm { .. } => {
-                let exchange = self.exchange(office);
+                let exchange = self.exchange(exchange_number);
                 if let Some(seizure) = exchange
                     .circuit_calls
                     .get(&(from, cic))
@@ -314,50 +328,57 @@
                 }
             }
             Body::Rel(_) => {
-                self.end_transit_call(at, office, (from, cic));
-                self.end_seizure(at, office, (from, cic), None);
+                self.end_transit_call(at, exchange_number, (from, cic));
+                self.end_seizure(at, exchange_number, (from, cic), None);
             }
-            Body::Rlc { .. } if self.exchange(office).closing.remove(&(from, cic)) => {}
+            Body::Rlc { .. } if self.exchange(exchange_number).closing.remove(&(from, cic)) => {}
             Body::Rlc { .. } => {
-                self.end_seizure(at, office, (from, cic), Some("release complete without a release"))
+                self.end_seizure(at, exchange_number, (from, cic), Some("release complete without a release"))
             }
             Body::Rsc => {
-                self.end_transit_call(at, office, (from, cic));
-                self.end_seizure(at, office, (from, cic), Some("reset by the far end"));
+                self.end_transit_call(at, exchange_number, (from, cic));
+                self.end_seizure(at, exchange_number, (from, cic), Some("reset by the far end"));
             }
             Body::Grs { count } => {
                 for cic in circuit_range(cic, count) {
-                    self.end_transit_call(at, office, (from, cic));
-                    self.end_seizure(at, office, (from, cic), Some("group reset by the far end"));
-                    self.exchange(office).closing.remove(&(from, cic));
+                    self.end_transit_call(at, exchange_number, (from, cic));
+                    self.end_seizure(at, exchange_number, (from, cic), Some("group reset by the far end"));
+                    self.exchange(exchange_number).closing.remove(&(from, cic));
                 }
             }
             Body::Gra(status) => {
                 for cic in circuit_range(cic, status.count) {
-                    self.exchange(office).closing.remove(&(from, cic));
+                    self.exchange(exchange_number).closing.remove(&(from, cic));
                 }
             }
-            Body::Cgb { kind: 1, range } => self.circuits_failed(at, office, from, cic, range),
+            Body::Cgb { kind: 1, range } => self.circuits_failed(at, exchange_number, from, cic, range),
             _ => {}
         }
     }
 
-    fn exchange(&mut self, office: u16) -> &mut ExchangeRecord {
-        self.exchanges.entry(office).or_default()
+    fn exchange(&mut self, exchange_number: u16) -> &mut ExchangeRecord {
+        self.exchanges.entry(exchange_number).or_default()
     }
 
-    fn circuits_failed(&mut self, at: Duration, office: u16, to: u16, first: u16, range: RangeStatus) {
+    fn circuits_failed(
+        &mut self,
+        at: Duration,
+        exchange_number: u16,
+        to: u16,
+        first: u16,
+        range: RangeStatus,
+    ) {
         for bit in (0..u16::from(range.count)).filter(|bit| range.status >> bit & 1 == 1) {
-            self.end_transit_call(at, office, (to, first + bit));
-            self.end_seizure(at, office, (to, first + bit), Some("failed circuit"));
-            self.exchange(office).closing.remove(&(to, first + bit));
+            self.end_transit_call(at, exchange_number, (to, first + bit));
+            self.end_seizure(at, exchange_number, (to, first + bit), Some("failed circuit"));
+            self.exchange(exchange_number).closing.remove(&(to, first + bit));
         }
     }
 
     /// Ends the call in transit on a circuit: it was answered, or its caller is gone.
-    fn end_transit_call(&mut self, at: Duration, office: u16, circuit: (u16, u16)) -> bool {
+    fn end_transit_call(&mut self, at: Duration, exchange_number: u16, circuit: (u16, u16)) -> bool {
         let grace = ms(self.rules.answer_grace_ms) + self.slack;
-        let transit_calls = &mut self.exchange(office).transit_calls;
+        let transit_calls = &mut self.exchange(exchange_number).transit_calls;
         // A message that ends any circuit of a wider call ends the call.
         let holds_circuit = |((from, _), (.., circuits)): &(&(u16, u16), &(Duration, u64, Vec<u16>))| {
             *from == circuit.0 && circuits.contains(&circuit.1)
@@ -368,7 +389,7 @@
             let late = (at - deadline).as_secs_f64();
             let what =
                 format!("call in transit from {} answered {late:.3} s after its time expired", circuit.0);
-            self.violation(1, at, office, Some(call), what);
+            self.violation(1, at, exchange_number, Some(call), what);
         }
         true
     }
@@ -378,27 +399,33 @@
     fn end_seizure(
         &mut self,
         at: Duration,
-        office: u16,
+        exchange_number: u16,
         circuit: (u16, u16),
         release_reason: Option<&'static str>,
     ) {
-        let exchange = self.exchange(office);
+        let exchange = self.exchange(exchange_number);
         let Some(call) = exchange.circuit_calls.get(&circuit).copied() else { return };
         let Some(seizure) = exchange.seizures.remove(&call) else { return };
         // Circuits of the seizure that carry another call already stay with that call.
         exchange.circuit_calls.retain(|_, holder| *holder != call);
-        if let Some(why) = release_reason.filter(|_| !seizure.stands && call.0 == office) {
+        if let Some(why) = release_reason.filter(|_| !seizure.stands && call.0 == exchange_number) {
             exchange.released.insert(call.1, (at, why));
             self.checked.releases += 1;
         }
     }
 
-    fn set_up_sent(&mut self, at: Duration, office: u16, to: u16, cic: u16, iam: &Iam) {
+    fn set_up_sent(&mut self, at: Duration, exchange_number: u16, to: u16, cic: u16, iam: &Iam) {
         let Some(identity) = iam.identity else {
-            return self.violation(2, at, office, None, format!("a set-up to {to} without a call identity"));
+            return self.violation(
+                2,
+                at,
+                exchange_number,
+                None,
+                format!("a set-up to {to} without a call identity"),
+            );
         };
         let (slack, crossing, rules) = (self.slack, self.crossing, self.rules.clone());
-        let exchange = self.exchange(office);
+        let exchange = self.exchange(exchange_number);
         // Rule 3 holds for calls in transit, too.
         let members: Vec<_> = exchange.members.values().filter(|(number, ..)| *number == to).collect();
         let ready = members.iter().any(|(_, status, ..)| *status == MemberStatus::Ready);
@@ -406,16 +433,21 @@
         if let Some(since) = since.filter(|since| !ready && at > *since + ms(rules.drain_grace_ms) + slack) {
             let late = (at - since).as_secs_f64();
             let what = format!("a set-up to {to}, {late:.3} s after being told that it drains or is gone");
-            self.violation(3, at, office, Some(identity.call), what);
+            self.violation(3, at, exchange_number, Some(identity.call), what);
         }
         let call_key = (identity.origin, identity.call);
         // A call that was on a circuit seized anew is over, though no message said so: the circuit failed at this end.
         for cic in circuits_of(cic, iam) {
-            if self.exchange(office).circuit_calls.get(&(to, cic)).is_some_and(|other| *other != call_key) {
-                self.end_seizure(at, office, (to, cic), Some("failed circuit"));
+            if self
+                .exchange(exchange_number)
+                .circuit_calls
+                .get(&(to, cic))
+                .is_some_and(|other| *other != call_key)
+            {
+                self.end_seizure(at, exchange_number, (to, cic), Some("failed circuit"));
             }
         }
-        let exchange = self.exchange(office);
+        let exchange = self.exchange(exchange_number);
         let circuits = circuits_of(cic, iam);
         let crossed = |cic: &u16| {
             exchange.crossing_received.get(&(to, *cic)).is_some_and(|received| at <= *received + crossing)
@@ -427,12 +459,12 @@
         let open_seizure = previous
             .filter(|seizure| !seizure.may_have_ended)
             .map(|seizure| (seizure.to, seizure.circuits[0], seizure.stands));
-        if identity.origin != office {
+        if identity.origin != exchange_number {
             return;
         }
         self.checked.seizures += 1;
         let call = identity.call;
-        let exchange = self.exchange(office);
+        let exchange = self.exchange(exchange_number);
         let is_further_attempt = exchange.last_sent.insert(call, at).is_some();
         let final_answer = exchange.final_answers.get(&call).copied();
         let released = exchange.released.remove(&call);
@@ -441,14 +473,14 @@
             let state = if stands { "stands" } else { "is out" };
             let what =
                 format!("seized to {to} on circuit {cic} while it {state} to {other} on circuit {circuit}");
-            self.violation(2, at, office, Some(call), what);
+            self.violation(2, at, exchange_number, Some(call), what);
         }
         if let Some((answered, _)) = final_answer.filter(|(answered, _)| at > *answered + slack) {
             let late = (at - answered).as_secs_f64();
             self.violation(
                 1,
                 at,
-                office,
+                exchange_number,
                 Some(call),
                 format!("a set-up to {to}, {late:.3} s after its final answer"),
             );
@@ -461,13 +493,13 @@
                 "sent again to {to} {gap:.3} s after a {why}, {} ms to be awaited",
                 rules.release_wait_ms
             );
-            self.violation(5, at, office, Some(call), what);
+            self.violation(5, at, exchange_number, Some(call), what);
         }
     }
 
-    fn set_up_received(&mut self, at: Duration, office: u16, from: u16, cic: u16, iam: &Iam) {
+    fn set_up_received(&mut self, at: Duration, exchange_number: u16, from: u16, cic: u16, iam: &Iam) {
         let circuits = circuits_of(cic, iam);
-        let exchange = self.exchange(office);
+        let exchange = self.exchange(exchange_number);
         // A release by this exchange is not completed yet: it ignores the set-up, and the far end gives it up.
         if circuits.iter().any(|cic| exchange.closing.contains(&(from, *cic))) {
             return;
@@ -477,7 +509,7 @@
             .filter_map(|cic| Some((*cic, *exchange.circuit_calls.get(&(from, *cic))?)))
             .collect();
         for (circuit, call) in disputed {
-            let Some(seizure) = self.exchange(office).seizures.get(&call) else { continue };
+            let Some(seizure) = self.exchange(exchange_number).seizures.get(&call) else { continue };
             // The far end answered that call, so it yielded before.
             if seizure.stands {
                 return;
@@ -487,30 +519,30 @@
             // Q.764 clause 2.9.1.4: the wider call prevails; at equal width the higher point code on even circuits, the lower
             // one on odd circuits.
             let prevails =
-                own_width > circuits.len() || own_width == circuits.len() && (office > from) == even;
+                own_width > circuits.len() || own_width == circuits.len() && (exchange_number > from) == even;
             if prevails {
                 return;
             }
-            self.end_seizure(at, office, (from, circuit), None);
+            self.end_seizure(at, exchange_number, (from, circuit), None);
         }
         let digits = iam.called.digits();
         let dest = Number::parse_decimal(&digits[..digits.len().min(5)]);
-        let (true, Some(identity)) = (dest != Some(office.into()), iam.identity) else { return };
+        let (true, Some(identity)) = (dest != Some(exchange_number.into()), iam.identity) else { return };
         self.checked.calls_in_transit += 1;
         let deadline = at + Duration::from_millis(identity.time_left_ms.into());
-        self.exchange(office).transit_calls.insert((from, cic), (deadline, identity.call, circuits));
+        self.exchange(exchange_number).transit_calls.insert((from, cic), (deadline, identity.call, circuits));
     }
 
-    fn on_membership(&mut self, at: Duration, office: u16, full: bool, entries: &[MemberEntry]) {
+    fn on_membership(&mut self, at: Duration, exchange_number: u16, full: bool, entries: &[MemberEntry]) {
         let mut drains = 0;
-        let exchange = self.exchange(office);
+        let exchange = self.exchange(exchange_number);
         if full {
             exchange.members.retain(|id, _| entries.iter().any(|entry| entry.exchange == *id));
         }
         for entry in entries {
             let started = entry.age_ms.is_some();
             let (_, status, since, has_start_time) = exchange.members.entry(entry.exchange).or_insert((
-                entry.office,
+                entry.exchange_number,
                 MemberStatus::Ready,
                 at,
                 started,
@@ -525,18 +557,18 @@
     }
 
     /// Checks rule 4 on the arrival of a set-up at an exchange: a budget over each window of `fall_ms`.
-    fn set_up_arrived(&mut self, at: Duration, office: u16, from: u16) {
+    fn set_up_arrived(&mut self, at: Duration, exchange_number: u16, from: u16) {
         let sender_knows = self.exchanges.get(&from).is_some_and(|exchange| {
             exchange.members.values().any(|(number, status, _, started)| {
-                *number == office && *status == MemberStatus::Ready && *started
+                *number == exchange_number && *status == MemberStatus::Ready && *started
             })
         });
         let rules = &self.rules;
         let (window, warm_up) = (ms(rules.fall_ms), ms(rules.warm_up_ms));
-        let Some(cold) = self.cold.get_mut(&office) else { return };
+        let Some(cold) = self.cold.get_mut(&exchange_number) else { return };
         let age = at.saturating_sub(cold.since);
         if age >= warm_up {
-            self.cold.remove(&office);
+            self.cold.remove(&exchange_number);
             return;
         }
         self.checked.set_ups_at_cold += 1;
@@ -555,7 +587,7 @@
             let what = format!(
                 "cold exchange was sent {count} set-ups in {window:?}, budget {budget:.1} ({informed} by senders told of its start)"
             );
-            self.violation(4, at, office, None, what);
+            self.violation(4, at, exchange_number, None, what);
         }
     }
 
@@ -576,24 +608,25 @@
         }
     }
 
-    fn controller_started(&mut self, office: u16) {
-        *self.exchange(office) = ExchangeRecord { running: true, ..ExchangeRecord::default() };
+    fn controller_started(&mut self, exchange_number: u16) {
+        *self.exchange(exchange_number) = ExchangeRecord { running: true, ..ExchangeRecord::default() };
     }
 
-    fn controller_killed(&mut self, at: Duration, office: u16) {
-        let exchange = std::mem::take(self.exchange(office));
-        self.check_overdue(at, office, &exchange, "not answered before its controller was killed");
+    fn controller_killed(&mut self, at: Duration, exchange_number: u16) {
+        let exchange = std::mem::take(self.exchange(exchange_number));
+        self.check_overdue(at, exchange_number, &exchange, "not answered before its controller was killed");
         self.checked.calls_exempt += exchange.open_calls.len() as u64;
     }
 
-    fn link_down(&mut self, at: Duration, office: u16, to: u16) {
-        let exchange = self.exchange(office);
+    fn link_down(&mut self, at: Duration, exchange_number: u16, to: u16) {
+        let exchange = self.exchange(exchange_number);
         let lost = exchange.circuit_calls.iter().filter(|((other, _), call)| {
             *other == to && exchange.seizures.get(call).is_some_and(|seizure| !seizure.stands)
         });
         let lost: Vec<_> = lost.map(|(circuit, _)| *circuit).collect();
-        lost.into_iter().for_each(|circuit| self.end_seizure(at, office, circuit, Some("lost link")));
-        let exchange = self.exchange(office);
+        lost.into_iter()
+            .for_each(|circuit| self.end_seizure(at, exchange_number, circuit, Some("lost link")));
+        let exchange = self.exchange(exchange_number);
         exchange.transit_calls.retain(|(from, _), _| *from != to);
     }
 }
@@ -602,41 +635,47 @@
     fn observe(&mut self, at: Duration, observation: Observation) {
         self.prune(at);
         match observation {
-            Observation::FrameSent { office, to, frame } => self.on_frame_sent(at, office, to, frame),
-            Observation::FrameReceived { office, from, frame } => {
-                self.on_frame_received(at, office, from, frame)
+            Observation::FrameSent { exchange_number, to, frame } => {
+                self.on_frame_sent(at, exchange_number, to, frame)
             }
-            Observation::LinkDown { office, to } => self.link_down(at, office, to),
-            Observation::Offered { office, offer } => {
+            Observation::FrameReceived { exchange_number, from, frame } => {
+                self.on_frame_received(at, exchange_number, from, frame)
+            }
+            Observation::LinkDown { exchange_number, to } => self.link_down(at, exchange_number, to),
+            Observation::Offered { exchange_number, offer } => {
                 self.checked.calls += 1;
                 let deadline = at + Duration::from_millis(offer.time_left_ms.into());
-                self.exchange(office).open_calls.insert(offer.call, OpenCall { deadline, gave_up: None });
+                self.exchange(exchange_number)
+                    .open_calls
+                    .insert(offer.call, OpenCall { deadline, gave_up: None });
             }
-            Observation::ClientLost { office, call } => {
-                let open = self.exchange(office).open_calls.remove(&call);
+            Observation::ClientLost { exchange_number, call } => {
+                let open = self.exchange(exchange_number).open_calls.remove(&call);
                 self.checked.calls_of_lost_clients += u64::from(open.is_some());
             }
-            Observation::HungUp { office, call } => {
-                if let Some(open) = self.exchange(office).open_calls.get_mut(&call) {
+            Observation::HungUp { exchange_number, call } => {
+                if let Some(open) = self.exchange(exchange_number).open_calls.get_mut(&call) {
                     open.gave_up = Some(at);
                 }
             }
-            Observation::Answered { office, call, exchange_call, answer } => {
-                self.on_answer(at, office, call, exchange_call, answer);
+            Observation::Answered { exchange_number, call, exchange_call, answer } => {
+                self.on_answer(at, exchange_number, call, exchange_call, answer);
             }
-            Observation::MembershipDelivered { office, is_full, entries } => {
-                self.on_membership(at, office, is_full, entries)
+            Observation::MembershipDelivered { exchange_number, is_full, entries } => {
+                self.on_membership(at, exchange_number, is_full, entries)
             }
-            Observation::Started { office } => self.controller_started(office),
-            Observation::Killed { office } => self.controller_killed(at, office),
-            Observation::ColdStart { office, set_ups } => {
+            Observation::Started { exchange_number } => self.controller_started(exchange_number),
+            Observation::Killed { exchange_number } => self.controller_killed(at, exchange_number),
+            Observation::ColdStart { exchange_number, set_ups } => {
                 self.checked.cold_starts += 1;
                 self.cold.insert(
-                    office,
+                    exchange_number,
                     ColdExchange { since: at, set_ups, arrivals: VecDeque::new(), reported: false },
                 );
             }
-            Observation::SetUpArrived { office, from } => self.set_up_arrived(at, office, from),
+            Observation::SetUpArrived { exchange_number, from } => {
+                self.set_up_arrived(at, exchange_number, from)
+            }
             Observation::LinkUp { .. } | Observation::Ended { .. } | Observation::Fault { .. } => {}
         }
     }
--- a/crates/lab/src/virtual_day.rs
+++ b/crates/lab/src/virtual_day.rs
@@ -65,20 +65,20 @@
 
 /// Sits between a controller and the simulation. Tests use it to make controllers break rules.
 pub trait Interceptor {
-    /// Takes octets that the controller of `office` sends; the octets returned are sent instead.
+    /// Takes octets that the controller of `exchange_number` sends; the octets returned are sent instead.
     fn outgoing_octets(
         &mut self,
         _now: Duration,
-        _office: u16,
+        _exchange_number: u16,
         _to: u16,
         octets: Vec<u8>,
     ) -> Vec<(u16, Vec<u8>)>;
     /// Whether a membership update reaches the controller.
-    fn delivers_membership(&mut self, _now: Duration, _office: u16) -> bool {
+    fn delivers_membership(&mut self, _now: Duration, _exchange_number: u16) -> bool {
         true
     }
     /// How often a final answer is passed on.
-    fn answer_copies(&mut self, _now: Duration, _office: u16, _call: u64) -> usize {
+    fn answer_copies(&mut self, _now: Duration, _exchange_number: u16, _call: u64) -> usize {
         1
     }
 }
@@ -155,8 +155,8 @@
             if next_event.is_some_and(|at| at <= now) {
                 self.simulation.advance(now, observer, &mut actions);
                 self.carry_out(now, &mut actions, observer);
-            } else if let Some((_, office)) = next_timer {
-                self.with_controller(now, office, observer, |controller, now, call_actions| {
+            } else if let Some((_, exchange_number)) = next_timer {
+                self.with_controller(now, exchange_number, observer, |controller, now, call_actions| {
                     controller.call_control.on_timer(now, call_actions)
                 });
                 self.carry_out(now, &mut actions, observer);
@@ -178,8 +178,8 @@
             if self.simulation.next_event_time().is_some_and(|at| at <= now) {
                 self.simulation.advance(now, observer, &mut actions);
                 self.carry_out(now, &mut actions, observer);
-            } else if let Some((_, office)) = self.timers.first().copied() {
-                self.with_controller(now, office, observer, |controller, now, call_actions| {
+            } else if let Some((_, exchange_number)) = self.timers.first().copied() {
+                self.with_controller(now, exchange_number, observer, |controller, now, call_actions| {
                     controller.call_control.on_timer(now, call_actions)
                 });
             }
@@ -219,8 +219,9 @@
         actions: &mut Vec<Action>,
     ) {
         match action {
-            Action::Start { office, incarnation } => {
-                let config = controller_config::build(&self.simulation, office, &Endpoints::default());
+            Action::Start { exchange_number, incarnation } => {
+                let config =
+                    controller_config::build(&self.simulation, exchange_number, &Endpoints::default());
                 let seed = config.seed.unwrap_or(0).wrapping_add(u64::from(incarnation) << 32);
                 let controller = VirtualController {
                     call_control: CallControl::new(
@@ -234,55 +235,58 @@
                     subscriber_numbers: BTreeMap::new(),
                     timer: None,
                 };
-                self.controllers[usize::from(office) - 1] = Some(controller);
+                self.controllers[usize::from(exchange_number) - 1] = Some(controller);
             }
-            Action::Kill { office } => {
-                if let Some(controller) = self.controllers[usize::from(office) - 1].take() {
-                    controller.timer.into_iter().for_each(|at| _ = self.timers.remove(&(at, office)));
+            Action::Kill { exchange_number } => {
+                if let Some(controller) = self.controllers[usize::from(exchange_number) - 1].take() {
+                    controller
+                        .timer
+                        .into_iter()
+                        .for_each(|at| _ = self.timers.remove(&(at, exchange_number)));
                 }
             }
-            Action::LinkUp { office, to } => {
-                self.with_controller(now, office, observer, |controller, now, call_actions| {
+            Action::LinkUp { exchange_number, to } => {
+                self.with_controller(now, exchange_number, observer, |controller, now, call_actions| {
                     controller.call_control.link_up(now, call_actions, ExchangeNumber(to))
                 });
             }
-            Action::LinkDown { office, to } => {
-                self.with_controller(now, office, observer, |controller, now, call_actions| {
+            Action::LinkDown { exchange_number, to } => {
+                self.with_controller(now, exchange_number, observer, |controller, now, call_actions| {
                     controller.call_control.link_down(now, call_actions, ExchangeNumber(to))
                 });
             }
-            Action::LinkOctets { office, from, octets } => {
-                self.with_controller(now, office, observer, |controller, now, call_actions| {
+            Action::LinkOctets { exchange_number, from, octets } => {
+                self.with_controller(now, exchange_number, observer, |controller, now, call_actions| {
                     controller.call_control.on_octets(now, call_actions, ExchangeNumber(from), &octets)
                 });
             }
-            Action::Offer { office, offer } => {
-                self.with_controller(now, office, observer, |controller, now, call_actions| {
+            Action::Offer { exchange_number, offer } => {
+                self.with_controller(now, exchange_number, observer, |controller, now, call_actions| {
                     let call = controller.call_control.next_call();
                     controller.calls.insert(offer.call, call);
                     controller.subscriber_numbers.insert(call, offer.call);
                     controller.call_control.offer(now, call_actions, call, call_request(&offer));
                 })
             }
-            Action::HangUp { office, call } => {
-                let controller = self.controllers[usize::from(office) - 1].as_ref();
+            Action::HangUp { exchange_number, call } => {
+                let controller = self.controllers[usize::from(exchange_number) - 1].as_ref();
                 let Some(id) = controller.and_then(|controller| controller.calls.get(&call)).copied() else {
                     return;
                 };
-                self.with_controller(now, office, observer, |controller, now, call_actions| {
+                self.with_controller(now, exchange_number, observer, |controller, now, call_actions| {
                     _ = controller.call_control.hang_up(now, call_actions, id)
                 });
-                if let Some(controller) = self.controllers[usize::from(office) - 1].as_mut() {
+                if let Some(controller) = self.controllers[usize::from(exchange_number) - 1].as_mut() {
                     controller.calls.remove(&call);
                     controller.subscriber_numbers.remove(&id);
                 }
             }
             // The first list is always delivered: without it the controller knows no other exchange.
-            Action::Membership { office, news }
-                if news.since.is_some() && !self.interceptor.delivers_membership(now, office) => {}
-            Action::Membership { office, news } => {
+            Action::Membership { exchange_number, news }
+                if news.since.is_some() && !self.interceptor.delivers_membership(now, exchange_number) => {}
+            Action::Membership { exchange_number, news } => {
                 let mut accepted = true;
-                self.with_controller(now, office, observer, |controller, now, call_actions| {
+                self.with_controller(now, exchange_number, observer, |controller, now, call_actions| {
                     let (_, change) = controller.membership.apply(now, &news);
                     match &change {
                         Some(MembershipChange::Full(members)) => controller.call_control.on_membership(
@@ -297,11 +301,11 @@
                     }
                 });
                 if !accepted {
-                    self.simulation.resend_membership(now, office, observer, actions);
+                    self.simulation.resend_membership(now, exchange_number, observer, actions);
                 }
             }
-            Action::CircuitsInService { office, to, in_service } => {
-                self.with_controller(now, office, observer, |controller, now, call_actions| {
+            Action::CircuitsInService { exchange_number, to, in_service } => {
+                self.with_controller(now, exchange_number, observer, |controller, now, call_actions| {
                     controller.call_control.set_circuits_in_service(
                         now,
                         call_actions,
@@ -310,8 +314,8 @@
                     );
                 });
             }
-            Action::ProcessorReport { office, rate } => {
-                self.with_controller(now, office, observer, |controller, _, _| {
+            Action::ProcessorReport { exchange_number, rate } => {
+                self.with_controller(now, exchange_number, observer, |controller, _, _| {
                     controller.call_control.set_processor_report(processor_report(Some(rate)))
                 });
             }
@@ -322,16 +326,16 @@
     fn with_controller(
         &mut self,
         now: Duration,
-        office: u16,
+        exchange_number: u16,
         observer: &mut dyn Observer,
         f: impl FnOnce(&mut VirtualController, Duration, &mut dyn CallControlActions),
     ) {
-        let Some(controller) = self.controllers[usize::from(office) - 1].as_mut() else { return };
+        let Some(controller) = self.controllers[usize::from(exchange_number) - 1].as_mut() else { return };
         f(controller, now + CLOCK_START, &mut self.recorder);
         let timer = controller.call_control.next_timer().map(|at| at.saturating_sub(CLOCK_START));
         if timer != controller.timer {
-            controller.timer.into_iter().for_each(|at| _ = self.timers.remove(&(at, office)));
-            timer.into_iter().for_each(|at| _ = self.timers.insert((at, office)));
+            controller.timer.into_iter().for_each(|at| _ = self.timers.remove(&(at, exchange_number)));
+            timer.into_iter().for_each(|at| _ = self.timers.insert((at, exchange_number)));
             controller.timer = timer;
         }
         let mut outputs = std::mem::take(&mut self.recorder.outputs);
@@ -339,13 +343,13 @@
         for output in outputs.drain(..) {
             match output {
                 Output::Octets(to, octets) => {
-                    for (to, octets) in self.interceptor.outgoing_octets(now, office, to, octets) {
-                        self.simulation.on_controller_octets(now, office, to, &octets, observer);
+                    for (to, octets) in self.interceptor.outgoing_octets(now, exchange_number, to, octets) {
+                        self.simulation.on_controller_octets(now, exchange_number, to, &octets, observer);
                     }
                 }
                 Output::LinkClosed(to) => closed_links.push(to),
                 Output::Answered(call, answer) => {
-                    let Some(controller) = self.controllers[usize::from(office) - 1].as_mut() else {
+                    let Some(controller) = self.controllers[usize::from(exchange_number) - 1].as_mut() else {
                         continue;
                     };
                     let Some(number) = controller.subscriber_numbers.get(&call).copied() else { continue };
@@ -354,24 +358,24 @@
                         controller.subscriber_numbers.remove(&call);
                         controller.calls.remove(&number);
                     }
-                    for _ in 0..self.interceptor.answer_copies(now, office, number) {
-                        self.simulation.call_answered(now, office, number, call.0, answer, observer);
+                    for _ in 0..self.interceptor.answer_copies(now, exchange_number, number) {
+                        self.simulation.call_answered(now, exchange_number, number, call.0, answer, observer);
                     }
                 }
                 Output::Ended(call, end) => {
-                    let Some(controller) = self.controllers[usize::from(office) - 1].as_mut() else {
+                    let Some(controller) = self.controllers[usize::from(exchange_number) - 1].as_mut() else {
                         continue;
                     };
                     let Some(number) = controller.subscriber_numbers.remove(&call) else { continue };
                     controller.calls.remove(&number);
-                    self.simulation.call_ended(now, office, number, end_reason(end), observer);
+                    self.simulation.call_ended(now, exchange_number, number, end_reason(end), observer);
                 }
             }
         }
         self.recorder.outputs = outputs;
         for to in closed_links {
             let mut actions = Vec::new();
-            self.simulation.link_disconnected(now, office, to, observer, &mut actions);
+            self.simulation.link_disconnected(now, exchange_number, to, observer, &mut actions);
             self.carry_out(now, &mut actions, observer);
         }
     }
--- a/crates/lab/tests/rule_checker.rs
+++ b/crates/lab/tests/rule_checker.rs
@@ -178,7 +178,11 @@
     let result = virtual_day::run(&unlimited, &mut rule_checker, &mut PassThrough);
     let verdict = rule_checker.finish(result.ended_at);
     assert_violates_only(4, &verdict);
-    assert!(verdict.violations.iter().all(|violation| violation.office == 5), "{:?}", verdict.violations);
+    assert!(
+        verdict.violations.iter().all(|violation| violation.exchange_number == 5),
+        "{:?}",
+        verdict.violations
+    );
     let correct = checked(&day, &mut PassThrough);
     assert_passed(&correct);
     // Until the controllers are told of the restart they send as usual; afterwards each sends its share.
--- a/crates/membership/src/directory_messages.rs
+++ b/crates/membership/src/directory_messages.rs
@@ -37,10 +37,19 @@
 #[schemars(rename = "Reply")]
 pub enum ControllerNotification {
     #[serde(rename = "roster.taken")]
-    Accepted { office: u16, version: u64 },
+    Accepted {
+        #[serde(rename = "office")]
+        exchange_number: u16,
+        version: u64,
+    },
     /// The previous version stays in force.
     #[serde(rename = "roster.turned_down")]
-    Rejected { office: u16, version: u64, why: String },
+    Rejected {
+        #[serde(rename = "office")]
+        exchange_number: u16,
+        version: u64,
+        why: String,
+    },
     /// Requests the whole list: after connecting and after a gap in the versions.
     #[serde(rename = "roster.want")]
     RequestFullList(FullListRequest),
@@ -49,7 +58,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "Ask")]
 pub struct FullListRequest {
-    pub office: u16,
+    #[serde(rename = "office")]
+    pub exchange_number: u16,
     /// The version held, if any.
     #[serde(rename = "held")]
     pub held_version: Option<u64>,
@@ -100,7 +110,8 @@
             entries: Vec::new(),
         });
         assert_eq!(DirectoryNotification::read(to_controller.text().as_bytes()).unwrap(), to_controller);
-        let to_directory = ControllerNotification::Rejected { office: 4, version: 9, why: "a gap".into() };
+        let to_directory =
+            ControllerNotification::Rejected { exchange_number: 4, version: 9, why: "a gap".into() };
         assert_eq!(ControllerNotification::read(to_directory.text().as_bytes()).unwrap(), to_directory);
         assert!(
             DirectoryNotification::read(br#"{"jsonrpc":"2.0","method":"roster.version","params":{}}"#)
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -24,7 +24,8 @@
     /// Identifies the machine. A machine that replaces another has a new id.
     pub exchange: u32,
     /// The exchange's number in the numbering plan, which is also its point code.
-    pub office: u16,
+    #[serde(rename = "office")]
+    pub exchange_number: u16,
     pub region: u8,
     #[serde(rename = "standing")]
     pub status: MemberStatus,
@@ -51,12 +52,12 @@
     /// The default is enough for a fleet of a thousand exchanges while every machine is replaced at once.
     pub max_entries: usize,
     /// Point codes have 14 bits.
-    pub max_office: u16,
+    pub max_exchange_number: u16,
 }
 
 impl Default for MembershipLimits {
     fn default() -> Self {
-        Self { max_entries: 2048, max_office: 16_383 }
+        Self { max_entries: 2048, max_exchange_number: 16_383 }
     }
 }
 
@@ -71,14 +72,14 @@
     NoBaseVersion { since: u64 },
     #[error("{count} entries, at most {max}")]
     TooManyEntries { count: usize, max: usize },
-    #[error("exchange {exchange}: office {office} is above {max}")]
-    OfficeOutOfRange { exchange: u32, office: u16, max: u16 },
+    #[error("exchange {exchange}: office {exchange_number} is above {max}")]
+    ExchangeNumberOutOfRange { exchange: u32, exchange_number: u16, max: u16 },
     #[error("exchange {exchange} is named twice")]
     DuplicateExchange { exchange: u32 },
     #[error("exchange {exchange}: office {received}, but it is {held}")]
-    OfficeChanged { exchange: u32, received: u16, held: u16 },
-    #[error("exchanges {one} and {other} are both ready as office {office}")]
-    DuplicatePointCode { one: u32, other: u32, office: u16 },
+    ExchangeNumberChanged { exchange: u32, received: u16, held: u16 },
+    #[error("exchanges {one} and {other} are both ready as office {exchange_number}")]
+    DuplicatePointCode { one: u32, other: u32, exchange_number: u16 },
     #[error("a whole list without an entry")]
     EmptyList,
 }
@@ -200,20 +201,21 @@
         }
         let mut members = if update.since.is_some() { self.members.clone() } else { BTreeMap::new() };
         members.extend(&updated);
-        let mut ready_by_office: BTreeMap<u16, u32> = BTreeMap::new();
+        let mut ready_by_number: BTreeMap<u16, u32> = BTreeMap::new();
         let ready = members.values().filter(|member| member.entry.status == MemberStatus::Ready);
         for Member { entry, .. } in ready {
-            if let Some(one) = ready_by_office.insert(entry.office, entry.exchange) {
+            if let Some(one) = ready_by_number.insert(entry.exchange_number, entry.exchange) {
                 return Err(RejectReason::DuplicatePointCode {
                     one,
                     other: entry.exchange,
-                    office: entry.office,
+                    exchange_number: entry.exchange_number,
                 });
             }
         }
         // An exchange that is gone and replaced is still part of the change passed on, but is not kept as a member.
         members.retain(|_, member| {
-            member.entry.status != MemberStatus::Gone || !ready_by_office.contains_key(&member.entry.office)
+            member.entry.status != MemberStatus::Gone
+                || !ready_by_number.contains_key(&member.entry.exchange_number)
         });
         if members.len() > self.limits.max_entries {
             return Err(RejectReason::TooManyEntries { count: members.len(), max: self.limits.max_entries });
@@ -227,13 +229,21 @@
     }
 
     fn check(&self, entry: &MemberEntry) -> Result<(), RejectReason> {
-        let MemberEntry { exchange, office, .. } = *entry;
-        if office > self.limits.max_office {
-            return Err(RejectReason::OfficeOutOfRange { exchange, office, max: self.limits.max_office });
+        let MemberEntry { exchange, exchange_number, .. } = *entry;
+        if exchange_number > self.limits.max_exchange_number {
+            return Err(RejectReason::ExchangeNumberOutOfRange {
+                exchange,
+                exchange_number,
+                max: self.limits.max_exchange_number,
+            });
         }
         match self.members.get(&exchange) {
-            Some(member) if member.entry.office != office => {
-                Err(RejectReason::OfficeChanged { exchange, received: office, held: member.entry.office })
+            Some(member) if member.entry.exchange_number != exchange_number => {
+                Err(RejectReason::ExchangeNumberChanged {
+                    exchange,
+                    received: exchange_number,
+                    held: member.entry.exchange_number,
+                })
             }
             _ => Ok(()),
         }
@@ -297,8 +307,8 @@
 
     const NOW: Duration = Duration::from_secs(3600);
 
-    fn entry(exchange: u32, office: u16, status: MemberStatus) -> MemberEntry {
-        MemberEntry { exchange, office, region: 0, status, age_ms: None }
+    fn entry(exchange: u32, exchange_number: u16, status: MemberStatus) -> MemberEntry {
+        MemberEntry { exchange, exchange_number, region: 0, status, age_ms: None }
     }
 
     fn full_list(version: u64, entries: Vec<MemberEntry>) -> MembershipUpdate {
@@ -345,15 +355,16 @@
             rejection(&full_list(5, vec![entry(10, 1, MemberStatus::Ready)])),
             RejectReason::StaleVersion { received: 5, held: 5 }
         );
-        let out_of_range = RejectReason::OfficeOutOfRange { exchange: 10, office: 20_000, max: 16_383 };
+        let out_of_range =
+            RejectReason::ExchangeNumberOutOfRange { exchange: 10, exchange_number: 20_000, max: 16_383 };
         assert_eq!(rejection(&full_list(6, vec![entry(10, 20_000, MemberStatus::Ready)])), out_of_range);
-        let changed = RejectReason::OfficeChanged { exchange: 10, received: 3, held: 1 };
+        let changed = RejectReason::ExchangeNumberChanged { exchange: 10, received: 3, held: 1 };
         assert_eq!(rejection(&full_list(6, vec![entry(10, 3, MemberStatus::Ready)])), changed);
-        let same_office =
+        let same_number =
             MembershipUpdate { version: 6, since: Some(5), entries: vec![entry(11, 1, MemberStatus::Ready)] };
         assert_eq!(
-            rejection(&same_office),
-            RejectReason::DuplicatePointCode { one: 10, other: 11, office: 1 }
+            rejection(&same_number),
+            RejectReason::DuplicatePointCode { one: 10, other: 11, exchange_number: 1 }
         );
         assert_eq!(
             (membership.version(), membership.members().count(), membership.rejected_updates()),
