--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -47,8 +47,8 @@
     pub behavior: CallerBehavior,
     /// Mean time between two set-ups.
     pub mean_interval: Duration,
-    /// Number of offices; the caller calls the numbers 1 to `office_count`.
-    pub office_count: u16,
+    /// Number of destinations; the caller calls the numbers 1 to `destination_count`.
+    pub destination_count: u16,
     pub seed: u64,
 }
 
@@ -364,8 +364,8 @@
             if self.rng.random_bool(0.7) { ("voice", 1500) } else { ("data", 2500) };
         let patience_ms =
             if self.rng.random_bool(0.1) { self.rng.random_range(20..200) } else { usual_patience_ms };
-        let office = self.rng.random_range(1..=self.plan.office_count);
-        let trunk_info = format!("dest:{office};width:1;via:-1");
+        let destination = self.rng.random_range(1..=self.plan.destination_count);
+        let trunk_info = format!("dest:{destination};width:1;via:-1");
         let text = invite(call, self.rng.random(), priority_class, patience_ms, &trunk_info);
         self.send_set_up(connection, SetUp { call, text, patience_ms }, redials);
     }
--- a/crates/soak/src/event_bus.rs
+++ b/crates/soak/src/event_bus.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct Target {
     pub uid: String,
-    pub office: u16,
+    pub destination: u16,
     /// The address at which each controller reaches the exchange, by controller index.
     pub endpoints: Vec<SocketAddr>,
     pub state: &'static str,
@@ -34,7 +34,7 @@
     fn json(&self, controller: ControllerIndex) -> Value {
         json!({
             "uid": self.uid, "endpoint": self.endpoints[controller], "az": "east", "model": "std",
-            "pod_group": self.office, "state": self.state, "capacity_hint": 4, "boot_ms": self.boot_ms,
+            "pod_group": self.destination, "state": self.state, "capacity_hint": 4, "boot_ms": self.boot_ms,
         })
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -13,8 +13,8 @@
 
 /// Number of controllers in a run.
 pub const CONTROLLERS: usize = 3;
-/// Number of offices that callers call. An office is a dialled destination, served by one exchange at a time.
-pub const OFFICES: usize = 3;
+/// Number of destinations that callers dial. Each is served by one exchange at a time.
+pub const DESTINATIONS: usize = 3;
 /// Faults begin only when there are standing calls.
 const FIRST_FAULT_MS: u64 = 3000;
 const LAST_FAULT_MS: u64 = 11_000;
@@ -22,8 +22,8 @@
 /// the run.
 const SETTLE_TIME: Duration = Duration::from_millis(11_500);
 
-/// The index of an office. A fault of an exchange hits the one that serves the office at that time.
-pub type OfficeIndex = usize;
+/// The index of a destination. A fault of an exchange hits the one that serves the destination at that time.
+pub type DestinationIndex = usize;
 
 /// A fault or a planned change that a run applies.
 #[derive(Clone, Debug)]
@@ -42,37 +42,37 @@
     },
     /// The machine is lost and its connections stay silent. The event bus lists a replacement after `listed_after`.
     MachineLost {
-        office: OfficeIndex,
+        destination: DestinationIndex,
         listed_after: Duration,
     },
     /// The process is killed and its connections are reset. The event bus lists a replacement after `listed_after`.
     ProcessCrash {
-        office: OfficeIndex,
+        destination: DestinationIndex,
         listed_after: Duration,
     },
     /// The process is stopped for a while; its connections stay open.
     Hang {
-        office: OfficeIndex,
+        destination: DestinationIndex,
         duration: Duration,
     },
     /// The exchange is listed as terminating, killed after the drain grace, and replaced by a new one at the same
     /// address or another.
     Replace {
-        office: OfficeIndex,
+        destination: DestinationIndex,
         same_address: bool,
     },
     /// The network between an exchange and all controllers, or only one, is partitioned.
     Partition {
-        office: OfficeIndex,
+        destination: DestinationIndex,
         only_controller: Option<ControllerIndex>,
         duration: Duration,
     },
     ResetLinks {
-        office: OfficeIndex,
+        destination: DestinationIndex,
         controller: ControllerIndex,
     },
     ResetOldestLink {
-        office: OfficeIndex,
+        destination: DestinationIndex,
         controller: ControllerIndex,
     },
     Bus {
@@ -132,8 +132,8 @@
         millis(self.rng.random_range(from..=to))
     }
 
-    fn office(&mut self) -> OfficeIndex {
-        self.rng.random_range(0..OFFICES)
+    fn destination(&mut self) -> DestinationIndex {
+        self.rng.random_range(0..DESTINATIONS)
     }
 
     fn controller(&mut self) -> ControllerIndex {
@@ -155,12 +155,12 @@
 
     /// Adds a fault of one exchange: machine lost, process crash, hang or replacement.
     fn add_exchange_fault(&mut self, at: Duration) {
-        let office = self.office();
+        let destination = self.destination();
         let fault = match self.rng.random_range(0..4) {
-            0 => Fault::MachineLost { office, listed_after: self.draw_millis(5900, 12_000) },
-            1 => Fault::ProcessCrash { office, listed_after: self.draw_millis(1500, 5000) },
-            2 => Fault::Hang { office, duration: self.draw_millis(800, 6000) },
-            _ => Fault::Replace { office, same_address: self.rng.random_bool(0.5) },
+            0 => Fault::MachineLost { destination, listed_after: self.draw_millis(5900, 12_000) },
+            1 => Fault::ProcessCrash { destination, listed_after: self.draw_millis(1500, 5000) },
+            2 => Fault::Hang { destination, duration: self.draw_millis(800, 6000) },
+            _ => Fault::Replace { destination, same_address: self.rng.random_bool(0.5) },
         };
         self.add(at, fault);
     }
@@ -174,13 +174,13 @@
             .unwrap_or(&BusFault::Down);
         let duration = self.draw_millis(1000, 8000);
         self.add(at, Fault::Bus { fault, duration });
-        let office = self.office();
+        let destination = self.destination();
         let near_end = at + duration - millis(self.rng.random_range(0..800).min(duration.as_millis() as u64));
         let same_address = self.rng.random_bool(0.5);
-        self.add(near_end, Fault::Replace { office, same_address });
+        self.add(near_end, Fault::Replace { destination, same_address });
         if self.rng.random_bool(0.5) {
-            let office = self.office();
-            self.add(at, Fault::MachineLost { office, listed_after: duration + millis(300) });
+            let destination = self.destination();
+            self.add(at, Fault::MachineLost { destination, listed_after: duration + millis(300) });
         }
     }
 
@@ -195,16 +195,18 @@
     }
 
     fn add_network_fault(&mut self) {
-        let (at, office, controller) = (self.fault_time(), self.office(), self.controller());
+        let (at, destination, controller) = (self.fault_time(), self.destination(), self.controller());
         let fault = match self.rng.random_range(0..4) {
-            0 => Fault::Partition { office, only_controller: None, duration: self.draw_millis(500, 6000) },
+            0 => {
+                Fault::Partition { destination, only_controller: None, duration: self.draw_millis(500, 6000) }
+            }
             1 => Fault::Partition {
-                office,
+                destination,
                 only_controller: Some(controller),
                 duration: self.draw_millis(500, 9000),
             },
-            2 => Fault::ResetLinks { office, controller },
-            _ => Fault::ResetOldestLink { office, controller },
+            2 => Fault::ResetLinks { destination, controller },
+            _ => Fault::ResetOldestLink { destination, controller },
         };
         self.add(at, fault);
     }
@@ -289,8 +291,8 @@
         let listed_after = millis(12_200);
         let faults = vec![
             (millis(3000), Fault::Bus { fault: BusFault::Down, duration: millis(12_500) }),
-            (millis(4000), Fault::MachineLost { office: 0, listed_after }),
-            (millis(4000), Fault::MachineLost { office: 1, listed_after }),
+            (millis(4000), Fault::MachineLost { destination: 0, listed_after }),
+            (millis(4000), Fault::MachineLost { destination: 1, listed_after }),
         ];
         Self {
             seed: 25,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -20,7 +20,7 @@
 use crate::controller::{ControllerProcess, DRAIN_GRACE, Files};
 use crate::event_bus::{EventBus, Target};
 use crate::exchange::ExchangeConfig;
-use crate::plan::{CONTROLLERS, Fault, OFFICES, Plan};
+use crate::plan::{CONTROLLERS, DESTINATIONS, Fault, Plan};
 use crate::proxy::{NetworkState, Proxy};
 use crate::record::{Event, Record, Recorder, now};
 use crate::rule_checker::{Verdict, check_rules};
@@ -81,9 +81,9 @@
     }
 }
 
-/// The exchange that serves an office at present, and its proxies.
+/// The exchange that serves a destination at present, and its proxies.
 #[derive(Debug)]
-struct Office {
+struct Destination {
     exchange: Exchange,
     proxies: Vec<Proxy>,
     /// How often the exchange has been replaced. A fault with several steps compares it to detect that another fault has
@@ -99,7 +99,7 @@
     bus: EventBus,
     bus_addresses: Vec<Vec<SocketAddr>>,
     controllers: Vec<ControllerProcess>,
-    offices: Vec<Mutex<Office>>,
+    destinations: Vec<Mutex<Destination>>,
     /// The proxies of all exchanges, also of those that have been replaced.
     all_proxies: Mutex<Vec<Proxy>>,
     stopped: Arc<AtomicBool>,
@@ -161,15 +161,20 @@
             bus,
             bus_addresses,
             controllers,
-            offices: Vec::new(),
+            destinations: Vec::new(),
             all_proxies: Mutex::default(),
             stopped: Arc::default(),
         };
-        for office in 0..OFFICES {
-            let exchange = soak_run.start_exchange(office, 0)?;
-            let proxies = soak_run.start_proxies(&exchange, office);
-            soak_run.publish(office, &exchange.uid, &proxies, "in_service", 0);
-            soak_run.offices.push(Mutex::new(Office { exchange, proxies, generation: 0, ended: false }));
+        for destination in 0..DESTINATIONS {
+            let exchange = soak_run.start_exchange(destination, 0)?;
+            let proxies = soak_run.start_proxies(&exchange, destination);
+            soak_run.publish(destination, &exchange.uid, &proxies, "in_service", 0);
+            soak_run.destinations.push(Mutex::new(Destination {
+                exchange,
+                proxies,
+                generation: 0,
+                ended: false,
+            }));
         }
         for controller in &soak_run.controllers {
             let initial_events = soak_run.bus.initial_events(controller.index);
@@ -178,12 +183,12 @@
         Ok(soak_run)
     }
 
-    fn start_exchange(&self, office: usize, generation: u32) -> Result<Exchange, RunError> {
+    fn start_exchange(&self, destination: usize, generation: u32) -> Result<Exchange, RunError> {
         let listen: Vec<_> = (0..CONTROLLERS).map(|_| allocate()).collect();
         let config = ExchangeConfig {
-            uid: format!("s-{office}-{generation}"),
+            uid: format!("s-{destination}-{generation}"),
             listen: listen.clone(),
-            seed: self.plan.seed ^ (office as u64) << 8 ^ u64::from(generation) << 16,
+            seed: self.plan.seed ^ (destination as u64) << 8 ^ u64::from(generation) << 16,
             circuits: CIRCUITS,
             answer_ms: (2, 60),
             hold_ms: (500, 7000),
@@ -212,9 +217,9 @@
         Ok(Exchange { uid: config.uid, child, listen })
     }
 
-    fn start_proxies(&self, exchange: &Exchange, office: usize) -> Vec<Proxy> {
+    fn start_proxies(&self, exchange: &Exchange, destination: usize) -> Vec<Proxy> {
         let start = |controller: usize| {
-            let seed = self.plan.seed ^ (office * CONTROLLERS + controller) as u64;
+            let seed = self.plan.seed ^ (destination * CONTROLLERS + controller) as u64;
             let upstream = exchange.listen[controller];
             let proxy = Proxy::start(controller, allocate(), upstream, &exchange.uid, seed, &self.recorder);
             proxy.set_faults(self.plan.connection_faults);
@@ -225,10 +230,10 @@
         proxies
     }
 
-    fn publish(&self, office: usize, uid: &str, proxies: &[Proxy], state: &'static str, boot_ms: u64) {
+    fn publish(&self, destination: usize, uid: &str, proxies: &[Proxy], state: &'static str, boot_ms: u64) {
         self.bus.publish(Target {
             uid: uid.to_string(),
-            office: office as u16 + 1,
+            destination: destination as u16 + 1,
             endpoints: proxies.iter().map(|proxy| proxy.addr).collect(),
             state,
             boot_ms,
@@ -245,7 +250,7 @@
                 let plan = CallerPlan {
                     behavior,
                     mean_interval: self.plan.mean_set_up_interval,
-                    office_count: OFFICES as u16,
+                    destination_count: DESTINATIONS as u16,
                     seed,
                 };
                 threads.push(group.spawn(plan));
@@ -290,18 +295,20 @@
                 controller.kill();
             }),
             Fault::Reconfigure { controller } => self.reconfigure(controller),
-            Fault::MachineLost { office, listed_after } => self.lose_machine(office, listed_after),
-            Fault::ProcessCrash { office, listed_after } => self.crash_process(office, listed_after),
-            Fault::Hang { office, duration } => self.hang(office, duration),
-            Fault::Replace { office, same_address } => self.replace(office, same_address),
-            Fault::Partition { office, only_controller, duration } => {
-                self.partition(office, only_controller, duration)
+            Fault::MachineLost { destination, listed_after } => self.lose_machine(destination, listed_after),
+            Fault::ProcessCrash { destination, listed_after } => {
+                self.crash_process(destination, listed_after)
+            }
+            Fault::Hang { destination, duration } => self.hang(destination, duration),
+            Fault::Replace { destination, same_address } => self.replace(destination, same_address),
+            Fault::Partition { destination, only_controller, duration } => {
+                self.partition(destination, only_controller, duration)
             }
-            Fault::ResetLinks { office, controller } => {
-                lock(&self.offices[office]).proxies[controller].reset_links()
+            Fault::ResetLinks { destination, controller } => {
+                lock(&self.destinations[destination]).proxies[controller].reset_links()
             }
-            Fault::ResetOldestLink { office, controller } => {
-                lock(&self.offices[office]).proxies[controller].reset_oldest_link();
+            Fault::ResetOldestLink { destination, controller } => {
+                lock(&self.destinations[destination]).proxies[controller].reset_oldest_link();
             }
             Fault::Bus { fault, duration } => {
                 self.bus.begin_fault(fault);
@@ -333,45 +340,45 @@
         let _ = controller.reconfigure(&self.bus.initial_events(controller.index), new_address);
     }
 
-    /// Kills the exchange of an office and returns its generation, or `None` if another fault has ended it already.
-    fn end_exchange(&self, office: usize, network: NetworkState) -> Option<u32> {
-        let mut office = lock(&self.offices[office]);
-        if std::mem::replace(&mut office.ended, true) {
+    /// Kills the exchange of a destination and returns its generation, or `None` if another fault has ended it already.
+    fn end_exchange(&self, destination: usize, network: NetworkState) -> Option<u32> {
+        let mut destination = lock(&self.destinations[destination]);
+        if std::mem::replace(&mut destination.ended, true) {
             return None;
         }
-        office.proxies.iter().for_each(|proxy| proxy.set_network_state(network));
+        destination.proxies.iter().for_each(|proxy| proxy.set_network_state(network));
         // Gives the proxies time to finish what they are forwarding before the process is killed.
         thread::sleep(2 * POLL_INTERVAL);
-        let uid = office.exchange.uid.clone();
+        let uid = destination.exchange.uid.clone();
         self.recorder.add(Event::ExchangeEnded { uid });
-        office.exchange.signal(Signal::SIGKILL);
-        let _ = office.exchange.child.wait();
+        destination.exchange.signal(Signal::SIGKILL);
+        let _ = destination.exchange.child.wait();
         if network == NetworkState::Refusing {
-            office.proxies.iter().for_each(Proxy::reset_links);
+            destination.proxies.iter().for_each(Proxy::reset_links);
         }
-        Some(office.generation)
+        Some(destination.generation)
     }
 
-    fn lose_machine(&self, office: usize, listed_after: Duration) {
-        let Some(generation) = self.end_exchange(office, NetworkState::Partitioned) else { return };
+    fn lose_machine(&self, destination: usize, listed_after: Duration) {
+        let Some(generation) = self.end_exchange(destination, NetworkState::Partitioned) else { return };
         self.wait_for(listed_after);
-        self.replace_ended(office, generation, false);
+        self.replace_ended(destination, generation, false);
     }
 
-    fn crash_process(&self, office: usize, listed_after: Duration) {
-        let Some(generation) = self.end_exchange(office, NetworkState::Refusing) else { return };
+    fn crash_process(&self, destination: usize, listed_after: Duration) {
+        let Some(generation) = self.end_exchange(destination, NetworkState::Refusing) else { return };
         self.wait_for(listed_after);
-        self.replace_ended(office, generation, true);
+        self.replace_ended(destination, generation, true);
     }
 
     /// Lists an exchange that has ended as terminated, and starts and lists a replacement.
-    fn replace_ended(&self, office: usize, generation: u32, same_address: bool) {
-        let mut current = lock(&self.offices[office]);
+    fn replace_ended(&self, destination: usize, generation: u32, same_address: bool) {
+        let mut current = lock(&self.destinations[destination]);
         if current.generation != generation || self.stopped.load(Ordering::Relaxed) {
             return;
         }
-        self.publish(office, &current.exchange.uid, &current.proxies, "terminated", 0);
-        let Ok(replacement) = self.start_exchange(office, generation + 1) else { return };
+        self.publish(destination, &current.exchange.uid, &current.proxies, "terminated", 0);
+        let Ok(replacement) = self.start_exchange(destination, generation + 1) else { return };
         let proxies = if same_address {
             for (proxy, upstream) in current.proxies.iter().zip(&replacement.listen) {
                 proxy.set_upstream(*upstream, &replacement.uid);
@@ -379,44 +386,44 @@
             }
             current.proxies.clone()
         } else {
-            self.start_proxies(&replacement, office)
+            self.start_proxies(&replacement, destination)
         };
         let boot_ms = now() / 1000;
-        self.publish(office, &replacement.uid, &proxies, "in_service", boot_ms);
-        *current = Office { exchange: replacement, proxies, generation: generation + 1, ended: false };
+        self.publish(destination, &replacement.uid, &proxies, "in_service", boot_ms);
+        *current = Destination { exchange: replacement, proxies, generation: generation + 1, ended: false };
     }
 
-    fn replace(&self, office: usize, same_address: bool) {
+    fn replace(&self, destination: usize, same_address: bool) {
         let generation = {
-            let current = lock(&self.offices[office]);
-            self.publish(office, &current.exchange.uid, &current.proxies, "terminating", 0);
+            let current = lock(&self.destinations[destination]);
+            self.publish(destination, &current.exchange.uid, &current.proxies, "terminating", 0);
             current.generation
         };
         self.wait_for(DRAIN_GRACE + Duration::from_millis(500));
-        if lock(&self.offices[office]).generation == generation {
-            self.end_exchange(office, NetworkState::Refusing);
-            self.replace_ended(office, generation, same_address);
+        if lock(&self.destinations[destination]).generation == generation {
+            self.end_exchange(destination, NetworkState::Refusing);
+            self.replace_ended(destination, generation, same_address);
         }
     }
 
-    fn hang(&self, office: usize, duration: Duration) {
+    fn hang(&self, destination: usize, duration: Duration) {
         let (uid, generation) = {
-            let current = lock(&self.offices[office]);
+            let current = lock(&self.destinations[destination]);
             current.exchange.signal(Signal::SIGSTOP);
             (current.exchange.uid.clone(), current.generation)
         };
         self.recorder.add(Event::ExchangeHung { uid: uid.clone() });
         self.wait_for(duration);
-        let current = lock(&self.offices[office]);
+        let current = lock(&self.destinations[destination]);
         if current.generation == generation {
             current.exchange.signal(Signal::SIGCONT);
             self.recorder.add(Event::ExchangeResumed { uid });
         }
     }
 
-    fn partition(&self, office: usize, only_controller: Option<usize>, duration: Duration) {
+    fn partition(&self, destination: usize, only_controller: Option<usize>, duration: Duration) {
         let (uid, proxies) = {
-            let current = lock(&self.offices[office]);
+            let current = lock(&self.destinations[destination]);
             if current.ended {
                 return;
             }
@@ -429,7 +436,7 @@
         self.recorder.add(Event::NetworkCut { uid: uid.clone() });
         partitioned.iter().for_each(|proxy| proxy.set_network_state(NetworkState::Partitioned));
         self.wait_for(duration);
-        let current = lock(&self.offices[office]);
+        let current = lock(&self.destinations[destination]);
         if current.exchange.uid == uid && !current.ended {
             partitioned.iter().for_each(|proxy| proxy.set_network_state(NetworkState::Up));
             self.recorder.add(Event::NetworkHealed { uid });
