--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -159,7 +159,7 @@
                 Event::Connected { resumed, .. } => self.counters.resumed += u64::from(resumed),
                 // The rule checker reports the missing answer.
                 Event::Lost { call } => info!(
-                    exchange_number,
+                    office = exchange_number,
                     call, "outcome of the call unknown: its session ended or no answer came in time"
                 ),
                 Event::OfferError { call, code, why } => {
